--- a/almondlock-daemon/src/roles/gateway.rs
+++ b/almondlock-daemon/src/roles/gateway.rs
@@ -17,18 +17,18 @@
     seed: u64,
 ) -> Result<Server> {
     let bounds = Bounds {
-        stale: role.oldest(),
+        max_config_age: role.oldest(),
         retries: budget::Config {
             window: role.retry_window,
             ratio: role.retry_ratio(),
-            free: role.retry_free,
+            min_retries: role.retry_free,
         },
         memory_hold: role.memory_hold,
     };
     let features = Features {
         settling: role.settling,
-        places: role.places,
-        shares: role.shares,
+        slot_admission: role.places,
+        fair_shares: role.shares,
         observed_pace: role.observed_pace,
     };
     let config = Config {
--- a/almondlock-gateway/src/accept.rs
+++ b/almondlock-gateway/src/accept.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    dialect::Dialect, life::Request, pick::Demand, response::HOP, rules::Rules, worker::Worker,
+    dialect::Dialect, pick::Demand, request::Request, response::HOP, rules::Rules, worker::Worker,
 };
 
 /// A request without a deadline of its caller's is bounded by its route alone.
@@ -74,7 +74,7 @@
     loop {
         let now = clock::mono();
         let rules = worker.known().rules.clone();
-        let current = worker.node.age(now) < worker.bounds.stale;
+        let current = worker.node.age(now) < worker.bounds.max_config_age;
         let over = worker.shared.cold_left(now).is_zero() || now >= until;
         if over || rules.is_some() && current {
             return (rules, current);
--- a/almondlock-gateway/src/attempt.rs
+++ b/almondlock-gateway/src/attempt.rs
@@ -9,15 +9,15 @@
 
 use crate::{
     dialect::Dialect,
-    held::Held,
-    life::{Course, Request, Whole},
+    failure::Failure,
     outgoing,
     pace::Sent,
     pick::{Choice, Lack},
     placement::{self, Placed, lacking},
+    request::{History, Request, Response},
+    resources::Resources,
     slots::Grant,
     upstream::{self, Connection, Head},
-    verdict::Failure,
     worker::{Target, Worker},
 };
 
@@ -34,15 +34,15 @@
     pub(crate) upstream: Upstream,
     pub(crate) connection: Connection,
     pub(crate) head: Head,
-    pub(crate) held: Held<D>,
+    pub(crate) resources: Resources<D>,
     pub(crate) sent: Sent,
 }
 
 /// An attempt that failed.
-pub(crate) struct Broken {
+pub(crate) struct Fault {
     pub(crate) failure: Failure,
     pub(crate) upstream: Option<Upstream>,
-    pub(crate) answer: Option<Whole>,
+    pub(crate) answer: Option<Response>,
     pub(crate) reason: String,
     /// The connection broke, as it does when the upstream crashes.
     pub(crate) cut: bool,
@@ -52,12 +52,12 @@
     pub(crate) returns: Option<Duration>,
 }
 
-impl Broken {
-    pub(crate) fn new<R>(failure: Failure, upstream: Option<&Upstream>, reason: R) -> Broken
+impl Fault {
+    pub(crate) fn new<R>(failure: Failure, upstream: Option<&Upstream>, reason: R) -> Fault
     where
         R: ToString,
     {
-        Broken {
+        Fault {
             failure,
             upstream: upstream.cloned(),
             answer: None,
@@ -68,19 +68,19 @@
         }
     }
 
-    pub(crate) fn of(error: &upstream::Error, upstream: &Upstream) -> Broken {
+    pub(crate) fn of(error: &upstream::Error, upstream: &Upstream) -> Fault {
         let failure = match error {
             upstream::Error::Connect(_) => Failure::Unsent,
             upstream::Error::Broken(_) | upstream::Error::Ended(_) | upstream::Error::Answer(_) => {
                 Failure::Lost
             }
         };
-        Broken {
+        Fault {
             cut: matches!(
                 error,
                 upstream::Error::Broken(_) | upstream::Error::Ended(_)
             ),
-            ..Broken::new(failure, Some(upstream), error)
+            ..Fault::new(failure, Some(upstream), error)
         }
     }
 }
@@ -92,7 +92,7 @@
 {
     targets: Vec<Target>,
     choice: Choice,
-    held: Held<D>,
+    resources: Resources<D>,
     /// To the upstream that answers.
     connection: Connection,
 }
@@ -102,20 +102,20 @@
 async fn prepare<D>(
     worker: &Rc<Worker<D>>,
     request: &Request,
-    course: &Course,
+    history: &History,
     after: Option<u64>,
-) -> Result<Prepared<D>, Broken>
+) -> Result<Prepared<D>, Fault>
 where
     D: Dialect,
 {
     let mut grant: Option<Grant> = None;
     loop {
-        let targets = worker.open_targets(request, course, clock::mono());
+        let targets = worker.open_targets(request, history, clock::mono());
         let targets = targets.map_err(lacking)?;
         let found = (after, grant.as_ref());
-        let placed = placement::place(worker, request, course, &targets, found).await?;
-        let (choice, held) = match placed {
-            Placed::Sent(choice, held) => (choice, *held),
+        let placed = placement::place(worker, request, history, &targets, found).await?;
+        let (choice, resources) = match placed {
+            Placed::Sent(choice, resources) => (choice, *resources),
             Placed::Waits(waiter) => {
                 grant = Some(waiter.granted(request).await);
                 continue;
@@ -123,7 +123,7 @@
         };
         let target = first(&targets, &choice).map_err(lacking)?;
         let connection = connect(worker, request, target).await;
-        let connection = connection.map_err(|error| Broken::of(&error, &target.name))?;
+        let connection = connection.map_err(|error| Fault::of(&error, &target.name))?;
         let now = clock::mono();
         let places = iter::once(&choice.first).chain(&choice.helpers);
         let mut parties = places.filter_map(|place| targets.get(*place));
@@ -131,7 +131,7 @@
             return Ok(Prepared {
                 targets,
                 choice,
-                held,
+                resources,
                 connection,
             });
         };
@@ -151,49 +151,49 @@
 pub(crate) async fn attempt<D>(
     worker: &Rc<Worker<D>>,
     request: &Request,
-    course: &Course,
+    history: &History,
     after: Option<u64>,
-) -> Result<Run<D>, Broken>
+) -> Result<Run<D>, Fault>
 where
     D: Dialect,
 {
     let Prepared {
         targets,
         choice,
-        held,
+        resources,
         connection,
-    } = prepare(worker, request, course, after).await?;
+    } = prepare(worker, request, history, after).await?;
     let targets = &targets[..];
     let target = first(targets, &choice).map_err(lacking)?;
-    log_sent(worker, request, course, (targets, &choice, target));
+    log_sent(worker, request, history, (targets, &choice, target));
     let placed = outgoing::Placed {
         targets,
         choice: &choice,
-        memory: &held.memory(),
+        memory: &resources.memory(),
     };
     let now = clock::mono();
     let head = outgoing::head(worker, request, &placed, after, now);
     let left = request.left(now);
     let sent = Sent::new(worker, request, (&choice, &target.name), after);
     let exchange = exchange(worker, request, connection, &head);
-    let result = match timeout(left, patient(worker, request, &held, exchange)).await {
+    let result = match timeout(left, patient(worker, request, &resources, exchange)).await {
         Ok(Some(result)) => result,
         Ok(None) | Err(_) => {
-            return Err(Broken::new(
+            return Err(Fault::new(
                 Failure::Silent,
                 Some(&target.name),
                 "no answer in time",
             ));
         }
     };
-    let (connection, head) = result.map_err(|error| Broken::of(&error, &target.name))?;
+    let (connection, head) = result.map_err(|error| Fault::of(&error, &target.name))?;
     worker.hear_limit(&target.name, now, &head);
     worker.hear_backoff(&target.name, &head);
     let run = Run {
         upstream: target.name.clone(),
         connection,
         head,
-        held,
+        resources,
         sent,
     };
     let name = run.upstream.clone();
@@ -203,7 +203,7 @@
         Ok(judged) => judged,
         Err(_) => {
             let reason = "the body of its failure stopped";
-            Err(Broken::new(Failure::Silent, Some(&name), reason))
+            Err(Fault::new(Failure::Silent, Some(&name), reason))
         }
     }
 }
@@ -211,7 +211,7 @@
 fn log_sent<D>(
     worker: &Worker<D>,
     request: &Request,
-    course: &Course,
+    history: &History,
     (targets, choice, target): (&[Target], &Choice, &Target),
 ) where
     D: Dialect,
@@ -227,7 +227,7 @@
         backlog_ms = worker.load.borrow().total(now, &target.name).reading,
         hosts = worker.load.borrow().hosts(now),
         revision = known.revision.0, age_ms = worker.node.known_age(now).map(|age| age.as_millis()),
-        attempt = course.tried.len() + 1,
+        attempt = history.tried.len() + 1,
         backoff = worker.backoff(now, &target.name).map(Reason::as_str), "sent"
     );
 }
@@ -246,7 +246,7 @@
 pub(crate) async fn patient<D, F, T>(
     worker: &Worker<D>,
     request: &Request,
-    held: &Held<D>,
+    resources: &Resources<D>,
     work: F,
 ) -> Option<T>
 where
@@ -254,7 +254,7 @@
     F: Future<Output = T>,
 {
     tokio::pin!(work);
-    let patience = held.patience(clock::mono(), request.patience());
+    let patience = resources.patience(clock::mono(), request.patience());
     if let Ok(done) = timeout(patience, &mut work).await {
         return Some(done);
     }
@@ -262,7 +262,7 @@
     if repeatable && worker.afford(clock::mono(), &request.service) {
         return None;
     }
-    held.let_go();
+    resources.let_go();
     Some(work.await)
 }
 
@@ -305,7 +305,7 @@
 }
 
 /// What the head of an answer says of the attempt.
-async fn judge<D>(worker: &Worker<D>, mut run: Run<D>, targets: &[Target]) -> Result<Run<D>, Broken>
+async fn judge<D>(worker: &Worker<D>, mut run: Run<D>, targets: &[Target]) -> Result<Run<D>, Fault>
 where
     D: Dialect,
 {
@@ -315,7 +315,7 @@
         let mut load = worker.load.borrow_mut();
         load.report(clock::mono(), &run.upstream, requests);
     }
-    let broken = |failure, reason: &str| Broken::new(failure, Some(&run.upstream), reason);
+    let fault = |failure, reason: &str| Fault::new(failure, Some(&run.upstream), reason);
     if run.head.get(names.not_run.as_str()).is_some() || status == 421 {
         // A helper may be the one at fault.
         let at = run.head.text(names.at_fault.as_str());
@@ -324,40 +324,40 @@
             421 => Failure::Misdirected,
             _ => Failure::Rejected,
         };
-        let mut broken = broken(failure, &format!("status {status}, not run"));
+        let mut fault = fault(failure, &format!("status {status}, not run"));
         if let Some(at) = at.filter(|at| at.name != run.upstream) {
             worker.suspect(clock::mono(), &at.name);
-            broken.failure = Failure::Rejected;
-            broken.elsewhere = true;
+            fault.failure = Failure::Rejected;
+            fault.elsewhere = true;
         }
         recycle(worker, &run.upstream, run.connection, &run.head).await;
-        return Err(broken);
+        return Err(fault);
     }
     let encoded = run.head.get("content-encoding").is_some();
     let sealed = run.head.get(names.seal.as_str()).is_some();
     if (200..300).contains(&status) {
         if !sealed || encoded {
-            return Err(broken(Failure::Lost, "a success without its seal"));
+            return Err(fault(Failure::Lost, "a success without its seal"));
         }
         return Ok(run);
     }
     if matches!(status, 408 | 421 | 429 | 503) || encoded {
         // Towards callers these promise that the request has not run, which
         // this upstream doesn't say.
-        return Err(broken(
+        return Err(fault(
             Failure::Lost,
             &format!("status {status} that promises nothing"),
         ));
     }
     let body = run.connection.whole(WHOLE_LIMIT).await;
-    let body = body.map_err(|error| Broken::of(&error, &run.upstream))?;
-    let mut broken = broken(Failure::Answered, &format!("status {status}"));
-    broken.answer = Some(Whole {
+    let body = body.map_err(|error| Fault::of(&error, &run.upstream))?;
+    let mut fault = fault(Failure::Answered, &format!("status {status}"));
+    fault.answer = Some(Response {
         head: run.head.clone(),
         body,
     });
     recycle(worker, &run.upstream, run.connection, &run.head).await;
-    Err(broken)
+    Err(fault)
 }
 
 /// Running and waiting requests out of "running,waiting,slots".
--- a/almondlock-gateway/src/backoff.rs
+++ b/almondlock-gateway/src/backoff.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     dialect::Dialect,
-    life::{Course, Request},
     pick::Lack,
+    request::{History, Request},
     upstream::Head,
     worker::{Target, Worker},
 };
@@ -49,13 +49,13 @@
     pub(crate) fn open_targets(
         &self,
         request: &Request,
-        course: &Course,
+        history: &History,
         now: Mono,
     ) -> Result<Vec<Target>, Lack> {
         let known = self.known();
         let targets = known.instances.get(&request.service).into_iter().flatten();
         let targets: Vec<&Target> = targets
-            .filter(|target| !course.refused.contains(&target.name))
+            .filter(|target| !history.refused.contains(&target.name))
             .collect();
         let open = targets.iter();
         let open = open.filter(|target| self.backoff(now, &target.name).is_none());
--- a/almondlock-gateway/src/budget.rs
+++ b/almondlock-gateway/src/budget.rs
@@ -21,7 +21,7 @@
     /// Further attempts for each request of the window.
     pub ratio: f64,
     /// Further attempts in a window in any case.
-    pub free: u32,
+    pub min_retries: u32,
 }
 
 /// The budget of one service at one entry host.
@@ -53,7 +53,7 @@
         self.forget(now);
         // Windows hold thousands of requests, which an `f64` counts exactly.
         let earned = self.requests.len() as f64 * self.config.ratio;
-        let allowed = earned + f64::from(self.config.free);
+        let allowed = earned + f64::from(self.config.min_retries);
         let affordable = (self.attempts.len() as f64) + 1.0 <= allowed;
         if affordable {
             self.attempts.push_back(now);
--- a/almondlock-gateway/src/dialect.rs
+++ b/almondlock-gateway/src/dialect.rs
@@ -10,7 +10,7 @@
 use ntex::http::header::HeaderName;
 
 use crate::{
-    memory::Order,
+    memory::Command,
     rules::{Entry, Error, Limits, Organisation, Rules},
 };
 
@@ -117,30 +117,30 @@
     fn names(&self) -> &Names;
 
     /// Reads a published configuration and checks it.
-    fn read(&self, text: &str) -> Result<Rules, Error>;
+    fn parse(&self, text: &str) -> Result<Rules, Error>;
 
     /// Reads what stands outside the elements, if the text is cut into pieces such that each
     /// element can be read by itself. Otherwise the text is read whole.
-    fn outline(&self, _pieces: &[Piece]) -> Option<Outline> {
+    fn parse_outline(&self, _pieces: &[Piece]) -> Option<Outline> {
         None
     }
 
     /// Reads a piece of a section by itself.
     ///
-    /// Reading all pieces of a text that has an outline gives what [`Dialect::read`] gives.
-    fn entry(&self, _section: Section, _piece: &str) -> Result<Entry, Error> {
+    /// Reading all pieces of a text that has an outline gives what [`Dialect::parse`] gives.
+    fn parse_entry(&self, _section: Section, _piece: &str) -> Result<Entry, Error> {
         Err(Error::new("pieces can't be read"))
     }
 
     /// Reads only the organisations of a text, in less time than all of it.
-    fn organisations(&self, _text: &str) -> Result<Vec<Keys>, Error> {
+    fn parse_organisations(&self, _text: &str) -> Result<Vec<Keys>, Error> {
         Err(Error::new("organisations can't be read by themselves"))
     }
 
     /// Writes an order.
-    fn order(&self, order: &Order<'_>) -> Call;
+    fn encode_command(&self, order: &Command<'_>) -> Call;
 
     /// Writes one of the engines that read parts of a prompt, and the name of
     /// the memory that it holds for it.
-    fn helper(&self, address: SocketAddr, memory: Option<&str>) -> String;
+    fn format_helper(&self, address: SocketAddr, memory: Option<&str>) -> String;
 }
--- a/almondlock-gateway/src/event.rs
+++ b/almondlock-gateway/src/event.rs
@@ -13,16 +13,16 @@
 
 /// Cuts bytes into whole events.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct Splitter {
     // The beginning of an event that isn't whole.
     rest: BytesMut,
     last: Option<u64>,
 }
 
-impl Cutter {
+impl Splitter {
     /// A cutter at the beginning of a stream.
-    pub fn new() -> Cutter {
-        Cutter::default()
+    pub fn new() -> Splitter {
+        Splitter::default()
     }
 
     /// Takes in bytes; gives all events that are whole now, as one piece.
--- a/almondlock-gateway/src/lease.rs
+++ b/almondlock-gateway/src/lease.rs
@@ -20,12 +20,12 @@
 };
 
 use crate::{
-    attempt::{Broken, CONNECT, recycle},
+    attempt::{CONNECT, Fault, recycle},
     dialect::{Call, Dialect},
-    memory::{self, Order, Outcome, Share},
+    failure::Failure,
+    memory::{self, Command, Outcome, Share},
     shared::Active,
     upstream::{self, Connection},
-    verdict::Failure,
     worker::{Target, Worker},
 };
 
@@ -70,7 +70,7 @@
         request: &str,
         targets: &[Target],
         shares: &[Share],
-    ) -> Result<Leases<D>, Vec<Broken>> {
+    ) -> Result<Leases<D>, Vec<Fault>> {
         let drawn: u64 = worker.rng.borrow_mut().random();
         let places = shares
             .iter()
@@ -93,7 +93,7 @@
         let outcomes = join_all(orders).await;
         let failed = leases.leases.iter().zip(&outcomes);
         let failed = failed.filter(|(_, outcome)| **outcome != Outcome::Done);
-        let failed: Vec<Broken> = failed
+        let failed: Vec<Fault> = failed
             .map(|(lease, outcome)| failure(lease, *outcome))
             .collect();
         if !failed.is_empty() {
@@ -174,10 +174,10 @@
         if is_closed && !self.asked.get() {
             return Outcome::Unreached;
         }
-        let order = Order::Reserve {
+        let order = Command::Reserve {
             id: &self.id,
             tokens: self.tokens,
-            hold: memory::hold(worker.bounds.memory_hold),
+            duration: memory::lease_duration(worker.bounds.memory_hold),
         };
         let was_asked = self.asked.replace(true);
         let was_uncertain = self.uncertain.replace(true);
@@ -200,8 +200,8 @@
     where
         D: Dialect,
     {
-        let order = Order::Release { id: &self.id };
-        let until = clock::mono() + memory::hold(worker.bounds.memory_hold);
+        let order = Command::Release { id: &self.id };
+        let until = clock::mono() + memory::lease_duration(worker.bounds.memory_hold);
         while clock::mono() < until && !worker.is_over(&self.target) {
             if let Some(pause) = self.pause(worker) {
                 sleep(pause.min(until.since(clock::mono()))).await;
@@ -214,7 +214,7 @@
         }
         tracing::warn!(
             request, upstream = %self.target.name, memory = %self.id, tokens = self.tokens,
-            hold_ms = memory::hold(worker.bounds.memory_hold).as_millis(),
+            hold_ms = memory::lease_duration(worker.bounds.memory_hold).as_millis(),
             "memory not given back, has ended by itself"
         );
     }
@@ -228,10 +228,10 @@
             request, upstream = %self.target.name, memory = %self.id, tokens = self.tokens,
             "an order had no answer, memory is given back until it is too old"
         );
-        let order = Order::Release { id: &self.id };
-        let until = clock::mono() + memory::LATE;
+        let order = Command::Release { id: &self.id };
+        let until = clock::mono() + memory::MAX_EXECUTION_DELAY;
         while clock::mono() < until {
-            sleep(memory::LATE_RELEASE).await;
+            sleep(memory::LATE_RELEASE_INTERVAL).await;
             if self.pause(worker).is_none() {
                 self.order(worker, &order).await;
             }
@@ -247,27 +247,27 @@
         worker.backoff(clock::mono(), &self.target.name)?.left()
     }
 
-    async fn order<D>(&self, worker: &Worker<D>, order: &Order<'_>) -> Outcome
+    async fn order<D>(&self, worker: &Worker<D>, order: &Command<'_>) -> Outcome
     where
         D: Dialect,
     {
-        let call = worker.dialect.order(order);
+        let call = worker.dialect.encode_command(order);
         match timeout(ANSWER, send(worker, &self.target, &call)).await {
-            Ok(Ok(status)) => Outcome::of(status),
+            Ok(Ok(status)) => Outcome::from_status(status),
             Ok(Err(upstream::Error::Connect(_))) => Outcome::Unreached,
             Ok(Err(_)) | Err(_) => Outcome::Unknown,
         }
     }
 }
 
-fn failure(lease: &Lease, outcome: Outcome) -> Broken {
+fn failure(lease: &Lease, outcome: Outcome) -> Fault {
     let (failure, what) = match outcome {
         Outcome::Unknown => (Failure::Unsent, "no answer"),
         Outcome::Unreached => (Failure::Rejected, "not reached"),
         Outcome::Done | Outcome::Refused => (Failure::Rejected, "refused"),
     };
     let reason = format!("{} tokens of memory not set aside: {what}", lease.tokens);
-    Broken::new(failure, Some(&lease.target.name), reason)
+    Fault::new(failure, Some(&lease.target.name), reason)
 }
 
 /// Renews memory until it is given back.
@@ -275,7 +275,7 @@
 where
     D: Dialect,
 {
-    let pause = memory::hold(worker.bounds.memory_hold).mul_f64(memory::RENEWAL_SHARE);
+    let pause = memory::lease_duration(worker.bounds.memory_hold).mul_f64(memory::RENEWAL_FRACTION);
     loop {
         sleep(pause).await;
         // An engine that has started again would set memory aside anew, which
--- a/almondlock-gateway/src/lib.rs
+++ b/almondlock-gateway/src/lib.rs
@@ -17,7 +17,7 @@
 //! | [`pick`] | which upstream, and with which helpers |
 //! | [`budget`] | whether another attempt may be sent |
 //! | [`share`] | what organisations have in flight, and which are over their share |
-//! | [`verdict`] | what a failed attempt proves, and what may follow |
+//! | [`failure`] | what a failed attempt proves, and what may follow |
 //! | [`upstream`] | one HTTP/1.1 connection to an upstream |
 //! | [`pool`] | connections that wait for their next request |
 //! | [`event`] | event streams, cut into whole events |
@@ -30,11 +30,11 @@
 //! | `standing` | requests of organisations that are over their share |
 //! | `pace` | upstreams judged by how fast and how often they answer |
 //! | `suspicion` | requests that upstreams were lost with, counted over all hosts |
-//! | `life` | one request from its arrival to the end of its answer |
+//! | `request` | one request from its arrival to the end of its answer |
 //! | [`exchange`] | loads told from entry host to entry host |
 //! | [`server`] | the listeners |
 //!
-//! The deciding modules ([`rules`] to [`verdict`]) do no I/O and read no clock.
+//! The deciding modules ([`rules`] to [`failure`]) do no I/O and read no clock.
 
 #![warn(clippy::unwrap_used, clippy::expect_used)]
 
@@ -45,10 +45,9 @@
 pub mod dialect;
 pub mod event;
 pub mod exchange;
+pub mod failure;
 mod follow;
-mod held;
 mod lease;
-mod life;
 mod limit;
 pub mod load;
 pub mod memory;
@@ -59,7 +58,8 @@
 mod placement;
 pub mod pool;
 pub mod reading;
-mod reply;
+mod request;
+mod resources;
 mod response;
 pub mod rules;
 pub mod server;
@@ -68,7 +68,7 @@
 mod slots;
 mod standing;
 mod startup;
+mod stream;
 mod suspicion;
 pub mod upstream;
-pub mod verdict;
 mod worker;
--- a/almondlock-gateway/src/limit.rs
+++ b/almondlock-gateway/src/limit.rs
@@ -9,10 +9,10 @@
 
 use crate::{
     dialect::Dialect,
-    life::Request,
     load::Key,
     permit::Outcome,
     pick::Limited,
+    request::Request,
     response::HOP,
     upstream::Head,
     worker::{Target, Worker},
--- a/almondlock-gateway/src/memory.rs
+++ b/almondlock-gateway/src/memory.rs
@@ -22,35 +22,35 @@
 
 /// Part of an engine's memory that is counted on. The rest absorbs answers
 /// longer than expected, and short prompts that other hosts sent meanwhile.
-const COUNTED: f64 = 0.94;
+const USABLE_FRACTION: f64 = 0.94;
 
 /// An engine hands out memory in blocks, and a request's last one is seldom
 /// full: tokens that are set aside beyond the prompt's.
-const SLACK: u64 = 64;
+const PADDING_TOKENS: u64 = 64;
 
 /// Part of the time for which memory stays set aside after which that is
 /// renewed: one lost renewal can be repeated before the end.
-pub const RENEWAL_SHARE: f64 = 0.45;
+pub const RENEWAL_FRACTION: f64 = 0.45;
 
 /// Part of the time for which memory may outlive its use that it is set aside for.
 /// The time counts from the arrival of an order, which may be a renewal that is
 /// under way when the attempt ends: of the usual 4 s this leaves one for the order's
 /// way and for the engine's own timer.
-const HOLD_SHARE: f64 = 0.75;
+const LEASE_FRACTION: f64 = 0.75;
 
 /// How long memory is set aside for at a time, where it may outlive its use for
 /// `bound`.
-pub fn hold(bound: Duration) -> Duration {
-    bound.mul_f64(HOLD_SHARE)
+pub fn lease_duration(bound: Duration) -> Duration {
+    bound.mul_f64(LEASE_FRACTION)
 }
 
 /// An order that was not answered may still be carried out this much later.
 /// The longest that engines are known to take.
-pub const LATE: Duration = Duration::from_secs(13);
+pub const MAX_EXECUTION_DELAY: Duration = Duration::from_secs(13);
 
 /// How often memory that such an order may have set aside is given back until
 /// then: well within the time for which engines may keep it unused.
-pub const LATE_RELEASE: Duration = Duration::from_secs(2);
+pub const LATE_RELEASE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Memory that one engine holds for a prompt that another one answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,7 +63,7 @@
 
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order<'a> {
+pub enum Command<'a> {
     /// Sets memory aside, or goes on doing so.
     Reserve {
         /// Names the memory, in requests that use it too.
@@ -71,7 +71,7 @@
         /// How much.
         tokens: u64,
         /// For how long.
-        hold: Duration,
+        duration: Duration,
     },
     /// Gives it back.
     Release {
@@ -95,7 +95,7 @@
 
 impl Outcome {
     /// What a status says. Any refusal is a definite one.
-    pub const fn of(status: u16) -> Outcome {
+    pub const fn from_status(status: u16) -> Outcome {
         match status {
             200..=299 => Outcome::Done,
             400..=499 => Outcome::Refused,
@@ -105,32 +105,32 @@
 }
 
 /// Tokens of an engine's memory that can be counted on.
-pub fn free(speed: &Speed, total: &Total) -> u64 {
+pub fn free_tokens(speed: &Speed, total: &Total) -> u64 {
     // Token counts are far below the precision of an `f64`.
-    let counted = (speed.memory as f64 * COUNTED) as u64;
+    let counted = (speed.memory as f64 * USABLE_FRACTION) as u64;
     counted.saturating_sub(total.memory)
 }
 
 /// What is set aside for a prompt that needs so many tokens with its answer.
-pub const fn reserved(needed: u64) -> u64 {
-    needed + SLACK
+pub const fn padded(needed: u64) -> u64 {
+    needed + PADDING_TOKENS
 }
 
 /// What is set aside on the engine that answers, which has so much free, for its share
 /// of a prompt. Nothing where as much again would fit beside it: prompts of several
 /// hosts that come at the same moment all fit, and a stream without memory of its name
 /// doesn't depend on renewals that may be lost.
-pub fn own_share(place: usize, free: u64, tokens: u64) -> Option<Share> {
+pub fn answering_share(place: usize, free: u64, tokens: u64) -> Option<Share> {
     let is_scarce = free < tokens * 2;
     (is_scarce && tokens > 0).then_some(Share { place, tokens })
 }
 
 /// Spreads `needed` tokens over the engine that answers, given as `own` with what it
 /// has free, and as few others as possible, given in the same way. The share of the
-/// one that answers comes first, if it has one ([`own_share`]). None if all of them
+/// one that answers comes first, if it has one ([`answering_share`]). None if all of them
 /// together have too little.
-pub fn spread(needed: u64, own: (usize, u64), others: &[(usize, u64)]) -> Option<Vec<Share>> {
-    let needed = reserved(needed);
+pub fn distribute(needed: u64, own: (usize, u64), others: &[(usize, u64)]) -> Option<Vec<Share>> {
+    let needed = padded(needed);
     let mut others = others.to_vec();
     others.sort_by_key(|(_, free)| Reverse(*free));
     let mut held = own.1;
@@ -152,7 +152,7 @@
         rest -= tokens;
         left -= 1;
         shares.extend(match place == own.0 {
-            true => own_share(place, free, tokens),
+            true => answering_share(place, free, tokens),
             false => (tokens > 0).then_some(Share { place, tokens }),
         });
     }
--- a/almondlock-gateway/src/outgoing.rs
+++ b/almondlock-gateway/src/outgoing.rs
@@ -8,8 +8,8 @@
 
 use crate::{
     dialect::Dialect,
-    life::Request,
     pick::Choice,
+    request::Request,
     worker::{Target, Worker},
 };
 
@@ -37,7 +37,7 @@
         let readers = readers.map(|place| (*place, None));
         let helpers = holders.chain(readers).filter_map(|(place, memory)| {
             let target = self.targets.get(place)?;
-            Some(dialect.helper(target.address, memory))
+            Some(dialect.format_helper(target.address, memory))
         });
         helpers.collect::<Vec<_>>().join(",")
     }
--- a/almondlock-gateway/src/pace.rs
+++ b/almondlock-gateway/src/pace.rs
@@ -17,13 +17,13 @@
 use almondlock_policy::pace::{Account, Change, Sample, Table};
 
 use crate::{
-    attempt::Broken,
+    attempt::Fault,
     dialect::Dialect,
     exchange::{PACES, Pace},
-    life::{Course, Request},
+    failure::Failure,
     load::Key,
     pick::{self, Candidate, Choice},
-    verdict::Failure,
+    request::{History, Request},
     worker::{Target, Worker},
 };
 
@@ -298,7 +298,7 @@
     }
 
     /// An attempt failed that was begun at this time.
-    pub(crate) fn observe_failure(&self, request: &Request, broken: &Broken, begun: Mono) {
+    pub(crate) fn observe_failure(&self, request: &Request, broken: &Fault, begun: Mono) {
         let (true, Some(upstream)) = (self.features.observed_pace, &broken.upstream) else {
             return;
         };
@@ -366,7 +366,7 @@
     }
 
     /// Whether a request is on its first attempt, which may be a probe.
-    pub(crate) fn may_probe(&self, course: &Course) -> bool {
+    pub(crate) fn may_probe(&self, course: &History) -> bool {
         self.features.observed_pace && course.tried.is_empty()
     }
 }
--- a/almondlock-gateway/src/pick/field.rs
+++ b/almondlock-gateway/src/pick/field.rs
@@ -77,7 +77,7 @@
     where
         R: RngCore,
     {
-        let needed = memory::reserved(self.memory_needed());
+        let needed = memory::padded(self.memory_needed());
         let side = match groups.short.iter().any(|i| self.may_answer(*i)) {
             true => groups.short,
             false => groups.all,
@@ -92,7 +92,7 @@
         }
         let part = self.speed.part(self.demand.prompt, READERS);
         let (_, first) = fill::draw(&costs, self.unseen(groups.short, part), rng)?;
-        let own = memory::own_share(first, self.free(first), needed);
+        let own = memory::answering_share(first, self.free(first), needed);
         let others = groups.all.iter().filter(|i| **i != first);
         let mut order: Vec<(f64, usize)> = others
             .map(|i| (self.cost(*i) + rng.random::<f64>() * LOT, *i))
@@ -148,7 +148,7 @@
         let candidate = &self.candidates[i];
         match candidate.full {
             true => 0,
-            false => memory::free(self.speed, &candidate.total),
+            false => memory::free_tokens(self.speed, &candidate.total),
         }
     }
 
--- a/almondlock-gateway/src/pick/long.rs
+++ b/almondlock-gateway/src/pick/long.rs
@@ -168,7 +168,7 @@
         let others = members.filter(|i| *i != first && self.takes_orders(*i));
         let others: Vec<(usize, u64)> = others.map(|i| (i, self.free(i))).collect();
         let own = (first, self.free(first));
-        let mut shares = memory::spread(self.memory_needed(), own, &others)?;
+        let mut shares = memory::distribute(self.memory_needed(), own, &others)?;
         shares.retain(|share| self.takes_orders(share.place));
         Some((first, shares))
     }
--- a/almondlock-gateway/src/pick/slots.rs
+++ b/almondlock-gateway/src/pick/slots.rs
@@ -65,7 +65,7 @@
         let is_open = !candidate.is_avoided()
             && candidate.may_answer()
             && !is_backlogged(&candidate.total, demand.objective);
-        let has_room = memory::free(speed, &candidate.total) >= memory;
+        let has_room = memory::free_tokens(speed, &candidate.total) >= memory;
         let slots = candidate.slots.saturating_sub(candidate.total.requests());
         match is_open && has_room {
             true => f64::from(slots) * candidate.rate,
--- a/almondlock-gateway/src/placement.rs
+++ b/almondlock-gateway/src/placement.rs
@@ -12,15 +12,15 @@
 };
 
 use crate::{
-    attempt::Broken,
+    attempt::Fault,
     dialect::Dialect,
-    held::Held,
+    failure::Failure,
     lease::Leases,
-    life::{Course, Request, note},
     pick::{self, Candidate, Choice, Lack},
+    request::{History, Request, note},
+    resources::Resources,
     slots::{Grant, Question, Waiter},
     startup,
-    verdict::Failure,
     worker::{Target, Worker},
 };
 
@@ -37,7 +37,7 @@
     D: Dialect,
 {
     /// The attempt is sent.
-    Sent(Choice, Box<Held<D>>),
+    Sent(Choice, Box<Resources<D>>),
     /// It waits for a slot, and is then placed anew.
     Waits(Waiter<D>),
 }
@@ -65,21 +65,16 @@
     }
 
     /// Some had no memory to give.
-    fn note<D>(
-        &mut self,
-        worker: &Worker<D>,
-        request: &Request,
-        failed: Vec<Broken>,
-        attempt: usize,
-    ) where
+    fn note<D>(&mut self, worker: &Worker<D>, request: &Request, failed: Vec<Fault>, attempt: usize)
+    where
         D: Dialect,
     {
-        for broken in failed {
-            note(worker, request, &broken, attempt);
-            if broken.failure == Failure::Unsent {
-                self.silent.extend(broken.upstream.clone());
+        for fault in failed {
+            note(worker, request, &fault, attempt);
+            if fault.failure == Failure::Unsent {
+                self.silent.extend(fault.upstream.clone());
             }
-            self.full.extend(broken.upstream);
+            self.full.extend(fault.upstream);
         }
         self.placements += 1;
     }
@@ -96,14 +91,14 @@
 pub(crate) async fn place<D>(
     worker: &Rc<Worker<D>>,
     request: &Request,
-    course: &Course,
+    history: &History,
     targets: &[Target],
     (after, grant): (Option<u64>, Option<&Grant>),
-) -> Result<Placed<D>, Broken>
+) -> Result<Placed<D>, Fault>
 where
     D: Dialect,
 {
-    let is_new = course.tried.is_empty() && after.is_none();
+    let is_new = history.tried.is_empty() && after.is_none();
     if is_new {
         startup::settle(worker, request).await;
     }
@@ -118,10 +113,10 @@
         worker.review_pace(now, &request.service);
         let candidates = targets.iter();
         let candidates: Vec<Candidate> = candidates
-            .map(|target| worker.candidate(now, target, &course.tried, &search.full))
+            .map(|target| worker.candidate(now, target, &history.tried, &search.full))
             .collect();
         let probe = worker
-            .may_probe(course)
+            .may_probe(history)
             .then(|| worker.probe(now, request, targets, &candidates))
             .flatten();
         let is_probe = probe.is_some();
@@ -147,9 +142,9 @@
                 return Ok(Placed::Waits(Waiter::new(worker, request, ticket)));
             }
             Verdict::Refuse { returns } => {
-                return Err(Broken {
+                return Err(Fault {
                     returns: Some(returns),
-                    ..Broken::new(Failure::Unsent, None, "too many wait for a slot")
+                    ..Fault::new(Failure::Unsent, None, "too many wait for a slot")
                 });
             }
         }
@@ -168,16 +163,16 @@
             }
             continue;
         }
-        let held = Held::new(worker, request, targets, &choice, now);
+        let resources = Resources::new(worker, request, targets, &choice, now);
         if choice.shares.is_empty() {
-            return Ok(Placed::Sent(choice, Box::new(held)));
+            return Ok(Placed::Sent(choice, Box::new(resources)));
         }
         match Leases::take(worker, &request.id, targets, &choice.shares).await {
             Ok(leases) => {
-                held.keep(leases);
-                return Ok(Placed::Sent(choice, Box::new(held)));
+                resources.keep(leases);
+                return Ok(Placed::Sent(choice, Box::new(resources)));
             }
-            Err(failed) => search.note(worker, request, failed, course.tried.len()),
+            Err(failed) => search.note(worker, request, failed, history.tried.len()),
         }
         if is_last {
             return Err(lacking(Lack::Memory));
@@ -186,7 +181,7 @@
 }
 
 /// Refused because something is missing. For a limit it is known when to come back.
-fn refused_for<D>(worker: &Worker<D>, request: &Request, lack: Lack, now: Mono) -> Broken
+fn refused_for<D>(worker: &Worker<D>, request: &Request, lack: Lack, now: Mono) -> Fault
 where
     D: Dialect,
 {
@@ -196,15 +191,15 @@
     }
     match lack {
         Lack::Upstream | Lack::Memory | Lack::Backoff => lacking(lack),
-        Lack::Limit => Broken {
+        Lack::Limit => Fault {
             returns: Some(worker.limit_returns(request, now)),
-            ..Broken::new(Failure::Limited, None, lack)
+            ..Fault::new(Failure::Limited, None, lack)
         },
     }
 }
 
-pub(crate) fn lacking(lack: Lack) -> Broken {
-    Broken::new(Failure::Unsent, None, lack)
+pub(crate) fn lacking(lack: Lack) -> Fault {
+    Fault::new(Failure::Unsent, None, lack)
 }
 
 /// Whether a prompt would be late, or the engines' time does more for others.
@@ -213,7 +208,7 @@
     request: &Request,
     (targets, choice): (&[Target], &Choice),
     now: Mono,
-) -> Option<Broken>
+) -> Option<Fault>
 where
     D: Dialect,
 {
@@ -243,9 +238,9 @@
     let (expected, backlog) = (choice.expected.as_millis(), backlog.as_millis());
     let reason =
         format!("first event expected in {expected} ms, mean backlog over a second {backlog} ms");
-    Some(Broken {
+    Some(Fault {
         returns: Some(returns),
-        ..Broken::new(Failure::Unsent, None, reason)
+        ..Fault::new(Failure::Unsent, None, reason)
     })
 }
 
@@ -262,7 +257,7 @@
     D: Dialect,
 {
     let is_short = choice.helpers.is_empty() && choice.part <= pick::SHORT;
-    if !worker.features.places || !is_short {
+    if !worker.features.slot_admission || !is_short {
         return Verdict::Send;
     }
     let known = worker.known();
--- a/almondlock-gateway/src/reading/current.rs
+++ b/almondlock-gateway/src/reading/current.rs
@@ -80,7 +80,7 @@
         self.waits.get_or_insert(now);
         let mut newest = Newest {
             document: document.clone(),
-            outline: dialect.outline(&document.pieces),
+            outline: dialect.parse_outline(&document.pieces),
             seen: now,
             rules: None,
             keys: None,
--- a/almondlock-gateway/src/reading/mod.rs
+++ b/almondlock-gateway/src/reading/mod.rs
@@ -169,7 +169,7 @@
             Phase::Finished => Err(Error::new("it was read before")),
             Phase::Whole => {
                 self.count.read = self.document.pieces.len();
-                dialect.read(&self.document.text()).map(Some)
+                dialect.parse(&self.document.text()).map(Some)
             }
             Phase::Compare {
                 place,
@@ -185,9 +185,9 @@
                 mut fresh,
             } => {
                 if let Some((section, piece)) = gone.pop() {
-                    edit.remove(dialect.entry(section, piece.as_str())?);
+                    edit.remove(dialect.parse_entry(section, piece.as_str())?);
                 } else if let Some((section, piece)) = fresh.pop() {
-                    edit.add(dialect.entry(section, piece.as_str())?)?;
+                    edit.add(dialect.parse_entry(section, piece.as_str())?)?;
                 } else {
                     return edit.build().map(Some);
                 }
@@ -284,11 +284,11 @@
                 return Ok(None);
             }
             for piece in pieces {
-                edit.add(dialect.entry(Section::Organisations, piece.as_str())?)?;
+                edit.add(dialect.parse_entry(Section::Organisations, piece.as_str())?)?;
             }
         }
         None => {
-            for (organisation, keys) in dialect.organisations(&document.text())? {
+            for (organisation, keys) in dialect.parse_organisations(&document.text())? {
                 edit.add(Entry::Organisation(organisation, keys))?;
             }
         }
--- a/almondlock-gateway/src/life.rs
+++ b/almondlock-gateway/src/request.rs
@@ -19,15 +19,15 @@
 use tokio::time::timeout;
 
 use crate::{
-    attempt::{Broken, Run, WHOLE_LIMIT, attempt, keep, patient},
+    attempt::{Fault, Run, WHOLE_LIMIT, attempt, keep, patient},
     dialect::Dialect,
-    event::Cutter,
+    event::Splitter,
+    failure::{self, Failure},
     pick::Demand,
-    reply::Stream,
     rules::{Organisation, Route},
     shared::SPREAD,
+    stream::Stream,
     upstream::{self, Connection, Head},
-    verdict::{self, Failure},
     worker::Worker,
 };
 
@@ -106,7 +106,7 @@
 }
 
 /// A whole answer.
-pub(crate) struct Whole {
+pub(crate) struct Response {
     pub(crate) head: Head,
     pub(crate) body: Bytes,
 }
@@ -116,107 +116,110 @@
 where
     D: Dialect,
 {
-    Whole(Whole),
+    Complete(Response),
     Stream(Box<Stream<D>>),
 }
 
 /// A request that ends without an upstream's answer.
 #[derive(Debug)]
-pub(crate) struct End {
+pub(crate) struct Refusal {
     pub(crate) code: Code,
     pub(crate) retry_after: Option<Duration>,
 }
 
 /// What is known of a request's attempts so far.
 #[derive(Default)]
-pub(crate) struct Course {
+pub(crate) struct History {
     pub(crate) tried: Vec<Upstream>,
     /// Those of them that state that they did not run it.
     pub(crate) refused: Vec<Upstream>,
     // The last whole answer that told of a failure.
-    answer: Option<Whole>,
+    answer: Option<Response>,
     // Invariant: `Ran::No` as long as every attempt provably did not run.
     ran: Option<Ran>,
     pub(crate) runs: u32,
 }
 
-impl Course {
+impl History {
     pub(crate) fn ran(&self) -> Ran {
         self.ran.unwrap_or(Ran::No)
     }
 
-    fn note(&mut self, broken: &mut Broken) {
-        self.ran = Some(verdict::merge(self.ran(), broken.failure));
-        self.runs += u32::from(broken.failure.ran() != Ran::No);
-        self.tried.extend(broken.upstream.clone());
-        if matches!(broken.failure, Failure::Rejected | Failure::Misdirected) {
-            self.refused.extend(broken.upstream.clone());
+    fn note(&mut self, fault: &mut Fault) {
+        self.ran = Some(failure::merge(self.ran(), fault.failure));
+        self.runs += u32::from(fault.failure.ran() != Ran::No);
+        self.tried.extend(fault.upstream.clone());
+        if matches!(fault.failure, Failure::Rejected | Failure::Misdirected) {
+            self.refused.extend(fault.upstream.clone());
         }
-        if let Some(answer) = broken.answer.take() {
+        if let Some(answer) = fault.answer.take() {
             self.answer = Some(answer);
         }
     }
 }
 
 /// Runs a request until its answer begins.
-pub(crate) async fn run<D>(worker: Rc<Worker<D>>, request: Rc<Request>) -> Result<Answer<D>, End>
+pub(crate) async fn run<D>(
+    worker: Rc<Worker<D>>,
+    request: Rc<Request>,
+) -> Result<Answer<D>, Refusal>
 where
     D: Dialect,
 {
-    let mut course = Course::default();
+    let mut history = History::default();
     worker.request(request.arrived, &request.service);
     if let Some(end) = worker.refuse_suspect(&request, clock::mono()) {
         return Err(end);
     }
     loop {
         let begun = clock::mono();
-        let mut broken = match attempt(&worker, &request, &course, request.after).await {
+        let mut fault = match attempt(&worker, &request, &history, request.after).await {
             Ok(run) if request.route.kind.is_stream() => {
                 match begin(&worker, &request, run).await {
                     Ok(mut stream) => {
-                        course.runs += 1;
-                        stream.course = course;
+                        history.runs += 1;
+                        stream.history = history;
                         return Ok(Answer::Stream(Box::new(stream)));
                     }
-                    Err(broken) => broken,
+                    Err(fault) => fault,
                 }
             }
             Ok(run) => match whole(&worker, &request, run).await {
                 Ok(whole) => {
                     worker.clear_suspect(&request);
-                    return Ok(Answer::Whole(whole));
+                    return Ok(Answer::Complete(whole));
                 }
-                Err(broken) => broken,
+                Err(fault) => fault,
             },
-            Err(broken) => broken,
+            Err(fault) => fault,
         };
-        worker.blame(&request, &broken, begun);
-        worker.observe_failure(&request, &broken, begun);
-        course.note(&mut broken);
+        worker.blame(&request, &fault, begun);
+        worker.observe_failure(&request, &fault, begun);
+        history.note(&mut fault);
         let now = clock::mono();
-        note(&worker, &request, &broken, course.tried.len());
-        if broken.upstream.is_none() || !again(&worker, &request, &course, &broken, now) {
-            return finish(&worker, &request, course, &broken, now);
+        note(&worker, &request, &fault, history.tried.len());
+        if fault.upstream.is_none() || !again(&worker, &request, &history, &fault, now) {
+            return finish(&worker, &request, history, &fault, now);
         }
     }
 }
 
 /// Logs a failed attempt, and passes its upstream over from now on if it is to
 /// blame.
-pub(crate) fn note<D>(worker: &Worker<D>, request: &Request, broken: &Broken, attempt: usize)
+pub(crate) fn note<D>(worker: &Worker<D>, request: &Request, fault: &Fault, attempt: usize)
 where
     D: Dialect,
 {
-    if let Some(upstream) = &broken.upstream
-        && broken.failure.blames_upstream()
+    if let Some(upstream) = &fault.upstream
+        && fault.failure.blames_upstream()
     {
         worker.suspect(clock::mono(), upstream);
     }
-    let upstream = broken.upstream.as_ref().map_or("none", Upstream::as_str);
-    let failure = broken.failure.as_str();
+    let upstream = fault.upstream.as_ref().map_or("none", Upstream::as_str);
+    let failure = fault.failure.as_str();
     worker.shared.metrics.count("attempts_failed", failure);
     tracing::info!(
-        request = %request.id, %upstream, attempt, failure, reason = %broken.reason,
+        request = %request.id, %upstream, attempt, failure, reason = %fault.reason,
         spent_ms = clock::mono().since(request.arrived).as_millis(),
         left_ms = request.left(clock::mono()).as_millis(),
         "attempt failed"
@@ -227,21 +230,21 @@
 fn again<D>(
     worker: &Worker<D>,
     request: &Request,
-    course: &Course,
-    broken: &Broken,
+    history: &History,
+    fault: &Fault,
     now: Mono,
 ) -> bool
 where
     D: Dialect,
 {
-    let answered = broken.failure == Failure::Answered;
-    let refused = answered && course.answer.as_ref().is_some_and(|a| a.head.status < 500);
+    let answered = fault.failure == Failure::Answered;
+    let refused = answered && history.answer.as_ref().is_some_and(|a| a.head.status < 500);
     let kind = request.route.kind;
     !refused
-        && course.tried.len() < TRIES
+        && history.tried.len() < TRIES
         && !request.left(now).is_zero()
-        && verdict::may_repeat(kind, course.ran(), course.runs, request.route.attempts)
-        && (is_paid(broken.failure) || worker.afford(now, &request.service))
+        && failure::may_repeat(kind, history.ran(), history.runs, request.route.attempts)
+        && (is_paid(fault.failure) || worker.afford(now, &request.service))
 }
 
 /// Whether another attempt costs nothing more: nothing has reached an upstream,
@@ -256,23 +259,23 @@
 fn finish<D>(
     worker: &Worker<D>,
     request: &Request,
-    course: Course,
-    broken: &Broken,
+    history: History,
+    fault: &Fault,
     now: Mono,
-) -> Result<Answer<D>, End>
+) -> Result<Answer<D>, Refusal>
 where
     D: Dialect,
 {
-    let ran = course.ran();
-    if let Some(whole) = course.answer {
-        return Ok(Answer::Whole(whole));
+    let ran = history.ran();
+    if let Some(whole) = history.answer {
+        return Ok(Answer::Complete(whole));
     }
-    let mut code = verdict::code(ran, broken.failure);
+    let mut code = failure::code(ran, fault.failure);
     if ran == Ran::No && request.left(now).is_zero() {
         code = Code::DeadlineUnreachable;
     }
-    let retry_after = (ran == Ran::No).then(|| worker.retry_after(request, broken.returns, now));
-    Err(End { code, retry_after })
+    let retry_after = (ran == Ran::No).then(|| worker.retry_after(request, fault.returns, now));
+    Err(Refusal { code, retry_after })
 }
 
 impl<D> Worker<D>
@@ -311,16 +314,16 @@
 }
 
 /// Reads the whole body of an answer that is no stream.
-async fn whole<D>(worker: &Worker<D>, request: &Request, mut run: Run<D>) -> Result<Whole, Broken>
+async fn whole<D>(worker: &Worker<D>, request: &Request, mut run: Run<D>) -> Result<Response, Fault>
 where
     D: Dialect,
 {
     let left = request.left(clock::mono());
     let body = match timeout(left, run.connection.whole(WHOLE_LIMIT)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(error)) => return Err(Broken::of(&error, &run.upstream)),
+        Ok(Err(error)) => return Err(Fault::of(&error, &run.upstream)),
         Err(_) => {
-            return Err(Broken::new(
+            return Err(Fault::new(
                 Failure::Silent,
                 Some(&run.upstream),
                 "its body stopped",
@@ -330,7 +333,7 @@
     worker.clear(&run.upstream);
     worker.observe_answer(request, &run.upstream, &run.sent);
     keep(worker, &run.upstream, run.connection, &run.head);
-    Ok(Whole {
+    Ok(Response {
         head: run.head,
         body,
     })
@@ -342,18 +345,18 @@
     worker: &Rc<Worker<D>>,
     request: &Rc<Request>,
     mut run: Run<D>,
-) -> Result<Stream<D>, Broken>
+) -> Result<Stream<D>, Fault>
 where
     D: Dialect,
 {
-    let mut cutter = Cutter::new();
+    let mut splitter = Splitter::new();
     let left = request.left(clock::mono());
-    let first = first_event(&mut run.connection, &mut cutter);
-    let first = match timeout(left, patient(worker, request, &run.held, first)).await {
+    let first = first_event(&mut run.connection, &mut splitter);
+    let first = match timeout(left, patient(worker, request, &run.resources, first)).await {
         Ok(Some(Ok(first))) => first,
-        Ok(Some(Err(error))) => return Err(Broken::of(&error, &run.upstream)),
+        Ok(Some(Err(error))) => return Err(Fault::of(&error, &run.upstream)),
         Ok(None) | Err(_) => {
-            return Err(Broken::new(
+            return Err(Fault::new(
                 Failure::Silent,
                 Some(&run.upstream),
                 "no first event in time",
@@ -362,17 +365,17 @@
     };
     worker.clear(&run.upstream);
     worker.observe_answer(request, &run.upstream, &run.sent);
-    run.held.read();
-    Ok(Stream::new(worker, request, run, cutter, first))
+    run.resources.read();
+    Ok(Stream::new(worker, request, run, splitter, first))
 }
 
 /// The first whole event of an answer.
 pub(crate) async fn first_event(
     connection: &mut Connection,
-    cutter: &mut Cutter,
+    splitter: &mut Splitter,
 ) -> Result<Bytes, upstream::Error> {
     while let Some(bytes) = connection.chunk().await? {
-        if let Some(events) = cutter.push(&bytes) {
+        if let Some(events) = splitter.push(&bytes) {
             return Ok(events);
         }
     }
--- a/almondlock-gateway/src/held.rs
+++ b/almondlock-gateway/src/resources.rs
@@ -12,9 +12,9 @@
 use crate::{
     dialect::Dialect,
     lease::Leases,
-    life::Request,
     load::{Ticket, Work},
     pick::{self, Choice},
+    request::Request,
     share::Claim,
     slots::Slot,
     worker::{Target, Worker},
@@ -32,7 +32,7 @@
 const SILENCE: Duration = Duration::from_millis(1_800);
 
 /// Given back when dropped.
-pub(crate) struct Held<D>
+pub(crate) struct Resources<D>
 where
     D: Dialect,
 {
@@ -53,7 +53,7 @@
     probe: Option<Duration>,
 }
 
-impl<D> Held<D>
+impl<D> Resources<D>
 where
     D: Dialect,
 {
@@ -64,7 +64,7 @@
         targets: &[Target],
         choice: &Choice,
         now: Mono,
-    ) -> Held<D> {
+    ) -> Resources<D> {
         let demand = request.demand;
         let memory = demand.map_or(0, |demand| demand.prompt + demand.output);
         let others = choice.shares.iter().filter(|s| s.place != choice.first);
@@ -97,7 +97,7 @@
         drop(load);
         worker.changed.notify_one();
         let target = targets.get(choice.first);
-        Held {
+        Resources {
             slot: target.and_then(|target| worker.take_slot(request, target, now)),
             is_short: first.short,
             worker: Rc::clone(worker),
@@ -171,7 +171,7 @@
     }
 }
 
-impl<D> Drop for Held<D>
+impl<D> Drop for Resources<D>
 where
     D: Dialect,
 {
--- a/almondlock-gateway/src/response.rs
+++ b/almondlock-gateway/src/response.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    life::{End, Whole},
+    request::{Refusal, Response},
     upstream::Head,
     worker::Worker,
 };
@@ -45,7 +45,7 @@
 pub(crate) fn whole_response<D>(
     worker: &Worker<D>,
     id: &str,
-    whole: Whole,
+    whole: Response,
     arrived: Mono,
 ) -> HttpResponse {
     let spent = clock::mono().since(arrived);
@@ -60,7 +60,12 @@
 }
 
 /// The answer to a request that ends here.
-pub(crate) fn refusal<D>(worker: &Worker<D>, id: &str, end: &End, arrived: Mono) -> HttpResponse {
+pub(crate) fn refusal<D>(
+    worker: &Worker<D>,
+    id: &str,
+    end: &Refusal,
+    arrived: Mono,
+) -> HttpResponse {
     let spent = clock::mono().since(arrived);
     let code = end.code;
     worker
--- a/almondlock-gateway/src/server.rs
+++ b/almondlock-gateway/src/server.rs
@@ -35,7 +35,7 @@
     accept::{accept, text},
     dialect::Dialect,
     exchange, follow, lease,
-    life::{self, Answer, End, Request},
+    request::{self, Answer, Refusal, Request},
     response::{refusal, start_response, whole_response},
     shared::Shared,
     worker::Worker,
@@ -175,8 +175,8 @@
         ));
         tracing::info!(
             settling_ms = worker.features.settling.as_millis(),
-            places = worker.features.places,
-            shares = worker.features.shares,
+            places = worker.features.slot_admission,
+            shares = worker.features.fair_shares,
             observed_pace = worker.features.observed_pace,
             "gateway begins"
         );
@@ -233,7 +233,7 @@
 
 fn ready(config: &Config, node: Handle, shared: &Arc<Shared>) -> io::Result<ntex::server::Server> {
     let listener = TcpListener::bind(config.ready)?;
-    let (shared, stale) = (Arc::clone(shared), config.bounds.stale);
+    let (shared, stale) = (Arc::clone(shared), config.bounds.max_config_age);
     let factory = async move || {
         let (node, shared) = (node.clone(), Arc::clone(&shared));
         App::new().route(
@@ -294,11 +294,11 @@
             let drawn = worker.rng.borrow_mut().random();
             let span = worker.shared.return_time(arrived, drawn);
             let retry_after = code.is_retryable().then_some(span);
-            Err(End { code, retry_after })
+            Err(Refusal { code, retry_after })
         }
     };
     let mut response = match result {
-        Ok(Answer::Whole(whole)) => whole_response(&worker, &id, whole, arrived),
+        Ok(Answer::Complete(whole)) => whole_response(&worker, &id, whole, arrived),
         Ok(Answer::Stream(stream)) => {
             let mut builder = start_response(&stream.head);
             let io = incoming.io().cloned();
@@ -349,11 +349,11 @@
     worker: &Rc<Worker<D>>,
     incoming: &HttpRequest,
     request: Rc<Request>,
-) -> Result<Answer<D>, End>
+) -> Result<Answer<D>, Refusal>
 where
     D: Dialect,
 {
-    let life = life::run(Rc::clone(worker), Rc::clone(&request));
+    let life = request::run(Rc::clone(worker), Rc::clone(&request));
     let Some(io) = incoming.io() else {
         return life.await;
     };
@@ -366,7 +366,7 @@
                 request = %request.id, route = %request.route.name, outcome = "left",
                 spent_ms = spent.as_millis(), "ended"
             );
-            Err(End { code: Code::CallerLeft, retry_after: None })
+            Err(Refusal { code: Code::CallerLeft, retry_after: None })
         }
     }
 }
--- a/almondlock-gateway/src/slots.rs
+++ b/almondlock-gateway/src/slots.rs
@@ -24,8 +24,8 @@
 
 use crate::{
     dialect::Dialect,
-    life::Request,
     pick::{self, Candidate, Choice},
+    request::Request,
     share::Claim,
     worker::{Target, Worker},
 };
@@ -274,7 +274,7 @@
 
     /// Counts the slot that a request takes.
     pub(crate) fn take_slot(&self, request: &Request, target: &Target, now: Mono) -> Option<Slot> {
-        if !self.features.places {
+        if !self.features.slot_admission {
             return None;
         }
         let known = self.known();
--- a/almondlock-gateway/src/standing.rs
+++ b/almondlock-gateway/src/standing.rs
@@ -14,8 +14,8 @@
 use crate::{
     dialect::Dialect,
     exchange::shares::{Envelope, PERIOD, Report, Tag},
-    life::{LAST, Request},
     load::Key,
+    request::{LAST, Request},
     rules::Organisation,
     share::{Claim, Finding, Known, Ledger, Notices, OTHERS},
     worker::Worker,
@@ -197,7 +197,7 @@
     /// Whether shares are computed: the settings ask for it, and there are organisations to
     /// share among.
     fn are_shares_in_force(&self) -> bool {
-        self.features.shares
+        self.features.fair_shares
             && self
                 .known()
                 .rules
--- a/almondlock-gateway/src/startup.rs
+++ b/almondlock-gateway/src/startup.rs
@@ -7,7 +7,7 @@
 use almondlock_policy::startup::{Case, hold};
 use tokio::time::sleep;
 
-use crate::{dialect::Dialect, life::Request, worker::Worker};
+use crate::{dialect::Dialect, request::Request, worker::Worker};
 
 /// How often a prompt that waits looks whether loads are known: a part of what the shortest
 /// objectives leave.
--- a/almondlock-gateway/src/reply.rs
+++ b/almondlock-gateway/src/stream.rs
@@ -13,14 +13,14 @@
 use tokio::time::timeout;
 
 use crate::{
-    attempt::{self, Broken, Run},
+    attempt::{self, Fault, Run},
     dialect::Dialect,
-    event::Cutter,
-    life::{self, Course, Request},
+    event::Splitter,
+    failure::Failure,
     pace::EVENTS,
+    request::{self, History, Request},
     rules::Kind,
     upstream::Head,
-    verdict::Failure,
     worker::Worker,
 };
 
@@ -44,9 +44,9 @@
     run: Option<Run<D>>,
     // Who answers, or did last.
     upstream: Upstream,
-    cutter: Cutter,
+    splitter: Splitter,
     ready: Option<Bytes>,
-    pub(crate) course: Course,
+    pub(crate) history: History,
     first_at: Mono,
     last_at: Mono,
     longest: Duration,
@@ -65,14 +65,14 @@
         worker: &Rc<Worker<D>>,
         request: &Rc<Request>,
         run: Run<D>,
-        cutter: Cutter,
+        splitter: Splitter,
         first: Bytes,
     ) -> Stream<D> {
         let now = clock::mono();
         let label = format!("route=\"{}\"", request.route.name);
         let spent = now.since(request.arrived);
         worker.shared.metrics.time("first_event", &label, spent);
-        if run.held.has_short_slot() {
+        if run.resources.has_short_slot() {
             let outcome = match spent <= request.route.objective {
                 true => "in_time",
                 false => "late",
@@ -85,9 +85,9 @@
             head: run.head.clone(),
             upstream: run.upstream.clone(),
             run: Some(run),
-            cutter,
+            splitter,
             ready: Some(first),
-            course: Course::default(),
+            history: History::default(),
             first_at: now,
             last_at: now,
             longest: Duration::ZERO,
@@ -107,7 +107,7 @@
         }
         loop {
             let begun = clock::mono();
-            let broken = match self.step().await {
+            let fault = match self.step().await {
                 Ok(Some(events)) => {
                     self.passed(begun);
                     return Some(Ok(events));
@@ -116,22 +116,22 @@
                     self.finish();
                     return None;
                 }
-                Err(broken) => broken,
+                Err(fault) => fault,
             };
-            self.worker.blame(&self.request, &broken, self.first_at);
+            self.worker.blame(&self.request, &fault, self.first_at);
             let worker = &self.worker;
-            worker.observe_failure(&self.request, &broken, begun);
+            worker.observe_failure(&self.request, &fault, begun);
             self.piece = Piece::default();
-            self.course.tried.extend(broken.upstream.clone());
-            life::note(
+            self.history.tried.extend(fault.upstream.clone());
+            request::note(
                 &self.worker,
                 &self.request,
-                &broken,
-                self.course.tried.len(),
+                &fault,
+                self.history.tried.len(),
             );
             // Its slot is handed on unless its upstream is passed over from now on.
             self.run = None;
-            if let Err(reason) = self.resume(&broken).await {
+            if let Err(reason) = self.resume(&fault).await {
                 self.ended = true;
                 self.log("broken off", reason);
                 return Some(Err(io::ErrorKind::ConnectionAborted.into()));
@@ -139,7 +139,7 @@
         }
     }
 
-    async fn step(&mut self) -> Result<Option<Bytes>, Broken> {
+    async fn step(&mut self) -> Result<Option<Bytes>, Fault> {
         if let Some(ready) = self.ready.take() {
             return Ok(Some(ready));
         }
@@ -147,21 +147,21 @@
             return Ok(None);
         };
         let left = self.request.left(clock::mono());
-        let broken = |failure, reason: &str| Broken::new(failure, Some(&run.upstream), reason);
+        let fault = |failure, reason: &str| Fault::new(failure, Some(&run.upstream), reason);
         loop {
             let chunk = run.connection.chunk();
-            let chunk = attempt::patient(&self.worker, &self.request, &run.held, chunk);
+            let chunk = attempt::patient(&self.worker, &self.request, &run.resources, chunk);
             let chunk = match timeout(left, chunk).await {
                 Ok(Some(Ok(chunk))) => chunk,
-                Ok(Some(Err(error))) => return Err(Broken::of(&error, &run.upstream)),
-                Ok(None) => return Err(broken(Failure::Silent, "the stream stopped")),
-                Err(_) => return Err(broken(Failure::Silent, "its time is over")),
+                Ok(Some(Err(error))) => return Err(Fault::of(&error, &run.upstream)),
+                Ok(None) => return Err(fault(Failure::Silent, "the stream stopped")),
+                Err(_) => return Err(fault(Failure::Silent, "its time is over")),
             };
             let Some(bytes) = chunk else {
-                let rest = self.cutter.finish();
+                let rest = self.splitter.finish();
                 return Ok(Some(rest).filter(|rest| !rest.is_empty()));
             };
-            if let Some(events) = self.cutter.push(&bytes) {
+            if let Some(events) = self.splitter.push(&bytes) {
                 return Ok(Some(events));
             }
         }
@@ -179,7 +179,7 @@
 
     /// Observes the pace of a few events at a time.
     fn observe(&mut self, waited: Duration) {
-        let Some(last) = self.cutter.last() else {
+        let Some(last) = self.splitter.last() else {
             return;
         };
         let from = *self.piece.from.get_or_insert(last);
@@ -200,7 +200,7 @@
     }
 
     /// Goes on at another upstream, after the last event.
-    async fn resume(&mut self, broken: &Broken) -> Result<(), &'static str> {
+    async fn resume(&mut self, fault: &Fault) -> Result<(), &'static str> {
         let Kind::Stream {
             resumable: true, ..
         } = self.request.route.kind
@@ -211,34 +211,34 @@
         if self.request.left(now).is_zero() {
             return Err("its time is over");
         }
-        if self.course.runs >= self.request.route.attempts {
+        if self.history.runs >= self.request.route.attempts {
             return Err("no attempt is left");
         }
         // A silent upstream was given up only once the next attempt was paid for.
-        let paid = broken.failure == Failure::Silent;
+        let paid = fault.failure == Failure::Silent;
         if !paid && !self.worker.afford(now, &self.request.service) {
             return Err("the retry budget is spent");
         }
-        let Some(last) = self.cutter.last() else {
+        let Some(last) = self.splitter.last() else {
             return Err("its events have no numbers");
         };
-        self.cutter.drop_rest();
-        let run = attempt::attempt(&self.worker, &self.request, &self.course, Some(last)).await;
+        self.splitter.drop_rest();
+        let run = attempt::attempt(&self.worker, &self.request, &self.history, Some(last)).await;
         let mut run = run.map_err(|_| "no other upstream took it")?;
-        self.course.runs += 1;
+        self.history.runs += 1;
         let left = self.request.left(clock::mono());
-        let events = life::first_event(&mut run.connection, &mut self.cutter);
-        let events = attempt::patient(&self.worker, &self.request, &run.held, events);
+        let events = request::first_event(&mut run.connection, &mut self.splitter);
+        let events = attempt::patient(&self.worker, &self.request, &run.resources, events);
         match timeout(left, events).await {
             Ok(Some(Ok(events))) => self.ready = Some(events),
             Ok(Some(Err(_)) | None) | Err(_) => return Err("the resumed run failed too"),
         }
-        if self.cutter.last().is_none_or(|next| next <= last) {
+        if self.splitter.last().is_none_or(|next| next <= last) {
             return Err("the resumed run began at another event");
         }
         self.worker
             .observe_answer(&self.request, &run.upstream, &run.sent);
-        run.held.read();
+        run.resources.read();
         self.upstream = run.upstream.clone();
         self.run = Some(run);
         Ok(())
--- a/almondlock-gateway/src/suspicion.rs
+++ b/almondlock-gateway/src/suspicion.rs
@@ -19,11 +19,11 @@
 use tokio::sync::Notify;
 
 use crate::{
-    attempt::Broken,
+    attempt::Fault,
     dialect::Dialect,
     exchange::{Loss, Message, Suspect},
-    life::{End, Request},
     load::Key,
+    request::{Refusal, Request},
     worker::Worker,
 };
 
@@ -113,7 +113,7 @@
     D: Dialect,
 {
     /// Refuses a request that upstreams were lost with.
-    pub(crate) fn refuse_suspect(&self, request: &Request, now: Mono) -> Option<End> {
+    pub(crate) fn refuse_suspect(&self, request: &Request, now: Mono) -> Option<Refusal> {
         if self.suspicion.is_idle() {
             return None;
         }
@@ -123,7 +123,7 @@
             request = %request.id, fingerprint = %print, left_ms = left.as_millis(),
             "refused, upstreams were lost with it"
         );
-        Some(End {
+        Some(Refusal {
             code: almondlock_base::Code::RequestSuspected,
             retry_after: Some(self.retry_after(request, Some(left), now)),
         })
@@ -131,7 +131,7 @@
 
     /// An attempt failed: if its upstream was lost with it, the relays are told.
     /// `since` is when it was begun.
-    pub(crate) fn blame(&self, request: &Request, broken: &Broken, since: Mono) {
+    pub(crate) fn blame(&self, request: &Request, broken: &Fault, since: Mono) {
         let (true, Some(upstream)) = (broken.cut, &broken.upstream) else {
             return;
         };
--- a/almondlock-gateway/src/worker.rs
+++ b/almondlock-gateway/src/worker.rs
@@ -121,7 +121,7 @@
 pub struct Bounds {
     /// A configuration older than this is not acted on where keys are asked
     /// for: one of them may have been taken away meanwhile.
-    pub stale: Duration,
+    pub max_config_age: Duration,
     /// The budget of further attempts.
     pub retries: budget::Config,
     /// How long memory that is set aside on an engine may outlive its use.
@@ -134,9 +134,9 @@
     /// How long after its start a host lets short prompts go first. Zero: not at all.
     pub settling: Duration,
     /// Short prompts are admitted by the engines' free slots.
-    pub places: bool,
+    pub slot_admission: bool,
     /// Organisations get fair shares under contention.
-    pub shares: bool,
+    pub fair_shares: bool,
     /// Upstreams are judged by what hosts observe of them.
     pub observed_pace: bool,
 }
--- a/almondlock-gateway/tests/changed_rules.rs
+++ b/almondlock-gateway/tests/changed_rules.rs
@@ -31,7 +31,7 @@
 ) -> (Result<Version, Error>, Count, Lines) {
     let dialect = Lines::new();
     let document = document(version, pieces);
-    let outline = dialect.outline(&document.pieces);
+    let outline = dialect.parse_outline(&document.pieces);
     let mut reader = Reader::new(held.cloned().map(Arc::new), document, outline);
     let result = reader.finish(&dialect);
     (result, reader.count, dialect)
--- a/almondlock-gateway/tests/failed_attempt.rs
+++ b/almondlock-gateway/tests/failed_attempt.rs
@@ -6,8 +6,8 @@
 
 use almondlock_base::{Code, Ran};
 use almondlock_gateway::{
+    failure::{Failure, code, may_repeat, merge},
     rules::Kind,
-    verdict::{Failure, code, may_repeat, merge},
 };
 use yare::parameterized;
 
--- a/almondlock-gateway/tests/gateway/dialect.rs
+++ b/almondlock-gateway/tests/gateway/dialect.rs
@@ -5,7 +5,7 @@
 use almondlock_base::id::Service;
 use almondlock_gateway::{
     dialect::{Call, Dialect, Names},
-    memory::Order,
+    memory::Command,
     rules::{Error, Kind, Limits, Organisation, Route, Rules, Target},
 };
 use almondlock_policy::{engine::Speed, throttle::Rate};
@@ -97,7 +97,7 @@
         &self.names
     }
 
-    fn read(&self, _: &str) -> Result<Rules, Error> {
+    fn parse(&self, _: &str) -> Result<Rules, Error> {
         let limits = Limits {
             head: 16_384,
             body: 1 << 20,
@@ -150,10 +150,10 @@
         Ok(rules.build())
     }
 
-    fn order(&self, order: &Order<'_>) -> Call {
+    fn encode_command(&self, order: &Command<'_>) -> Call {
         let (path, body) = match order {
-            Order::Reserve { id, .. } => ("/reserve", id),
-            Order::Release { id } => ("/release", id),
+            Command::Reserve { id, .. } => ("/reserve", id),
+            Command::Release { id } => ("/release", id),
         };
         Call {
             path,
@@ -162,7 +162,7 @@
         }
     }
 
-    fn helper(&self, address: SocketAddr, memory: Option<&str>) -> String {
+    fn format_helper(&self, address: SocketAddr, memory: Option<&str>) -> String {
         format!("{address}={}", memory.unwrap_or("none"))
     }
 }
--- a/almondlock-gateway/tests/gateway/mod.rs
+++ b/almondlock-gateway/tests/gateway/mod.rs
@@ -350,7 +350,7 @@
     let retries = budget::Config {
         window: Duration::from_secs(10),
         ratio: 0.2,
-        free: 5,
+        min_retries: 5,
     };
     Config {
         listen,
@@ -359,13 +359,13 @@
         relays: setup.relays.into_iter().flatten().collect(),
         domain: Domain::new("d").unwrap(),
         bounds: Bounds {
-            stale: Duration::from_secs(3),
+            max_config_age: Duration::from_secs(3),
             retries,
             memory_hold: setup.hold,
         },
         features: Features {
-            shares: setup.shares,
-            places: setup.places,
+            fair_shares: setup.shares,
+            slot_admission: setup.places,
             observed_pace: setup.judges,
             ..Features::default()
         },
--- a/almondlock-gateway/tests/retry_budget.rs
+++ b/almondlock-gateway/tests/retry_budget.rs
@@ -14,7 +14,7 @@
     Budget::new(Config {
         window: WINDOW,
         ratio: 0.15,
-        free: 3,
+        min_retries: 3,
     })
 }
 
--- a/almondlock-gateway/tests/spread_memory.rs
+++ b/almondlock-gateway/tests/spread_memory.rs
@@ -47,18 +47,18 @@
 /// same moment: the memory is set aside there all the same.
 #[test]
 fn fits_alone() {
-    let shares = memory::spread(300_000, (OWN, 420_000), &[(0, 420_000)]).unwrap();
+    let shares = memory::distribute(300_000, (OWN, 420_000), &[(0, 420_000)]).unwrap();
     let [share] = shares[..] else {
         panic!("{shares:?}");
     };
     assert_eq!(share.place, OWN);
-    assert_eq!(share.tokens, memory::reserved(300_000));
+    assert_eq!(share.tokens, memory::padded(300_000));
 }
 
 /// There is room for several like it: nothing is asked for.
 #[test]
 fn fits_twice() {
-    let shares = memory::spread(200_000, (OWN, 420_000), &[(0, 420_000)]);
+    let shares = memory::distribute(200_000, (OWN, 420_000), &[(0, 420_000)]);
     assert_eq!(shares, Some(vec![]));
 }
 
@@ -69,14 +69,14 @@
 )]
 fn fewest_even(needed: u64, count: usize) {
     let others: Vec<(usize, u64)> = (0..10).map(|place| (place, 420_000)).collect();
-    let shares = memory::spread(needed, (OWN, 420_000), &others).unwrap();
+    let shares = memory::distribute(needed, (OWN, 420_000), &others).unwrap();
     assert_eq!(shares.len(), count + 1);
     assert_eq!(shares[0].place, OWN);
     let even = needed / (count as u64 + 1);
     for part in shares.iter().map(|share| share.tokens) {
         assert!(part.abs_diff(even) < 100, "{shares:?}");
     }
-    assert_eq!(held(&shares), memory::reserved(needed));
+    assert_eq!(held(&shares), memory::padded(needed));
 }
 
 /// Nobody is asked for more than it has.
@@ -84,19 +84,19 @@
 fn uneven_room() {
     let others = [(3, 50_000), (4, 300_000), (5, 100_000)];
     let own = (OWN, 200_000);
-    let shares = memory::spread(520_000, own, &others).unwrap();
+    let shares = memory::distribute(520_000, own, &others).unwrap();
     for share in &shares {
         let mut engines = others.iter().chain([&own]);
         let free = engines.find(|(place, _)| *place == share.place);
         assert!(share.tokens <= free.unwrap().1, "{shares:?}");
     }
-    assert_eq!(held(&shares), memory::reserved(520_000));
+    assert_eq!(held(&shares), memory::padded(520_000));
 }
 
 #[test]
 fn too_little() {
     let own = (OWN, 400_000);
-    assert_eq!(memory::spread(900_000, own, &[(1, 400_000)]), None);
+    assert_eq!(memory::distribute(900_000, own, &[(1, 400_000)]), None);
 }
 
 /// The engine that answers leads those that hold a share; the others are helpers, and
@@ -163,7 +163,7 @@
     failed = { 500, Outcome::Unknown },
 )]
 fn order_outcome(status: u16, outcome: Outcome) {
-    assert_eq!(Outcome::of(status), outcome);
+    assert_eq!(Outcome::from_status(status), outcome);
 }
 
 /// A renewal reaches the engine in the moment in which the attempt ends, and the
@@ -178,8 +178,8 @@
 fn ends_in_time(bound: u64) {
     let bound = Duration::from_millis(bound);
     let order = Duration::from_millis(400);
-    let hold = memory::hold(bound);
+    let hold = memory::lease_duration(bound);
     assert!(hold + order <= bound, "{hold:?}");
     // And one lost renewal can be repeated.
-    assert!(hold.mul_f64(memory::RENEWAL_SHARE) * 2 < hold);
+    assert!(hold.mul_f64(memory::RENEWAL_FRACTION) * 2 < hold);
 }
--- a/almondlock-gateway/tests/versions/mod.rs
+++ b/almondlock-gateway/tests/versions/mod.rs
@@ -27,7 +27,7 @@
 use almondlock_gateway::{
     budget,
     dialect::{Call, Dialect, Names, Outline, Section},
-    memory::Order,
+    memory::Command,
     rules::{Entry, Error, Kind, Limits, Organisation, Route, Rules, Target},
     server::{self, Bounds, Config, Features},
 };
@@ -100,11 +100,11 @@
         &self.names
     }
 
-    fn read(&self, _: &str) -> Result<Rules, Error> {
+    fn parse(&self, _: &str) -> Result<Rules, Error> {
         Err(Error::new("it has one piece"))
     }
 
-    fn outline(&self, pieces: &[Piece]) -> Option<Outline> {
+    fn parse_outline(&self, pieces: &[Piece]) -> Option<Outline> {
         let version = pieces.first()?.as_str().strip_prefix("v ")?;
         Some(Outline {
             version: version.parse().ok()?,
@@ -113,7 +113,7 @@
         })
     }
 
-    fn entry(&self, _: Section, piece: &str) -> Result<Entry, Error> {
+    fn parse_entry(&self, _: Section, piece: &str) -> Result<Entry, Error> {
         self.read.lock().unwrap().push(piece.to_owned());
         match piece.split(' ').collect::<Vec<_>>().as_slice() {
             ["s", name] => {
@@ -142,11 +142,11 @@
         }
     }
 
-    fn order(&self, _: &Order<'_>) -> Call {
+    fn encode_command(&self, _: &Command<'_>) -> Call {
         unreachable!("there are no engines")
     }
 
-    fn helper(&self, _: SocketAddr, _: Option<&str>) -> String {
+    fn format_helper(&self, _: SocketAddr, _: Option<&str>) -> String {
         unreachable!("there are no engines")
     }
 }
@@ -268,7 +268,7 @@
     let retries = budget::Config {
         window: Duration::from_secs(10),
         ratio: 0.2,
-        free: 5,
+        min_retries: 5,
     };
     Config {
         listen,
@@ -277,7 +277,7 @@
         relays: Vec::new(),
         domain: Domain::new("d").unwrap(),
         bounds: Bounds {
-            stale: Duration::from_secs(3),
+            max_config_age: Duration::from_secs(3),
             retries,
             memory_hold: Duration::from_millis(400),
         },
