--- a/almondlock-cli/src/lib.rs
+++ b/almondlock-cli/src/lib.rs
@@ -176,7 +176,7 @@
 
 fn number(given: Option<String>, drawn: [u8; 8]) -> Result<String, Usage> {
     let number = given.unwrap_or_else(|| format!("c-{:016x}", u64::from_le_bytes(drawn)));
-    let fits = (1..=almondlock_state::limit::NUMBER_BYTES).contains(&number.len());
+    let fits = (1..=almondlock_state::limit::MAX_CHANGE_NUMBER_BYTES).contains(&number.len());
     fits.then_some(number)
         .ok_or_else(|| Usage("a change number is 1 to 64 bytes".to_owned()))
 }
--- a/almondlock-control/src/replica/duties.rs
+++ b/almondlock-control/src/replica/duties.rs
@@ -82,7 +82,7 @@
         if replica.inner.config.repairs {
             replica.tell_sources().await;
         }
-        if expired.is_none_or(|at| now.since(at) >= limit::SWEEP) {
+        if expired.is_none_or(|at| now.since(at) >= limit::SWEEP_INTERVAL) {
             expired = Some(now);
             let at = clock::wall();
             // Not in time, or no longer the leader: the next round does it.
--- a/almondlock-control/src/replica/instances.rs
+++ b/almondlock-control/src/replica/instances.rs
@@ -44,7 +44,7 @@
             Beat::Leaving(revision) => return Ok(Taken::Decided(Some(revision))),
             Beat::News => {}
             Beat::Full => {
-                let instances = limit::INSTANCES;
+                let instances = limit::MAX_INSTANCES;
                 tracing::error!(instance = %upstream, instances, "instance not entered, the table is full");
                 return Err(Refusal::of(Code::LimitReached));
             }
@@ -76,7 +76,7 @@
         let is_current = self.inner.core.borrow().is_current(clock::mono());
         let is_routine = self.state(|state| heartbeat.is_routine(state.config(), instance));
         let mut taken = self.inner.taken.borrow_mut();
-        if !is_current || !is_routine || taken.len() >= limit::INSTANCES {
+        if !is_current || !is_routine || taken.len() >= limit::MAX_INSTANCES {
             return false;
         }
         taken.push(heartbeat);
--- a/almondlock-sidecar/src/announce.rs
+++ b/almondlock-sidecar/src/announce.rs
@@ -53,7 +53,7 @@
 /// longer renewed; its lease at the replicas then ends.
 const SILENCE: Duration = Duration::from_secs(5);
 /// The most memory an upstream may claim, in tokens: what the replicas accept.
-const CAPACITY_LIMIT: u64 = limit::CAPACITY;
+const CAPACITY_LIMIT: u64 = limit::MAX_CAPACITY_TOKENS;
 /// Announcements that wait to be taken.
 const QUEUE: usize = 64;
 /// Batch places when an upstream names none.
--- a/almondlock-state/examples/state_slopes.rs
+++ b/almondlock-state/examples/state_slopes.rs
@@ -114,8 +114,12 @@
         outcome: Blob(Vec::new()),
         at: AT,
     };
-    measure("claims", &mut machine, (0..limit::CLAIMS).map(claim))?;
-    measure("settlements", &mut machine, (0..limit::CLAIMS).map(settle))?;
+    measure("claims", &mut machine, (0..limit::MAX_CLAIMS).map(claim))?;
+    measure(
+        "settlements",
+        &mut machine,
+        (0..limit::MAX_CLAIMS).map(settle),
+    )?;
     snapshot("full table of claims", &machine)?;
     let start = Instant::now();
     machine.apply(Command::Expire {
@@ -246,7 +250,7 @@
     let mut machine = Machine::new();
     let upstream = Upstream::new("engine-1")?;
     let mut commands = Vec::new();
-    for number in 0..limit::QUARANTINES {
+    for number in 0..limit::MAX_QUARANTINES {
         let owner = Organisation::new(&format!("organisation-{}", number % 32))?;
         commands.push(Command::Blame {
             fingerprint: Fingerprint::new(&owner, "/", &number.to_le_bytes()),
--- a/almondlock-state/src/claim.rs
+++ b/almondlock-state/src/claim.rs
@@ -106,7 +106,7 @@
     swept: Wall,
     /// The life of each entry host that claimed last.
     ///
-    /// Invariant: at most `limit::HOLDERS`.
+    /// Invariant: at most `limit::MAX_CLAIM_HOSTS`.
     #[serde(default)]
     lives: BTreeMap<Host, Incarnation>,
 }
@@ -184,15 +184,15 @@
         if let Some(earlier) = known {
             self.lose(&holder.host, earlier, now);
         }
-        if known.is_some() || self.lives.len() < limit::HOLDERS {
+        if known.is_some() || self.lives.len() < limit::MAX_CLAIM_HOSTS {
             self.lives.insert(holder.host.clone(), holder.incarnation);
         }
     }
 
     fn insert(&mut self, request: Request<'_>, now: Wall) -> Verdict {
         let fits = !request.key.is_empty()
-            && request.key.len() <= limit::KEY_BYTES
-            && request.body.0.len() <= limit::DIGEST_BYTES;
+            && request.key.len() <= limit::MAX_KEY_BYTES
+            && request.body.0.len() <= limit::MAX_DIGEST_BYTES;
         if !fits {
             return Verdict::Refused(Code::BadChange);
         }
@@ -200,7 +200,7 @@
             .claims
             .get(request.organisation)
             .map_or(0, BTreeMap::len);
-        if self.count >= limit::CLAIMS || own >= limit::CLAIMS_OF_ONE {
+        if self.count >= limit::MAX_CLAIMS || own >= limit::MAX_CLAIMS_PER_ORGANISATION {
             return Verdict::Refused(Code::LimitReached);
         }
         let mut claim = Claim::open(request, now);
@@ -237,7 +237,9 @@
         let next = match ran {
             Ran::No => State::Freed,
             Ran::Unknown => State::Lost,
-            Ran::Yes => State::Done(Some(outcome).filter(|o| o.0.len() <= limit::OUTCOME_BYTES)),
+            Ran::Yes => {
+                State::Done(Some(outcome).filter(|o| o.0.len() <= limit::MAX_OUTCOME_BYTES))
+            }
         };
         match (&claim.state, &next) {
             (State::Open, _) | (State::Lost, State::Done(_) | State::Freed) => {}
@@ -268,9 +270,9 @@
     }
 
     /// Forgets what has been kept long enough. Does nothing when the last look
-    /// was less than [`limit::SWEEP`] ago.
+    /// was less than [`limit::SWEEP_INTERVAL`] ago.
     pub fn expire(&mut self, now: Wall) {
-        if now.since(self.swept) < limit::SWEEP {
+        if now.since(self.swept) < limit::SWEEP_INTERVAL {
             return;
         }
         self.swept = now;
@@ -294,7 +296,7 @@
     /// Drops the oldest outcomes until the rest is within the bound. The claims
     /// stay: a second copy is told that it ran, and is not run.
     fn shrink(&mut self) {
-        while self.bytes > limit::OUTCOMES_BYTES {
+        while self.bytes > limit::MAX_TOTAL_OUTCOME_BYTES {
             let Some((organisation, key)) = self.settled.pop_front() else {
                 return;
             };
@@ -317,9 +319,11 @@
         Claim {
             body: request.body.clone(),
             holder: request.holder.clone(),
-            keep: request.keep.clamp(limit::KEEP_LEAST, limit::KEEP_MOST),
+            keep: request
+                .keep
+                .clamp(limit::MIN_CLAIM_RETENTION, limit::MAX_CLAIM_RETENTION),
             state: State::Open,
-            until: now + request.run.min(limit::RUN_MOST),
+            until: now + request.run.min(limit::MAX_OPEN_CLAIM_AGE),
         }
     }
 
@@ -348,7 +352,7 @@
     /// Ends it and returns the bytes of the outcome kept.
     fn end(&mut self, state: State, now: Wall) -> usize {
         let keep = match state {
-            State::Freed => limit::FREED,
+            State::Freed => limit::FREED_CLAIM_RETENTION,
             _ => self.keep,
         };
         self.state = state;
--- a/almondlock-state/src/evacuation.rs
+++ b/almondlock-state/src/evacuation.rs
@@ -11,7 +11,7 @@
 //! | one that is evacuated already | accepted, nothing changes |
 //! | the evacuation of a domain is withdrawn | in force with the next revision |
 //! | the same without an evacuation | accepted, nothing changes |
-//! | one more than [`limit::EVACUATIONS`] | refused |
+//! | one more than [`limit::MAX_EVACUATIONS`] | refused |
 //!
 //! Orders of two operators for one domain count in the order in which they are agreed on.
 //!
@@ -37,7 +37,7 @@
     if config.evacuations.contains_key(&domain) {
         return Ok(None);
     }
-    if config.evacuations.len() >= limit::EVACUATIONS {
+    if config.evacuations.len() >= limit::MAX_EVACUATIONS {
         return Err(Full);
     }
     Ok(Some(Change::Evacuation(domain, Some(drain))))
--- a/almondlock-state/src/history.rs
+++ b/almondlock-state/src/history.rs
@@ -1,7 +1,7 @@
 //! Who changed what, when, under which number, and how it ended.
 //!
 //! One record for each thing that an operator did or a plan came to. The
-//! newest [`limit::HISTORY`] are kept.
+//! newest [`limit::MAX_HISTORY_RECORDS`] are kept.
 
 use std::collections::VecDeque;
 
@@ -41,7 +41,7 @@
 impl Table {
     /// Adds a record.
     pub fn push(&mut self, record: Record) {
-        if self.records.len() >= limit::HISTORY {
+        if self.records.len() >= limit::MAX_HISTORY_RECORDS {
             self.records.pop_front();
         }
         self.records.push_back(record);
--- a/almondlock-state/src/instance.rs
+++ b/almondlock-state/src/instance.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
-    /// Invariant: at most `limit::INSTANCES_GONE`, oldest first, none twice.
+    /// Invariant: at most `limit::MAX_GONE_INSTANCES`, oldest first, none twice.
     gone: VecDeque<Upstream>,
     /// The last life of those of them that told their birth. Invariant: each name
     /// in it is also in `gone`.
@@ -140,7 +140,7 @@
         if birth > Birth::default() {
             self.births.insert(name.clone(), birth);
         }
-        if self.gone.len() > limit::INSTANCES_GONE
+        if self.gone.len() > limit::MAX_GONE_INSTANCES
             && let Some(oldest) = self.gone.pop_front()
         {
             self.births.remove(&oldest);
@@ -166,7 +166,7 @@
 
 /// Whether an instance can't be entered because the table is full.
 fn has_no_room(config: &Config, name: &Upstream) -> bool {
-    config.instances.len() >= limit::INSTANCES && !config.instances.contains_key(name)
+    config.instances.len() >= limit::MAX_INSTANCES && !config.instances.contains_key(name)
 }
 
 /// What a heartbeat asks of the leader.
--- a/almondlock-state/src/limit.rs
+++ b/almondlock-state/src/limit.rs
@@ -11,94 +11,94 @@
 
 /// Claims in all. At the measured bytes per claim (`docs/claims.md`) the table
 /// stays within a replica's memory.
-pub const CLAIMS: usize = 100_000;
+pub const MAX_CLAIMS: usize = 100_000;
 /// Claims of one organisation, so that one can't fill the table for all.
-pub const CLAIMS_OF_ONE: usize = CLAIMS / 4;
+pub const MAX_CLAIMS_PER_ORGANISATION: usize = MAX_CLAIMS / 4;
 /// Entry hosts whose last life is remembered.
-pub const HOLDERS: usize = 4_096;
+pub const MAX_CLAIM_HOSTS: usize = 4_096;
 /// The longest idempotency key, in bytes.
-pub const KEY_BYTES: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 /// The longest hash of a claim's body, in bytes.
-pub const DIGEST_BYTES: usize = 64;
+pub const MAX_DIGEST_BYTES: usize = 64;
 /// An outcome above this size is not kept: a second copy is told that it ran.
-pub const OUTCOME_BYTES: usize = 64 * 1024;
+pub const MAX_OUTCOME_BYTES: usize = 64 * 1024;
 /// Outcomes kept in all; the oldest are dropped first, their claims stay.
-pub const OUTCOMES_BYTES: usize = 16 * 1024 * 1024;
+pub const MAX_TOTAL_OUTCOME_BYTES: usize = 16 * 1024 * 1024;
 /// The shortest time a claim is kept after it ended.
-pub const KEEP_LEAST: Duration = Duration::from_secs(60);
+pub const MIN_CLAIM_RETENTION: Duration = Duration::from_secs(60);
 /// The longest time a claim is kept after it ended.
-pub const KEEP_MOST: Duration = Duration::from_secs(7 * 24 * 3600);
+pub const MAX_CLAIM_RETENTION: Duration = Duration::from_secs(7 * 24 * 3600);
 /// An open claim counts as lost this long after its organisation's longest
 /// deadline. Enough for an entry host to get its settlement through.
-pub const RUN_MARGIN: Duration = Duration::from_secs(600);
+pub const OPEN_CLAIM_MARGIN: Duration = Duration::from_secs(600);
 /// An open claim as old as this counts as lost: no deadline is that long.
-pub const RUN_MOST: Duration = Duration::from_secs(24 * 3600);
+pub const MAX_OPEN_CLAIM_AGE: Duration = Duration::from_secs(24 * 3600);
 /// How long a freed claim remembers the attempt that gave it back.
-pub const FREED: Duration = Duration::from_secs(120);
+pub const FREED_CLAIM_RETENTION: Duration = Duration::from_secs(120);
 /// Claims and fingerprints are looked through for expiry at most this often.
-pub const SWEEP: Duration = Duration::from_secs(10);
+pub const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 /// How far one command may move the state's clock.
-pub const CLOCK_STEP: Duration = Duration::from_secs(60);
+pub const MAX_CLOCK_STEP: Duration = Duration::from_secs(60);
 
 /// Registered upstreams, and names whose earlier lives are remembered.
-pub const UPSTREAMS: usize = 4_000;
+pub const MAX_UPSTREAMS: usize = 4_000;
 /// Earlier lives remembered of each upstream.
-pub const LIVES: usize = 8;
+pub const MAX_REPLACED_INCARNATIONS: usize = 8;
 /// How long the lives of an upstream that is gone are remembered.
-pub const LIVES_KEPT: Duration = Duration::from_secs(30 * 24 * 3600);
+pub const INCARNATION_RETENTION: Duration = Duration::from_secs(30 * 24 * 3600);
 /// The largest engine memory believed, in tokens.
-pub const CAPACITY: u64 = 1 << 36;
+pub const MAX_CAPACITY_TOKENS: u64 = 1 << 36;
 
 /// Fingerprints under suspicion or refused.
-pub const QUARANTINES: usize = 4_096;
+pub const MAX_QUARANTINES: usize = 4_096;
 /// Entry hosts that may share the organisations' limits.
-pub const HOSTS: u32 = 10_000;
+pub const MAX_ENTRY_HOSTS: u32 = 10_000;
 /// Fingerprints of one organisation.
-pub const QUARANTINES_OF_ONE: usize = 256;
+pub const MAX_QUARANTINES_PER_ORGANISATION: usize = 256;
 /// Deaths in all from which a fingerprint is refused.
-pub const DEATHS: usize = 3;
+pub const MAX_DEATHS: usize = 3;
 /// Deaths that blame it alone from which a fingerprint is refused.
-pub const DEATHS_ALONE: usize = 2;
+pub const MAX_SOLE_DEATHS: usize = 2;
 /// How long a suspicion lasts after the last death.
-pub const SUSPECTED: Duration = Duration::from_secs(3600);
+pub const SUSPECT_RETENTION: Duration = Duration::from_secs(3600);
 /// How long a fingerprint is refused after the last death.
-pub const REFUSED: Duration = Duration::from_secs(24 * 3600);
+pub const REFUSAL_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// Organisations.
-pub const ORGANISATIONS: usize = 4_000;
+pub const MAX_ORGANISATIONS: usize = 4_000;
 /// Keys of one organisation.
-pub const KEYS: usize = 16;
+pub const MAX_KEYS_PER_ORGANISATION: usize = 16;
 /// Models.
-pub const MODELS: usize = 64;
+pub const MAX_MODELS: usize = 64;
 /// Adapters of one model.
-pub const ADAPTERS: usize = 512;
+pub const MAX_ADAPTERS_PER_MODEL: usize = 512;
 /// Plain services.
-pub const SERVICES: usize = 256;
+pub const MAX_SERVICES: usize = 256;
 /// Instances that are called without a sidecar.
-pub const INSTANCES: usize = 4_096;
+pub const MAX_INSTANCES: usize = 4_096;
 /// Failure domains that are evacuated at one time.
-pub const EVACUATIONS: usize = 256;
+pub const MAX_EVACUATIONS: usize = 256;
 /// Names of instances that are gone, kept so that a delayed heartbeat brings none back.
-pub const INSTANCES_GONE: usize = 4_096;
+pub const MAX_GONE_INSTANCES: usize = 4_096;
 /// Settings.
-pub const SETTINGS: usize = 256;
+pub const MAX_SETTINGS: usize = 256;
 /// Bytes of a setting's name or value, a reason, or a method list's entry.
-pub const TEXT_BYTES: usize = 1_024;
+pub const MAX_TEXT_BYTES: usize = 1_024;
 /// Operators.
-pub const OPERATORS: usize = 256;
+pub const MAX_OPERATORS: usize = 256;
 /// Replicas.
-pub const REPLICAS: usize = 7;
+pub const MAX_REPLICAS: usize = 7;
 
 /// Plans that are not over yet.
-pub const PLANS_OPEN: usize = 64;
+pub const MAX_OPEN_PLANS: usize = 64;
 /// Plans remembered after they are over; the oldest go first.
-pub const PLANS_OVER: usize = 512;
+pub const MAX_ENDED_PLANS: usize = 512;
 /// How long a proposed plan waits for its confirmation.
-pub const PLAN_WAIT: Duration = Duration::from_secs(24 * 3600);
+pub const PROPOSAL_LIFETIME: Duration = Duration::from_secs(24 * 3600);
 /// Change numbers remembered, each with the change it stands for. The oldest
 /// go first: at 2,700 changes a day, a day and a half.
-pub const NUMBERS: usize = 4_096;
+pub const MAX_CHANGE_NUMBERS: usize = 4_096;
 /// The longest change number, in bytes.
-pub const NUMBER_BYTES: usize = 64;
+pub const MAX_CHANGE_NUMBER_BYTES: usize = 64;
 /// Records of the history; the oldest go first.
-pub const HISTORY: usize = 8_192;
+pub const MAX_HISTORY_RECORDS: usize = 8_192;
--- a/almondlock-state/src/machine.rs
+++ b/almondlock-state/src/machine.rs
@@ -249,8 +249,8 @@
     /// How long a request of this organisation can run.
     fn longest_run(&self, organisation: &Organisation) -> Duration {
         let known = self.config().organisations.get(organisation);
-        known.map_or(limit::RUN_MOST, |known| {
-            Duration::from_millis(known.deadline_limit).saturating_add(limit::RUN_MARGIN)
+        known.map_or(limit::MAX_OPEN_CLAIM_AGE, |known| {
+            Duration::from_millis(known.deadline_limit).saturating_add(limit::OPEN_CLAIM_MARGIN)
         })
     }
 
@@ -417,7 +417,7 @@
         let bound = if start {
             at
         } else {
-            self.clock + limit::CLOCK_STEP
+            self.clock + limit::MAX_CLOCK_STEP
         };
         self.clock = self.clock.max(at.min(bound));
     }
--- a/almondlock-state/src/order.rs
+++ b/almondlock-state/src/order.rs
@@ -95,7 +95,7 @@
     where
         F: Fn(&Upstream) -> bool,
     {
-        let kept = crate::limit::LIVES_KEPT;
+        let kept = crate::limit::INCARNATION_RETENTION;
         self.last
             .retain(|name, last| known(name) || now.since(last.until) < kept);
     }
--- a/almondlock-state/src/plan/compile.rs
+++ b/almondlock-state/src/plan/compile.rs
@@ -171,7 +171,7 @@
         Intent::AddOrganisation { name, .. } if all.contains_key(name) => {
             return Err(Error::bad(format!("organisation {name} exists")));
         }
-        Intent::AddOrganisation { .. } if all.len() >= limit::ORGANISATIONS => {
+        Intent::AddOrganisation { .. } if all.len() >= limit::MAX_ORGANISATIONS => {
             return Err(Error::full("organisations"));
         }
         Intent::AddOrganisation { name, limits } => (name, Some(limited(fresh(), limits)?)),
@@ -232,7 +232,7 @@
     if all.any(|other| other.keys.iter().any(|key| key == hash)) {
         return Err(Error::bad("the key is in use"));
     }
-    if it.keys.len() >= limit::KEYS {
+    if it.keys.len() >= limit::MAX_KEYS_PER_ORGANISATION {
         return Err(Error::full("keys"));
     }
     it.keys.push(hash.to_owned());
@@ -260,7 +260,9 @@
         Intent::AddModel { name, .. } if all.contains_key(name) => {
             return Err(Error::bad(format!("model {name} exists")));
         }
-        Intent::AddModel { .. } if all.len() >= limit::MODELS => return Err(Error::full("models")),
+        Intent::AddModel { .. } if all.len() >= limit::MAX_MODELS => {
+            return Err(Error::full("models"));
+        }
         Intent::AddModel {
             name,
             version,
@@ -301,7 +303,7 @@
         }
         _ => {}
     }
-    if adapters.len() > limit::ADAPTERS {
+    if adapters.len() > limit::MAX_ADAPTERS_PER_MODEL {
         return Err(Error::full("adapters"));
     }
     Ok(definition)
@@ -311,7 +313,7 @@
     let all = &tables.config.services;
     match intent {
         Intent::SetService { name, repeatable } => {
-            if !all.contains_key(name) && all.len() >= limit::SERVICES {
+            if !all.contains_key(name) && all.len() >= limit::MAX_SERVICES {
                 return Err(Error::full("services"));
             }
             let method = |text: &String| {
@@ -338,10 +340,10 @@
         return Err(Error::bad("the upstream is drained already"));
     }
     // A name that isn't registered may be one that is just restarting.
-    if config.drains.len() >= limit::UPSTREAMS {
+    if config.drains.len() >= limit::MAX_UPSTREAMS {
         return Err(Error::full("drained upstreams"));
     }
-    if reason.len() > limit::TEXT_BYTES || reason.starts_with(rollout::REASON) {
+    if reason.len() > limit::MAX_TEXT_BYTES || reason.starts_with(rollout::REASON) {
         return Err(Error::bad(
             "the reason is too long, or is one that rollouts give",
         ));
@@ -358,7 +360,7 @@
         let message = format!("no upstream and no replica is in failure domain {domain}");
         return Err(Error::bad(message));
     }
-    if reason.len() > limit::TEXT_BYTES {
+    if reason.len() > limit::MAX_TEXT_BYTES {
         return Err(Error::bad("the reason is too long"));
     }
     let drain = evacuation::drain(reason, now);
@@ -368,20 +370,23 @@
 }
 
 fn setting(tables: &Tables, name: &str, value: Option<&str>) -> Result<Change, Error> {
-    let fits = |text: &str| text.len() <= limit::TEXT_BYTES;
+    let fits = |text: &str| text.len() <= limit::MAX_TEXT_BYTES;
     if name.is_empty() || name.starts_with("rollout/") || !fits(name) || !value.is_none_or(fits) {
         return Err(Error::bad("the setting's name or value can't be used"));
     }
     let hosts = |text: &str| {
         text.parse()
-            .is_ok_and(|n: u32| (1..=limit::HOSTS).contains(&n))
+            .is_ok_and(|n: u32| (1..=limit::MAX_ENTRY_HOSTS).contains(&n))
     };
     if name == ENTRY_HOSTS && !value.is_none_or(hosts) {
-        let message = format!("{ENTRY_HOSTS} is a number from 1 to {}", limit::HOSTS);
+        let message = format!(
+            "{ENTRY_HOSTS} is a number from 1 to {}",
+            limit::MAX_ENTRY_HOSTS
+        );
         return Err(Error::bad(message));
     }
     let settings = &tables.config.settings;
-    if value.is_some() && !settings.contains_key(name) && settings.len() >= limit::SETTINGS {
+    if value.is_some() && !settings.contains_key(name) && settings.len() >= limit::MAX_SETTINGS {
         return Err(Error::full("settings"));
     }
     Ok(Change::Setting(name.to_owned(), value.map(str::to_owned)))
@@ -391,7 +396,7 @@
     let all = &tables.replicas;
     match intent {
         Intent::AddReplica { replica } => {
-            if all.len() >= limit::REPLICAS {
+            if all.len() >= limit::MAX_REPLICAS {
                 return Err(Error::full("replicas"));
             }
             Ok(vec![added(tables, None, replica)?])
@@ -440,7 +445,7 @@
             "the key's hash is not 64 hexadecimal digits, or is in use",
         ));
     }
-    if others.count() >= limit::OPERATORS {
+    if others.count() >= limit::MAX_OPERATORS {
         return Err(Error::full("operators"));
     }
     let operator = Operator {
--- a/almondlock-state/src/plan/next.rs
+++ b/almondlock-state/src/plan/next.rs
@@ -35,7 +35,7 @@
 /// what is refused when applied is simply dropped.
 pub fn due(machine: &Machine, now: Wall) -> Vec<Action> {
     let mut actions = Vec::new();
-    if now.since(machine.clock()) >= limit::SWEEP {
+    if now.since(machine.clock()) >= limit::SWEEP_INTERVAL {
         actions.push(Action::Propose(Command::Expire { at: now }));
     }
     for plan in machine.plans().active() {
--- a/almondlock-state/src/plan/table.rs
+++ b/almondlock-state/src/plan/table.rs
@@ -82,7 +82,7 @@
 
     /// Whether one more can be proposed under this number.
     pub fn check(&self, number: &str) -> Result<(), Error> {
-        if number.is_empty() || number.len() > limit::NUMBER_BYTES {
+        if number.is_empty() || number.len() > limit::MAX_CHANGE_NUMBER_BYTES {
             return Err(Error::bad("a change number is 1 to 64 bytes"));
         }
         let open = self
@@ -90,7 +90,7 @@
             .values()
             .filter(|plan| !plan.state.is_over())
             .count();
-        if open >= limit::PLANS_OPEN {
+        if open >= limit::MAX_OPEN_PLANS {
             let message = "too many plans wait or run; stop some".to_owned();
             return Err(Error {
                 code: Code::LimitReached,
@@ -113,7 +113,7 @@
         };
         self.numbers.insert(plan.number.clone(), used);
         self.order.push_back(plan.number.clone());
-        if self.order.len() > limit::NUMBERS {
+        if self.order.len() > limit::MAX_CHANGE_NUMBERS {
             let oldest = self.order.pop_front();
             oldest.and_then(|oldest| self.numbers.remove(&oldest));
         }
@@ -124,7 +124,7 @@
 
     fn shrink(&mut self) {
         let over = self.plans.values().filter(|plan| plan.state.is_over());
-        let surplus = over.clone().count().saturating_sub(limit::PLANS_OVER);
+        let surplus = over.clone().count().saturating_sub(limit::MAX_ENDED_PLANS);
         let oldest: Vec<Id> = over.take(surplus).map(|plan| plan.id).collect();
         for id in oldest {
             self.plans.remove(&id);
@@ -137,7 +137,7 @@
             .plans
             .values_mut()
             .filter(|plan| plan.state == State::Proposed);
-        for plan in waiting.filter(|plan| now.since(plan.proposed) >= limit::PLAN_WAIT) {
+        for plan in waiting.filter(|plan| now.since(plan.proposed) >= limit::PROPOSAL_LIFETIME) {
             plan.state = State::Lapsed;
         }
         self.shrink();
--- a/almondlock-state/src/poison.rs
+++ b/almondlock-state/src/poison.rs
@@ -3,8 +3,8 @@
 //! When an engine dies, every request that ran there is blamed for the death.
 //! Most of them are innocent, so one death only makes a suspect: it may run
 //! again, but never beside another suspect, and is cleared when it finishes. A
-//! fingerprint is refused everywhere from [`limit::DEATHS_ALONE`] deaths that
-//! blame it alone, or [`limit::DEATHS`] in all. The fleet thus loses at most
+//! fingerprint is refused everywhere from [`limit::MAX_SOLE_DEATHS`] deaths that
+//! blame it alone, or [`limit::MAX_DEATHS`] in all. The fleet thus loses at most
 //! three engines to one poisonous request, however often it is sent again and
 //! through whichever entry hosts.
 //!
@@ -51,12 +51,12 @@
 #[derive(Serialize, Deserialize)]
 struct Suspect {
     print: Fingerprint,
-    /// Invariant: at most `limit::DEATHS`.
+    /// Invariant: at most `limit::MAX_DEATHS`.
     deaths: BTreeSet<Death>,
     /// Deaths entered in advance for runs that have not ended.
     ///
     /// Invariant: none of them is in `deaths`, and both together are at most
-    /// `limit::DEATHS` unless blame came from outside.
+    /// `limit::MAX_DEATHS` unless blame came from outside.
     #[serde(default)]
     charges: BTreeSet<Death>,
 }
@@ -86,7 +86,7 @@
                 charges: BTreeSet::new(),
             });
         suspect.charges.remove(&death);
-        if suspect.deaths.len() < limit::DEATHS && !suspect.deaths.insert(death) {
+        if suspect.deaths.len() < limit::MAX_DEATHS && !suspect.deaths.insert(death) {
             return Ok(changes);
         }
         changes.push(self.quarantine(&name, print, organisation, now));
@@ -111,7 +111,7 @@
             return Ok(Vec::new());
         }
         let entered = suspect.deaths.len() + suspect.charges.len();
-        if entered >= limit::DEATHS || self.is_guilty(&name) {
+        if entered >= limit::MAX_DEATHS || self.is_guilty(&name) {
             return Err(Code::Quarantined);
         }
         if let Some(suspect) = self.suspects.get_mut(&name) {
@@ -144,11 +144,11 @@
         let suspect = self.suspects.get(name);
         let entered = suspect.map_or(0, |s| s.deaths.len() + s.charges.len());
         // While the last run it may have is under way, no other copy starts.
-        let refused = entered >= limit::DEATHS || self.is_guilty(name);
+        let refused = entered >= limit::MAX_DEATHS || self.is_guilty(name);
         let kept = if refused {
-            limit::REFUSED
+            limit::REFUSAL_RETENTION
         } else {
-            limit::SUSPECTED
+            limit::SUSPECT_RETENTION
         };
         let quarantine = Quarantine {
             organisation: organisation.clone(),
@@ -162,7 +162,7 @@
     /// Whether the deaths that happened prove it; charges don't.
     fn is_guilty(&self, name: &str) -> bool {
         let deaths = self.suspects.get(name).map_or(0, |s| s.deaths.len());
-        deaths >= limit::DEATHS || self.alone(name) >= limit::DEATHS_ALONE
+        deaths >= limit::MAX_DEATHS || self.alone(name) >= limit::MAX_SOLE_DEATHS
     }
 
     /// Deaths for which nothing else is blamed.
@@ -187,8 +187,8 @@
             .quarantines
             .iter()
             .filter(|(_, quarantine)| quarantine.organisation == *organisation);
-        let full = own.clone().count() >= limit::QUARANTINES_OF_ONE
-            || config.quarantines.len() >= limit::QUARANTINES;
+        let full = own.clone().count() >= limit::MAX_QUARANTINES_PER_ORGANISATION
+            || config.quarantines.len() >= limit::MAX_QUARANTINES;
         if !full {
             return Ok(None);
         }
@@ -220,7 +220,7 @@
 
     /// Forgets what has stood long enough.
     pub fn expire(&mut self, config: &Config, now: Wall) -> Vec<Change> {
-        if now.since(self.swept) < limit::SWEEP {
+        if now.since(self.swept) < limit::SWEEP_INTERVAL {
             return Vec::new();
         }
         self.swept = now;
--- a/almondlock-state/src/registration.rs
+++ b/almondlock-state/src/registration.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 struct Lives {
-    /// Invariant: at most `limit::LIVES`, oldest first.
+    /// Invariant: at most `limit::MAX_REPLACED_INCARNATIONS`, oldest first.
     replaced: VecDeque<Incarnation>,
     /// When the name was last seen.
     seen: Wall,
@@ -102,7 +102,7 @@
             let message = "a later life of this upstream has registered";
             return Err(Error::new(Code::StaleIncarnation, message));
         }
-        if lives.is_none() && self.lives.len() >= limit::UPSTREAMS {
+        if lives.is_none() && self.lives.len() >= limit::MAX_UPSTREAMS {
             return Err(Error::new(Code::LimitReached, "too many upstreams"));
         }
         let Some(known) = config.upstreams.get(name) else {
@@ -127,7 +127,7 @@
         let lives = self.lives.entry(name.clone()).or_default();
         lives.replaced.push_back(incarnation);
         lives.seen = now;
-        if lives.replaced.len() > limit::LIVES {
+        if lives.replaced.len() > limit::MAX_REPLACED_INCARNATIONS {
             lives.replaced.pop_front();
         }
     }
@@ -152,7 +152,8 @@
     /// Forgets the lives of names not seen for long.
     pub fn expire(&mut self, config: &Config, now: Wall) {
         self.lives.retain(|name, lives| {
-            config.upstreams.contains_key(name) || now.since(lives.seen) < limit::LIVES_KEPT
+            config.upstreams.contains_key(name)
+                || now.since(lives.seen) < limit::INCARNATION_RETENTION
         });
     }
 }
@@ -167,7 +168,7 @@
     }
     match registration.kind {
         Kind::Engine if registration.service.is_some() => fault("an engine belongs to no service"),
-        Kind::Engine if !(1..=limit::CAPACITY).contains(&registration.capacity.0) => {
+        Kind::Engine if !(1..=limit::MAX_CAPACITY_TOKENS).contains(&registration.capacity.0) => {
             fault("the capacity in tokens is out of bounds")
         }
         Kind::Service if registration.service.is_none() => fault("it names no service"),
--- a/almondlock-state/tests/dead_holder.rs
+++ b/almondlock-state/tests/dead_holder.rs
@@ -93,8 +93,8 @@
 /// deadline, or after a day when the organisation isn't known, it counts as lost,
 /// is kept for its time, and is forgotten; it isn't held for ever.
 #[parameterized(
-    unknown_organisation = { false, limit::RUN_MOST },
-    known_organisation = { true, Duration::from_secs(600) + limit::RUN_MARGIN },
+    unknown_organisation = { false, limit::MAX_OPEN_CLAIM_AGE },
+    known_organisation = { true, Duration::from_secs(600) + limit::OPEN_CLAIM_MARGIN },
 )]
 fn never_settled(known: bool, span: Duration) {
     let mut machine = Machine::new();
--- a/almondlock-state/tests/enrolled_instance.rs
+++ b/almondlock-state/tests/enrolled_instance.rs
@@ -215,7 +215,7 @@
 #[test]
 fn full_table() {
     let mut machine = Machine::new();
-    for n in 0..limit::INSTANCES {
+    for n in 0..limit::MAX_INSTANCES {
         let address = format!("10.0.{}.{}:80", n / 256, n % 256);
         enrol(&mut machine, &format!("i-{n}"), &address, false);
     }
--- a/almondlock-state/tests/full_table.rs
+++ b/almondlock-state/tests/full_table.rs
@@ -20,7 +20,7 @@
 fn greedy_organisation() {
     let mut machine = Machine::new();
     let holder = attempt("entry-1", 1);
-    for number in 0..limit::CLAIMS_OF_ONE {
+    for number in 0..limit::MAX_CLAIMS_PER_ORGANISATION {
         assert_eq!(
             claim(&mut machine, &number.to_string(), &holder, 1),
             Verdict::Granted
@@ -43,8 +43,8 @@
 fn oldest_outcome() {
     let mut machine = Machine::new();
     let holder = attempt("entry-1", 1);
-    let outcome = "x".repeat(limit::OUTCOME_BYTES);
-    let room = limit::OUTCOMES_BYTES / limit::OUTCOME_BYTES;
+    let outcome = "x".repeat(limit::MAX_OUTCOME_BYTES);
+    let room = limit::MAX_TOTAL_OUTCOME_BYTES / limit::MAX_OUTCOME_BYTES;
     for number in 0..=room {
         claim(&mut machine, &number.to_string(), &holder, 1);
         settle(
@@ -54,7 +54,7 @@
             1,
         );
     }
-    assert!(machine.claims().outcome_bytes() <= limit::OUTCOMES_BYTES);
+    assert!(machine.claims().outcome_bytes() <= limit::MAX_TOTAL_OUTCOME_BYTES);
     let second = attempt("entry-2", 1);
     assert_eq!(claim(&mut machine, "0", &second, 2), Verdict::Dropped);
     assert!(matches!(
@@ -67,7 +67,7 @@
 #[test]
 fn open_plans() {
     let mut machine = Machine::new();
-    for number in 0..limit::PLANS_OPEN {
+    for number in 0..limit::MAX_OPEN_PLANS {
         let name = format!("o{number}");
         assert_eq!(code(&propose(&mut machine, &name, add(&name), 1)), None);
     }
@@ -97,14 +97,14 @@
     };
     let rival = blame(&mut machine, "rival", 1);
     let first = blame(&mut machine, "acme", 2);
-    for number in 0..limit::QUARANTINES_OF_ONE {
+    for number in 0..limit::MAX_QUARANTINES_PER_ORGANISATION {
         blame(&mut machine, "acme", 3 + u64::try_from(number).unwrap());
     }
     assert!(machine.config().quarantine(rival).is_some());
     assert!(machine.config().quarantine(first).is_none());
     assert_eq!(
         machine.config().quarantines.len(),
-        limit::QUARANTINES_OF_ONE + 1
+        limit::MAX_QUARANTINES_PER_ORGANISATION + 1
     );
 }
 
@@ -113,10 +113,10 @@
 fn bounded_history() {
     let mut machine = Machine::new();
     change(&mut machine, "start", add("acme"), 1);
-    for number in 0..limit::HISTORY {
+    for number in 0..limit::MAX_HISTORY_RECORDS {
         let share = common::share("acme", u32::try_from(number % 7).unwrap() + 1);
         change(&mut machine, &number.to_string(), share, 1);
     }
-    assert_eq!(machine.history().iter().count(), limit::HISTORY);
-    assert!(machine.plans().iter().count() <= limit::PLANS_OVER + 1);
+    assert_eq!(machine.history().iter().count(), limit::MAX_HISTORY_RECORDS);
+    assert!(machine.plans().iter().count() <= limit::MAX_ENDED_PLANS + 1);
 }
--- a/almondlock-state/tests/held_claim.rs
+++ b/almondlock-state/tests/held_claim.rs
@@ -79,7 +79,7 @@
     let holder = attempt("entry-1", 1);
     pass_time(&mut machine, MINUTE);
     claim(&mut machine, "k", &holder, MINUTE);
-    let large = "x".repeat(limit::OUTCOME_BYTES + 1);
+    let large = "x".repeat(limit::MAX_OUTCOME_BYTES + 1);
     settle(&mut machine, "k", (&holder, Ran::Yes, &large), MINUTE);
     let second = attempt("entry-2", 1);
     assert_eq!(
--- a/almondlock-state/tests/poison_expiry.rs
+++ b/almondlock-state/tests/poison_expiry.rs
@@ -80,7 +80,7 @@
     pass_time(&mut machine, 3 * HOUR);
     assert!(quarantine(&machine, "suspect").is_none());
     assert!(quarantine(&machine, "poison").is_some_and(|it| it.refused));
-    let kept = u64::try_from(limit::REFUSED.as_millis()).unwrap();
+    let kept = u64::try_from(limit::REFUSAL_RETENTION.as_millis()).unwrap();
     pass_time(&mut machine, 2 * HOUR + kept);
     assert!(machine.config().quarantines.is_empty());
 }
