--- a/almondlock-gateway/src/accept.rs
+++ b/almondlock-gateway/src/accept.rs
@@ -14,7 +14,8 @@
 use tokio::time::sleep;
 
 use crate::{
-    dialect::Dialect, pick::Demand, request::Request, response::HOP, rules::Rules, worker::Worker,
+    dialect::Dialect, pick::Demand, request::Request, response::HOP_BY_HOP, rules::Rules,
+    worker::Worker,
 };
 
 /// A request without a deadline of its caller's is bounded by its route alone.
@@ -38,7 +39,7 @@
 where
     D: Dialect,
 {
-    let known = worker.known();
+    let known = worker.snapshot();
     let limit = known
         .rules
         .as_ref()
@@ -52,7 +53,7 @@
         }
     }
     // The body may have taken long: what is in force now counts.
-    let (rules, current) = rules(worker).await;
+    let (rules, current) = wait_for_rules(worker).await;
     let rules = rules.ok_or(Code::NotReady)?;
     admit(worker, &rules, incoming, body.freeze(), arrived, current)
 }
@@ -66,16 +67,16 @@
 /// a queue, or not at all: of a hundred requests in the two seconds around the
 /// loss 40 were refused. They wait here instead, no longer than they would be
 /// told to.
-async fn rules<D>(worker: &Worker<D>) -> (Option<Arc<Rules>>, bool)
+async fn wait_for_rules<D>(worker: &Worker<D>) -> (Option<Arc<Rules>>, bool)
 where
     D: Dialect,
 {
     let until = clock::mono() + COLD_WAIT;
     loop {
         let now = clock::mono();
-        let rules = worker.known().rules.clone();
+        let rules = worker.snapshot().rules.clone();
         let current = worker.node.age(now) < worker.bounds.max_config_age;
-        let over = worker.shared.cold_left(now).is_zero() || now >= until;
+        let over = worker.shared.cold_start_left(now).is_zero() || now >= until;
         if over || rules.is_some() && current {
             return (rules, current);
         }
@@ -95,7 +96,7 @@
     D: Dialect,
 {
     let names = worker.dialect.names();
-    let host = text(incoming, &ntex::http::header::HOST).unwrap_or_default();
+    let host = header_text(incoming, &ntex::http::header::HOST).unwrap_or_default();
     let target = incoming
         .uri()
         .path_and_query()
@@ -103,7 +104,7 @@
     let path = target.split('?').next().unwrap_or(target);
     // A host that was cut off may not know a route or a key that exists by
     // now, nor that one was taken away. Nor does one that still reads a version.
-    let versions = worker.current.borrow();
+    let versions = worker.versions.borrow();
     let unsure = |code| match current && !versions.is_waiting() {
         true => code,
         false => Code::NotReady,
@@ -115,7 +116,7 @@
         if !current {
             return Err(Code::NotReady);
         }
-        let key = text(incoming, &names.key).unwrap_or_default();
+        let key = header_text(incoming, &names.key).unwrap_or_default();
         let unknown = || match versions.awaits_key(key) {
             true => Code::NotReady,
             false => Code::Unauthenticated,
@@ -125,7 +126,7 @@
     }
     let drawn = worker.rng.borrow_mut().random();
     let service = route.service(drawn).ok_or(Code::UnknownRoute)?.clone();
-    let deadline = text(incoming, &names.deadline).and_then(|text| text.trim().parse().ok());
+    let deadline = header_text(incoming, &names.deadline).and_then(|text| text.trim().parse().ok());
     let deadline = deadline.map_or(NO_DEADLINE, Duration::from_millis);
     let dropped = [
         &names.key,
@@ -135,12 +136,12 @@
         &names.priority,
         &names.helpers,
     ];
-    let kept = |name: &HeaderName| !HOP.contains(&name.as_str()) && !dropped.contains(&name);
+    let kept = |name: &HeaderName| !HOP_BY_HOP.contains(&name.as_str()) && !dropped.contains(&name);
     let headers = incoming.headers().iter().filter(|(name, _)| kept(name));
     Ok(Request {
-        id: Arc::from(text(incoming, &names.request_id).unwrap_or_default()),
+        id: Arc::from(header_text(incoming, &names.request_id).unwrap_or_default()),
         method: incoming.method().clone(),
-        target: target.to_owned(),
+        path_and_query: target.to_owned(),
         host: host.to_owned(),
         headers: headers
             .map(|(name, value)| (name.clone(), value.clone()))
@@ -149,19 +150,21 @@
         service,
         organisation,
         arrived,
-        until: arrived + deadline.min(route.timeout),
-        demand: text(incoming, &names.usage).and_then(|usage| demand(usage, route.objective)),
-        after: text(incoming, &names.last_event).and_then(|text| text.trim().parse().ok()),
+        deadline: arrived + deadline.min(route.timeout),
+        demand: header_text(incoming, &names.usage)
+            .and_then(|usage| parse_demand(usage, route.objective)),
+        last_event: header_text(incoming, &names.last_event)
+            .and_then(|text| text.trim().parse().ok()),
         route,
     })
 }
 
-pub(crate) fn text<'a>(incoming: &'a HttpRequest, name: &HeaderName) -> Option<&'a str> {
+pub(crate) fn header_text<'a>(incoming: &'a HttpRequest, name: &HeaderName) -> Option<&'a str> {
     incoming.headers().get(name)?.to_str().ok()
 }
 
 /// Reads "prompt tokens,output tokens".
-fn demand(usage: &str, objective: Duration) -> Option<Demand> {
+fn parse_demand(usage: &str, objective: Duration) -> Option<Demand> {
     let (prompt, output) = usage.split_once(',')?;
     Some(Demand {
         prompt: prompt.trim().parse().ok()?,
--- a/almondlock-gateway/src/attempt.rs
+++ b/almondlock-gateway/src/attempt.rs
@@ -13,7 +13,7 @@
     outgoing,
     pace::Sent,
     pick::{Choice, Lack},
-    placement::{self, Placed, lacking},
+    placement::{self, Placement, lack_fault},
     request::{History, Request, Response},
     resources::Resources,
     slots::Grant,
@@ -23,9 +23,9 @@
 
 /// How long connecting may take: several ways there and back, far below the
 /// objective of short requests.
-pub(crate) const CONNECT: Duration = Duration::from_millis(250);
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// The largest body of an answer that is no stream, in bytes.
-pub(crate) const WHOLE_LIMIT: usize = 8 << 20;
+pub(crate) const MAX_BODY_BYTES: usize = 8 << 20;
 /// An attempt that is being answered.
 pub(crate) struct Run<D>
 where
@@ -45,11 +45,11 @@
     pub(crate) answer: Option<Response>,
     pub(crate) reason: String,
     /// The connection broke, as it does when the upstream crashes.
-    pub(crate) cut: bool,
+    pub(crate) is_connection_lost: bool,
     /// Another upstream that takes part is at fault.
-    pub(crate) elsewhere: bool,
+    pub(crate) is_other_upstream: bool,
     /// When the caller may find what it found missing, if that is known.
-    pub(crate) returns: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
 }
 
 impl Fault {
@@ -62,23 +62,23 @@
             upstream: upstream.cloned(),
             answer: None,
             reason: reason.to_string(),
-            cut: false,
-            elsewhere: false,
-            returns: None,
+            is_connection_lost: false,
+            is_other_upstream: false,
+            retry_after: None,
         }
     }
 
-    pub(crate) fn of(error: &upstream::Error, upstream: &Upstream) -> Fault {
+    pub(crate) fn from_error(error: &upstream::Error, upstream: &Upstream) -> Fault {
         let failure = match error {
             upstream::Error::Connect(_) => Failure::Unsent,
-            upstream::Error::Broken(_) | upstream::Error::Ended(_) | upstream::Error::Answer(_) => {
-                Failure::Lost
-            }
+            upstream::Error::Broken(_)
+            | upstream::Error::Closed(_)
+            | upstream::Error::Invalid(_) => Failure::Lost,
         };
         Fault {
-            cut: matches!(
+            is_connection_lost: matches!(
                 error,
-                upstream::Error::Broken(_) | upstream::Error::Ended(_)
+                upstream::Error::Broken(_) | upstream::Error::Closed(_)
             ),
             ..Fault::new(failure, Some(upstream), error)
         }
@@ -111,19 +111,19 @@
     let mut grant: Option<Grant> = None;
     loop {
         let targets = worker.open_targets(request, history, clock::mono());
-        let targets = targets.map_err(lacking)?;
+        let targets = targets.map_err(lack_fault)?;
         let found = (after, grant.as_ref());
         let placed = placement::place(worker, request, history, &targets, found).await?;
         let (choice, resources) = match placed {
-            Placed::Sent(choice, resources) => (choice, *resources),
-            Placed::Waits(waiter) => {
+            Placement::Send(choice, resources) => (choice, *resources),
+            Placement::Wait(waiter) => {
                 grant = Some(waiter.granted(request).await);
                 continue;
             }
         };
-        let target = first(&targets, &choice).map_err(lacking)?;
+        let target = answering_target(&targets, &choice).map_err(lack_fault)?;
         let connection = connect(worker, request, target).await;
-        let connection = connection.map_err(|error| Fault::of(&error, &target.name))?;
+        let connection = connection.map_err(|error| Fault::from_error(&error, &target.name))?;
         let now = clock::mono();
         let places = iter::once(&choice.first).chain(&choice.helpers);
         let mut parties = places.filter_map(|place| targets.get(*place));
@@ -143,7 +143,7 @@
 }
 
 /// The upstream that answers.
-fn first<'a>(targets: &'a [Target], choice: &Choice) -> Result<&'a Target, Lack> {
+fn answering_target<'a>(targets: &'a [Target], choice: &Choice) -> Result<&'a Target, Lack> {
     targets.get(choice.first).ok_or(Lack::Upstream)
 }
 
@@ -164,19 +164,19 @@
         connection,
     } = prepare(worker, request, history, after).await?;
     let targets = &targets[..];
-    let target = first(targets, &choice).map_err(lacking)?;
+    let target = answering_target(targets, &choice).map_err(lack_fault)?;
     log_sent(worker, request, history, (targets, &choice, target));
-    let placed = outgoing::Placed {
+    let placed = outgoing::Destination {
         targets,
         choice: &choice,
-        memory: &resources.memory(),
+        memory: &resources.memory_ids(),
     };
     let now = clock::mono();
-    let head = outgoing::head(worker, request, &placed, after, now);
-    let left = request.left(now);
+    let head = outgoing::write_head(worker, request, &placed, after, now);
+    let left = request.time_left(now);
     let sent = Sent::new(worker, request, (&choice, &target.name), after);
     let exchange = exchange(worker, request, connection, &head);
-    let result = match timeout(left, patient(worker, request, &resources, exchange)).await {
+    let result = match timeout(left, wait_or_give_up(worker, request, &resources, exchange)).await {
         Ok(Some(result)) => result,
         Ok(None) | Err(_) => {
             return Err(Fault::new(
@@ -186,9 +186,9 @@
             ));
         }
     };
-    let (connection, head) = result.map_err(|error| Fault::of(&error, &target.name))?;
-    worker.hear_limit(&target.name, now, &head);
-    worker.hear_backoff(&target.name, &head);
+    let (connection, head) = result.map_err(|error| Fault::from_error(&error, &target.name))?;
+    worker.apply_limit_header(&target.name, now, &head);
+    worker.apply_backoff_headers(&target.name, &head);
     let run = Run {
         upstream: target.name.clone(),
         connection,
@@ -197,7 +197,10 @@
         sent,
     };
     let name = run.upstream.clone();
-    let judged = timeout(request.left(clock::mono()), judge(worker, run, targets));
+    let judged = timeout(
+        request.time_left(clock::mono()),
+        check_head(worker, run, targets),
+    );
     // A failure's body may stop half-way, like any other.
     match judged.await {
         Ok(judged) => judged,
@@ -217,12 +220,12 @@
     D: Dialect,
 {
     let now = clock::mono();
-    let known = worker.known();
+    let known = worker.snapshot();
     tracing::info!(
         request = %request.id, route = %request.route.name, upstream = %target.name,
         prompt = request.demand.map_or(0, |demand| demand.prompt),
         helpers = choice.helpers.len(), shares = choice.shares.len(),
-        part_ms = choice.part.as_millis(), read_by = %readers(targets, choice),
+        part_ms = choice.part.as_millis(), read_by = %helper_names(targets, choice),
         expected_ms = choice.expected.as_millis(),
         backlog_ms = worker.load.borrow().total(now, &target.name).reading,
         hosts = worker.load.borrow().hosts(now),
@@ -233,7 +236,7 @@
 }
 
 /// The names of the engines that read parts besides the one that answers.
-fn readers(targets: &[Target], choice: &Choice) -> String {
+fn helper_names(targets: &[Target], choice: &Choice) -> String {
     let readers = choice.helpers.iter().filter_map(|i| targets.get(*i));
     let names: Vec<&str> = readers.map(|target| target.name.as_str()).collect();
     names.join(",")
@@ -243,7 +246,7 @@
 /// given up if the request may be sent again and that can be afforded; else
 /// waiting on is the best that can be done, though without memory elsewhere.
 /// `None`: given up.
-pub(crate) async fn patient<D, F, T>(
+pub(crate) async fn wait_or_give_up<D, F, T>(
     worker: &Worker<D>,
     request: &Request,
     resources: &Resources<D>,
@@ -254,15 +257,15 @@
     F: Future<Output = T>,
 {
     tokio::pin!(work);
-    let patience = resources.patience(clock::mono(), request.patience());
+    let patience = resources.silence_timeout(clock::mono(), request.silence_timeout());
     if let Ok(done) = timeout(patience, &mut work).await {
         return Some(done);
     }
     let repeatable = request.route.kind.is_idempotent();
-    if repeatable && worker.afford(clock::mono(), &request.service) {
+    if repeatable && worker.try_take_retry(clock::mono(), &request.service) {
         return None;
     }
-    resources.let_go();
+    resources.release_helper_memory();
     Some(work.await)
 }
 
@@ -279,7 +282,7 @@
     let pooled = worker.pool.borrow_mut().take(now, &target.name, once);
     match pooled {
         Some(connection) => Ok(connection),
-        None => Connection::open(target.address, CONNECT.min(request.left(now))).await,
+        None => Connection::open(target.address, CONNECT_TIMEOUT.min(request.time_left(now))).await,
     }
 }
 
@@ -305,13 +308,17 @@
 }
 
 /// What the head of an answer says of the attempt.
-async fn judge<D>(worker: &Worker<D>, mut run: Run<D>, targets: &[Target]) -> Result<Run<D>, Fault>
+async fn check_head<D>(
+    worker: &Worker<D>,
+    mut run: Run<D>,
+    targets: &[Target],
+) -> Result<Run<D>, Fault>
 where
     D: Dialect,
 {
     let names = worker.dialect.names();
     let status = run.head.status;
-    if let Some(requests) = run.head.text(names.load.as_str()).and_then(requests) {
+    if let Some(requests) = run.head.text(names.load.as_str()).and_then(parse_load) {
         let mut load = worker.load.borrow_mut();
         load.report(clock::mono(), &run.upstream, requests);
     }
@@ -326,9 +333,9 @@
         };
         let mut fault = fault(failure, &format!("status {status}, not run"));
         if let Some(at) = at.filter(|at| at.name != run.upstream) {
-            worker.suspect(clock::mono(), &at.name);
+            worker.mark_suspect(clock::mono(), &at.name);
             fault.failure = Failure::Rejected;
-            fault.elsewhere = true;
+            fault.is_other_upstream = true;
         }
         recycle(worker, &run.upstream, run.connection, &run.head).await;
         return Err(fault);
@@ -349,8 +356,8 @@
             &format!("status {status} that promises nothing"),
         ));
     }
-    let body = run.connection.whole(WHOLE_LIMIT).await;
-    let body = body.map_err(|error| Fault::of(&error, &run.upstream))?;
+    let body = run.connection.read_body(MAX_BODY_BYTES).await;
+    let body = body.map_err(|error| Fault::from_error(&error, &run.upstream))?;
     let mut fault = fault(Failure::Answered, &format!("status {status}"));
     fault.answer = Some(Response {
         head: run.head.clone(),
@@ -361,7 +368,7 @@
 }
 
 /// Running and waiting requests out of "running,waiting,slots".
-fn requests(load: &str) -> Option<u32> {
+fn parse_load(load: &str) -> Option<u32> {
     let mut parts = load.split(',').map(|part| part.trim().parse::<u32>());
     let (running, waiting) = (parts.next()?.ok()?, parts.next()?.ok()?);
     Some(running.saturating_add(waiting))
@@ -376,13 +383,13 @@
 ) where
     D: Dialect,
 {
-    if connection.whole(WHOLE_LIMIT).await.is_ok() {
-        keep(worker, upstream, connection, head);
+    if connection.read_body(MAX_BODY_BYTES).await.is_ok() {
+        return_to_pool(worker, upstream, connection, head);
     }
 }
 
 /// Keeps the connection of an answer that was read to its end.
-pub(crate) fn keep<D>(
+pub(crate) fn return_to_pool<D>(
     worker: &Worker<D>,
     upstream: &Upstream,
     mut connection: Connection,
@@ -391,7 +398,7 @@
     D: Dialect,
 {
     if connection.is_reusable(head) {
-        connection.idle = head.idle;
+        connection.idle_timeout = head.idle_timeout;
         let mut pool = worker.pool.borrow_mut();
         pool.put(clock::mono(), upstream, connection);
     }
--- a/almondlock-gateway/src/backoff.rs
+++ b/almondlock-gateway/src/backoff.rs
@@ -18,7 +18,7 @@
     D: Dialect,
 {
     /// Takes in what an upstream asks with an answer.
-    pub(crate) fn hear_backoff(&self, upstream: &Upstream, head: &Head) {
+    pub(crate) fn apply_backoff_headers(&self, upstream: &Upstream, head: &Head) {
         let names = self.dialect.names();
         // Another instance answers, and speaks for itself.
         if head.status == 421 {
@@ -52,7 +52,7 @@
         history: &History,
         now: Mono,
     ) -> Result<Vec<Target>, Lack> {
-        let known = self.known();
+        let known = self.snapshot();
         let targets = known.instances.get(&request.service).into_iter().flatten();
         let targets: Vec<&Target> = targets
             .filter(|target| !history.refused.contains(&target.name))
--- a/almondlock-gateway/src/budget.rs
+++ b/almondlock-gateway/src/budget.rs
@@ -43,14 +43,14 @@
     }
 
     /// A request came.
-    pub fn request(&mut self, now: Mono) {
-        self.forget(now);
+    pub fn record_request(&mut self, now: Mono) {
+        self.evict_expired(now);
         self.requests.push_back(now);
     }
 
     /// Takes one further attempt, if there is one.
-    pub fn take(&mut self, now: Mono) -> bool {
-        self.forget(now);
+    pub fn try_take(&mut self, now: Mono) -> bool {
+        self.evict_expired(now);
         // Windows hold thousands of requests, which an `f64` counts exactly.
         let earned = self.requests.len() as f64 * self.config.ratio;
         let allowed = earned + f64::from(self.config.min_retries);
@@ -61,7 +61,7 @@
         affordable
     }
 
-    fn forget(&mut self, now: Mono) {
+    fn evict_expired(&mut self, now: Mono) {
         let old = |at: &Mono| now.since(*at) >= self.config.window;
         while self.requests.pop_front_if(|at| old(at)).is_some() {}
         while self.attempts.pop_front_if(|at| old(at)).is_some() {}
--- a/almondlock-gateway/src/event.rs
+++ b/almondlock-gateway/src/event.rs
@@ -7,9 +7,9 @@
 use bytes::{Bytes, BytesMut};
 
 /// Ends an event.
-const END: &[u8] = b"\n\n";
+const EVENT_END: &[u8] = b"\n\n";
 /// Begins the line with an event's number.
-const ID: &[u8] = b"id:";
+const ID_PREFIX: &[u8] = b"id:";
 
 /// Cuts bytes into whole events.
 #[derive(Debug, Default)]
@@ -28,38 +28,41 @@
     /// Takes in bytes; gives all events that are whole now, as one piece.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.rest.extend_from_slice(bytes);
-        let end = self.rest.windows(END.len()).rposition(|w| w == END)?;
-        let whole = self.rest.split_to(end + END.len()).freeze();
-        if let Some(last) = number(&whole) {
+        let end = self
+            .rest
+            .windows(EVENT_END.len())
+            .rposition(|w| w == EVENT_END)?;
+        let whole = self.rest.split_to(end + EVENT_END.len()).freeze();
+        if let Some(last) = last_number(&whole) {
             self.last = Some(last);
         }
         Some(whole)
     }
 
     /// The number of the last whole event.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
     /// Whether nothing of an unfinished event is held.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.rest.is_empty()
     }
 
     /// Takes what is left at the end of a stream.
-    pub fn finish(&mut self) -> Bytes {
+    pub fn take_rest(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
 
     /// Drops the unfinished event of a run that broke off.
-    pub fn drop_rest(&mut self) {
+    pub fn discard_rest(&mut self) {
         self.rest.clear();
     }
 }
 
 /// The number of the last event among whole ones.
-fn number(events: &[u8]) -> Option<u64> {
+fn last_number(events: &[u8]) -> Option<u64> {
     let mut lines = events.split(|byte| *byte == b'\n').rev();
-    let id = lines.find_map(|line| line.strip_prefix(ID))?;
+    let id = lines.find_map(|line| line.strip_prefix(ID_PREFIX))?;
     std::str::from_utf8(id).ok()?.trim().parse().ok()
 }
--- a/almondlock-gateway/src/exchange/host.rs
+++ b/almondlock-gateway/src/exchange/host.rs
@@ -98,7 +98,7 @@
         paces_count: 0,
     };
     let socket = Rc::new(socket);
-    worker.permits.connect(Rc::clone(&socket));
+    worker.permits.set_socket(Rc::clone(&socket));
     loop {
         let now = clock::mono();
         let all_due = teller.all_at + period(&worker, &teller, now);
@@ -112,15 +112,15 @@
                 let Ok((length, from)) = received else { continue };
                 take_in(&worker, &mut teller, from, &buffer[..length]);
             }
-            () = worker.changed.notified(), if !teller.is_close_due => {
+            () = worker.load_changed.notified(), if !teller.is_close_due => {
                 teller.is_close_due = true;
                 teller.has_news = true;
             }
             () = worker.suspicion.noticed() => {
                 tell_losses(&worker, &socket, &named).await;
             }
-            () = worker.permits.noticed() => {
-                let news = worker.permits.take_news();
+            () = worker.permits.wait_for_change() => {
+                let news = worker.permits.take_changed();
                 tell_limits(&worker, &socket, &named, &news).await;
             }
             () = sleep(due.since(now)) => {
@@ -205,7 +205,7 @@
     teller.is_close_due = false;
     worker
         .permits
-        .follow(listened.iter().map(|(relay, _)| *relay), &all);
+        .set_relay_order(listened.iter().map(|(relay, _)| *relay), &all);
     if is_all && now.since(teller.limits_at) >= REPEAT {
         teller.limits_at = now;
         let limited = worker.limits.borrow().limited();
@@ -306,7 +306,7 @@
             Ok(())
         }
         Message::Permit(permit) => {
-            worker.permits.answer(&permit);
+            worker.permits.handle_answer(&permit);
             Ok(())
         }
         Message::Suspects(suspects) => {
--- a/almondlock-gateway/src/failure.rs
+++ b/almondlock-gateway/src/failure.rs
@@ -63,7 +63,7 @@
 }
 
 /// What is known of a request after one attempt more.
-pub const fn merge(before: Ran, failure: Failure) -> Ran {
+pub const fn merge_ran(before: Ran, failure: Failure) -> Ran {
     match (before, failure.ran()) {
         (Ran::Yes, _) | (_, Ran::Yes) => Ran::Yes,
         (Ran::Unknown, _) | (_, Ran::Unknown) => Ran::Unknown,
@@ -73,12 +73,12 @@
 
 /// Whether the request may be sent to one more upstream. `ran` counts all
 /// attempts so far; `runs` those that may have run.
-pub fn may_repeat(kind: Kind, ran: Ran, runs: u32, attempts: u32) -> bool {
+pub fn may_retry(kind: Kind, ran: Ran, runs: u32, attempts: u32) -> bool {
     (ran == Ran::No || kind.is_idempotent()) && runs < attempts
 }
 
 /// The code for a caller whose request ends here.
-pub const fn code(ran: Ran, failure: Failure) -> Code {
+pub const fn result_code(ran: Ran, failure: Failure) -> Code {
     match (ran, failure) {
         (Ran::No, Failure::Unsent) => Code::NoUpstream,
         (Ran::No, Failure::Limited) => Code::UpstreamLimited,
--- a/almondlock-gateway/src/follow.rs
+++ b/almondlock-gateway/src/follow.rs
@@ -26,10 +26,10 @@
     let mut revisions = worker.node.view().watch();
     loop {
         revisions.mark_unchanged();
-        worker.known();
-        let job = worker.current.borrow().job();
+        worker.snapshot();
+        let job = worker.versions.borrow().job();
         match job {
-            Some(job) => read(&worker, job).await,
+            Some(job) => read_version(&worker, job).await,
             None if revisions.changed().await.is_err() => return,
             None => {}
         }
@@ -38,7 +38,7 @@
 
 /// Reads a version in slices. One that comes meanwhile waits: if it took this one's place,
 /// a quick series of versions would keep each of them from being in force.
-async fn read<D>(worker: &Worker<D>, mut job: Job)
+async fn read_version<D>(worker: &Worker<D>, mut job: Job)
 where
     D: Dialect,
 {
@@ -54,7 +54,7 @@
         };
         let now = clock::mono();
         pace.end(now);
-        let behind = worker.current.borrow().behind(now);
+        let behind = worker.versions.borrow().behind(now);
         if let Some(behind) = behind.filter(|_| !is_told) {
             is_told = true;
             tracing::warn!(
@@ -69,8 +69,8 @@
         }
         yield_now().await;
     };
-    worker.end(&job, result, pace.slices);
-    worker.take_in();
+    worker.finish_reading(&job, result, pace.slices);
+    worker.refresh_config();
 }
 
 impl<D> Worker<D>
@@ -79,21 +79,21 @@
 {
     /// What requests are served by once this document is seen. The first one of a process is
     /// read at once, since there is nothing to serve requests by until then.
-    pub(crate) fn rules(&self, document: &Document) -> Option<Arc<Rules>> {
+    pub(crate) fn rules_for(&self, document: &Document) -> Option<Arc<Rules>> {
         let job = {
-            let mut current = self.current.borrow_mut();
+            let mut current = self.versions.borrow_mut();
             current.see(clock::mono(), &self.dialect, document);
             current.job().filter(|_| current.is_first())
         };
         if let Some(mut job) = job {
             let result = job.reader.finish(&self.dialect);
-            self.end(&job, result, 1);
+            self.finish_reading(&job, result, 1);
         }
-        self.current.borrow().rules()
+        self.versions.borrow().rules()
     }
 
     /// A version was read, or can't be.
-    fn end(&self, job: &Job, result: Result<Version, Error>, slices: u32) {
+    fn finish_reading(&self, job: &Job, result: Result<Version, Error>, slices: u32) {
         let now = clock::mono();
         let version = job.reader.version();
         match &result {
@@ -102,7 +102,7 @@
             // version's text: the one in force stays.
             Err(error) => tracing::error!(version, %error, "configuration can't be read"),
         }
-        let mut current = self.current.borrow_mut();
+        let mut current = self.versions.borrow_mut();
         current.end(now, &self.dialect, version, result);
     }
 
--- a/almondlock-gateway/src/lease.rs
+++ b/almondlock-gateway/src/lease.rs
@@ -20,7 +20,7 @@
 };
 
 use crate::{
-    attempt::{CONNECT, Fault, recycle},
+    attempt::{CONNECT_TIMEOUT, Fault, recycle},
     dialect::{Call, Dialect},
     failure::Failure,
     memory::{self, Command, Outcome, Share},
@@ -31,7 +31,7 @@
 
 /// How long an engine may take to answer an order: a few ways there and back.
 /// Engines answer at once or, in trouble, not at all.
-const ANSWER: Duration = Duration::from_millis(400);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Between two orders to give memory back, where the first failed at once.
 const RELEASE_PAUSE: Duration = Duration::from_millis(100);
 
@@ -42,7 +42,7 @@
     id: String,
     tokens: u64,
     /// The engine may have it: an order was sent, and not refused.
-    asked: Cell<bool>,
+    may_be_held: Cell<bool>,
     /// An order for it is under way, or had no answer: it may still be carried
     /// out. Invariant: only if `asked`.
     uncertain: Cell<bool>,
@@ -65,7 +65,7 @@
 {
     /// Sets memory aside on all engines, or on none. On failure tells each engine
     /// that failed.
-    pub(crate) async fn take(
+    pub(crate) async fn acquire(
         worker: &Rc<Worker<D>>,
         request: &str,
         targets: &[Target],
@@ -79,7 +79,7 @@
             target: target.clone(),
             id: format!("{drawn:016x}-{i}"),
             tokens,
-            asked: Cell::new(false),
+            may_be_held: Cell::new(false),
             uncertain: Cell::new(false),
         });
         // Dropped half-way, as when the caller leaves, they are given back too.
@@ -89,12 +89,15 @@
             leases: leases.collect(),
             renewal: None,
         };
-        let orders = leases.leases.iter().map(|lease| lease.reserve(worker));
+        let orders = leases
+            .leases
+            .iter()
+            .map(|lease| lease.reserve_or_renew(worker));
         let outcomes = join_all(orders).await;
         let failed = leases.leases.iter().zip(&outcomes);
         let failed = failed.filter(|(_, outcome)| **outcome != Outcome::Done);
         let failed: Vec<Fault> = failed
-            .map(|(lease, outcome)| failure(lease, *outcome))
+            .map(|(lease, outcome)| reservation_fault(lease, *outcome))
             .collect();
         if !failed.is_empty() {
             return Err(failed);
@@ -118,17 +121,17 @@
         if let Some(renewal) = self.renewal.take() {
             renewal.abort();
         }
-        if !self.leases.iter().any(|lease| lease.asked.get()) {
+        if !self.leases.iter().any(|lease| lease.may_be_held.get()) {
             return;
         }
         let ended = Ended {
             request: Rc::clone(&self.request),
             leases: Rc::clone(&self.leases),
-            active: self.worker.shared.enter(),
+            active: self.worker.shared.count_active(),
         };
         // Without a receiver the process ends, and so does the memory, by
         // itself.
-        let _ = self.worker.ended.send(ended);
+        let _ = self.worker.ended_leases.send(ended);
     }
 }
 
@@ -142,7 +145,7 @@
 
 /// Gives back the memory of attempts that have ended. Apart from them, since a
 /// value that is dropped can't wait, nor begin a task while a process ends.
-pub(crate) async fn give_back<D>(worker: Rc<Worker<D>>, mut ended: UnboundedReceiver<Ended>)
+pub(crate) async fn release_ended<D>(worker: Rc<Worker<D>>, mut ended: UnboundedReceiver<Ended>)
 where
     D: Dialect,
 {
@@ -154,7 +157,7 @@
     {
         let worker = Rc::clone(&worker);
         spawn_local(async move {
-            let asked = leases.iter().filter(|lease| lease.asked.get());
+            let asked = leases.iter().filter(|lease| lease.may_be_held.get());
             join_all(asked.map(|lease| lease.release(&worker, &request))).await;
             drop(active);
             let uncertain = leases.iter().filter(|lease| lease.uncertain.get());
@@ -166,12 +169,12 @@
 impl Lease {
     /// Sets it aside, or renews it. Only what is set aside already is renewed on an upstream
     /// that wants nothing from this host: a request that runs there uses it.
-    async fn reserve<D>(&self, worker: &Worker<D>) -> Outcome
+    async fn reserve_or_renew<D>(&self, worker: &Worker<D>) -> Outcome
     where
         D: Dialect,
     {
         let is_closed = worker.backoff(clock::mono(), &self.target.name).is_some();
-        if is_closed && !self.asked.get() {
+        if is_closed && !self.may_be_held.get() {
             return Outcome::Unreached;
         }
         let order = Command::Reserve {
@@ -179,14 +182,14 @@
             tokens: self.tokens,
             duration: memory::lease_duration(worker.bounds.memory_hold),
         };
-        let was_asked = self.asked.replace(true);
+        let was_asked = self.may_be_held.replace(true);
         let was_uncertain = self.uncertain.replace(true);
-        let outcome = self.order(worker, &order).await;
+        let outcome = self.send_command(worker, &order).await;
         if outcome != Outcome::Unknown {
             self.uncertain.set(was_uncertain);
         }
         if matches!(outcome, Outcome::Refused | Outcome::Unreached) {
-            self.asked.set(was_asked);
+            self.may_be_held.set(was_asked);
         }
         outcome
     }
@@ -202,12 +205,12 @@
     {
         let order = Command::Release { id: &self.id };
         let until = clock::mono() + memory::lease_duration(worker.bounds.memory_hold);
-        while clock::mono() < until && !worker.is_over(&self.target) {
-            if let Some(pause) = self.pause(worker) {
+        while clock::mono() < until && !worker.has_restarted(&self.target) {
+            if let Some(pause) = self.backoff_left(worker) {
                 sleep(pause.min(until.since(clock::mono()))).await;
                 continue;
             }
-            match self.order(worker, &order).await {
+            match self.send_command(worker, &order).await {
                 Outcome::Done | Outcome::Refused => return,
                 Outcome::Unknown | Outcome::Unreached => sleep(RELEASE_PAUSE).await,
             }
@@ -232,27 +235,27 @@
         let until = clock::mono() + memory::MAX_EXECUTION_DELAY;
         while clock::mono() < until {
             sleep(memory::LATE_RELEASE_INTERVAL).await;
-            if self.pause(worker).is_none() {
-                self.order(worker, &order).await;
+            if self.backoff_left(worker).is_none() {
+                self.send_command(worker, &order).await;
             }
         }
     }
 
     /// What is left of a pause that the upstream has asked for. Memory that isn't given back
     /// meanwhile ends by itself.
-    fn pause<D>(&self, worker: &Worker<D>) -> Option<Duration>
+    fn backoff_left<D>(&self, worker: &Worker<D>) -> Option<Duration>
     where
         D: Dialect,
     {
         worker.backoff(clock::mono(), &self.target.name)?.left()
     }
 
-    async fn order<D>(&self, worker: &Worker<D>, order: &Command<'_>) -> Outcome
+    async fn send_command<D>(&self, worker: &Worker<D>, order: &Command<'_>) -> Outcome
     where
         D: Dialect,
     {
         let call = worker.dialect.encode_command(order);
-        match timeout(ANSWER, send(worker, &self.target, &call)).await {
+        match timeout(ANSWER_TIMEOUT, post(worker, &self.target, &call)).await {
             Ok(Ok(status)) => Outcome::from_status(status),
             Ok(Err(upstream::Error::Connect(_))) => Outcome::Unreached,
             Ok(Err(_)) | Err(_) => Outcome::Unknown,
@@ -260,7 +263,7 @@
     }
 }
 
-fn failure(lease: &Lease, outcome: Outcome) -> Fault {
+fn reservation_fault(lease: &Lease, outcome: Outcome) -> Fault {
     let (failure, what) = match outcome {
         Outcome::Unknown => (Failure::Unsent, "no answer"),
         Outcome::Unreached => (Failure::Rejected, "not reached"),
@@ -280,9 +283,11 @@
         sleep(pause).await;
         // An engine that has started again would set memory aside anew, which
         // nobody uses: the attempt that it was for ended with the earlier life.
-        let held = leases.iter().filter(|lease| !worker.is_over(&lease.target));
+        let held = leases
+            .iter()
+            .filter(|lease| !worker.has_restarted(&lease.target));
         let renewals = held.map(async |lease| {
-            let outcome = lease.reserve(&worker).await;
+            let outcome = lease.reserve_or_renew(&worker).await;
             if outcome != Outcome::Done {
                 tracing::warn!(
                     upstream = %lease.target.name, memory = %lease.id, ?outcome,
@@ -295,7 +300,7 @@
 }
 
 /// Sends an order and gives the status of its answer.
-async fn send<D>(worker: &Worker<D>, target: &Target, call: &Call) -> Result<u16, upstream::Error>
+async fn post<D>(worker: &Worker<D>, target: &Target, call: &Call) -> Result<u16, upstream::Error>
 where
     D: Dialect,
 {
@@ -303,7 +308,7 @@
     let pooled = worker.pool.borrow_mut().take(now, &target.name, true);
     let mut connection = match pooled {
         Some(connection) => connection,
-        None => Connection::open(target.address, CONNECT).await?,
+        None => Connection::open(target.address, CONNECT_TIMEOUT).await?,
     };
     let names = worker.dialect.names();
     let head = format!(
@@ -322,7 +327,7 @@
         id: (names.request_id.as_str(), b""),
     };
     let answer = connection.exchange(&outgoing).await?;
-    worker.hear_backoff(&target.name, &answer);
+    worker.apply_backoff_headers(&target.name, &answer);
     let status = answer.status;
     recycle(worker, &target.name, connection, &answer).await;
     Ok(status)
--- a/almondlock-gateway/src/limit.rs
+++ b/almondlock-gateway/src/limit.rs
@@ -13,16 +13,16 @@
     permit::Outcome,
     pick::Limited,
     request::Request,
-    response::HOP,
+    response::HOP_BY_HOP,
     upstream::Head,
     worker::{Target, Worker},
 };
 
 /// The most names of unread headers that are logged in a process's life.
-const UNREAD: usize = 32;
+const MAX_LOGGED_HEADERS: usize = 32;
 
 /// Headers of answers that are passed on and concern callers only.
-const COMMON: [&str; 5] = [
+const CALLER_HEADERS: [&str; 5] = [
     "cache-control",
     "content-encoding",
     "content-type",
@@ -39,9 +39,9 @@
     ///
     /// Only an answer that the upstream has sealed ends a limit: a rejection may come from
     /// before the part of it that knows.
-    pub(crate) fn hear_limit(&self, upstream: &Upstream, sent: Mono, head: &Head) {
+    pub(crate) fn apply_limit_header(&self, upstream: &Upstream, sent: Mono, head: &Head) {
         let names = self.dialect.names();
-        self.log_unread(upstream, head);
+        self.log_unknown_headers(upstream, head);
         let rate = match head.text(names.limit.as_str()) {
             None if head.get(names.seal.as_str()).is_none() => return,
             None => None,
@@ -56,7 +56,7 @@
         let notice = Notice::of(rate, sent, clock::mono());
         let key = Key::of(upstream);
         if self.learn_limit(key, notice, "answer") {
-            self.permits.note(key);
+            self.permits.note_change(key);
         }
     }
 
@@ -68,7 +68,7 @@
             let rate = notice.rate.map(Rate::per_second);
             let age = clock::mono().since(notice.at);
             tracing::info!(
-                upstream = %self.name(key), per_second = rate, source,
+                upstream = %self.upstream_name(key), per_second = rate, source,
                 age_ms = age.as_millis(), "limit changed"
             );
             self.shared.metrics.count("limit_changes", source);
@@ -81,23 +81,23 @@
         let at = clock::mono();
         let key = Key::of(upstream);
         if self.learn_limit(key, Notice { rate: None, at }, "start") {
-            self.permits.note(key);
+            self.permits.note_change(key);
         }
     }
 
     /// What bounds an upstream at present.
-    fn bound(&self, target: &Target) -> Option<Bound> {
+    fn bound_of(&self, target: &Target) -> Option<Bound> {
         let limits = self.limits.borrow();
-        if limits.is_empty() && target.cold.is_none() {
+        if limits.is_empty() && target.cold_limit.is_none() {
             return None;
         }
         let named = limits.notice(&Key::of(&target.name));
-        Bound::of(named, target.cold)
+        Bound::of(named, target.cold_limit)
     }
 
     /// How an upstream stands with what bounds it.
-    pub(crate) fn limited(&self, now: Mono, target: &Target) -> Limited {
-        match self.bound(target) {
+    pub(crate) fn limit_state(&self, now: Mono, target: &Target) -> Limited {
+        match self.bound_of(target) {
             None => Limited::No,
             Some(_) if self.permits.is_open(now, Key::of(&target.name)) => Limited::Open,
             Some(_) => Limited::Spent,
@@ -105,13 +105,13 @@
     }
 
     /// Asks for leave to send a request to an upstream. Given at once if nothing bounds it.
-    pub(crate) async fn permit(&self, request: &Request, target: &Target) -> bool {
+    pub(crate) async fn obtain_permit(&self, request: &Request, target: &Target) -> bool {
         let (upstream, key) = (&target.name, Key::of(&target.name));
         loop {
-            let Some(bound) = self.bound(target) else {
+            let Some(bound) = self.bound_of(target) else {
                 return true;
             };
-            let Some((relay, outcome)) = self.permits.ask(key, &bound).await else {
+            let Some((relay, outcome)) = self.permits.request_permit(key, &bound).await else {
                 return false;
             };
             let wait = match outcome {
@@ -130,40 +130,40 @@
             if outcome == Outcome::Granted {
                 return true;
             }
-            if request.left(now).is_zero() {
+            if request.time_left(now).is_zero() {
                 return false;
             }
         }
     }
 
     /// When a caller comes back that found every upstream of its service at its limit.
-    pub(crate) fn limit_returns(&self, request: &Request, now: Mono) -> Duration {
-        let known = self.known();
+    pub(crate) fn limit_retry_after(&self, request: &Request, now: Mono) -> Duration {
+        let known = self.snapshot();
         let targets = known.instances.get(&request.service);
         let targets = targets.into_iter().flatten();
         let keys = targets.clone().map(|target| Key::of(&target.name));
-        let opens = keys.map(|key| self.permits.opens(now, key)).min();
-        let bounds = targets.filter_map(|target| self.bound(target));
+        let opens = keys.map(|key| self.permits.time_until_open(now, key)).min();
+        let bounds = targets.filter_map(|target| self.bound_of(target));
         let rate = bounds.map(|bound| bound.rate()).sum();
         let hosts = self.load.borrow().hosts(now).saturating_add(1);
         let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
-        let (opens, patience) = (opens.unwrap_or_default(), request.left(now));
+        let (opens, patience) = (opens.unwrap_or_default(), request.time_left(now));
         let share = (rate, hosts);
         self.permits
-            .returns(now, &request.service, opens, share, patience)
+            .retry_after(now, &request.service, opens, share, patience)
     }
 
     /// Forgets the limits of upstreams that are gone.
     pub(crate) fn sweep_limits(&self) {
-        let known = self.upstreams();
+        let known = self.upstreams_by_key();
         self.limits
             .borrow_mut()
             .retain(|key| known.contains_key(key));
     }
 
     /// The name of an upstream, for logs.
-    fn name(&self, key: Key) -> Arc<str> {
-        let names = self.upstreams();
+    fn upstream_name(&self, key: Key) -> Arc<str> {
+        let names = self.upstreams_by_key();
         match names.get(&key) {
             Some(name) => Arc::from(name.as_str()),
             None => Arc::from(key.to_string()),
@@ -172,16 +172,16 @@
 
     /// Logs each header that nobody reads, once: it may be a part of the protocol that
     /// this version doesn't know.
-    fn log_unread(&self, upstream: &Upstream, head: &Head) {
+    fn log_unknown_headers(&self, upstream: &Upstream, head: &Head) {
         let names = self.dialect.names();
         for (name, value) in &head.headers {
-            let mut passed_on = HOP.iter().chain(&COMMON);
+            let mut passed_on = HOP_BY_HOP.iter().chain(&CALLER_HEADERS);
             if names.is_read(name) || passed_on.any(|known| name.eq_ignore_ascii_case(known)) {
                 continue;
             }
             let name = name.to_ascii_lowercase();
-            let mut unread = self.unread.borrow_mut();
-            if unread.len() >= UNREAD || !unread.insert(name.as_str().into()) {
+            let mut unread = self.logged_headers.borrow_mut();
+            if unread.len() >= MAX_LOGGED_HEADERS || !unread.insert(name.as_str().into()) {
                 continue;
             }
             let value = String::from_utf8_lossy(value);
--- a/almondlock-gateway/src/outgoing.rs
+++ b/almondlock-gateway/src/outgoing.rs
@@ -14,7 +14,7 @@
 };
 
 /// Where a request goes.
-pub(crate) struct Placed<'a> {
+pub(crate) struct Destination<'a> {
     pub(crate) targets: &'a [Target],
     /// Its numbers are places in the list of targets.
     pub(crate) choice: &'a Choice,
@@ -22,7 +22,7 @@
     pub(crate) memory: &'a [String],
 }
 
-impl Placed<'_> {
+impl Destination<'_> {
     /// The engines that read parts of the prompt, those with memory first. The one
     /// that answers reads too; it is named only for its memory.
     fn helpers<D>(&self, dialect: &D) -> String
@@ -44,10 +44,10 @@
 }
 
 /// Writes the head.
-pub(crate) fn head<D>(
+pub(crate) fn write_head<D>(
     worker: &Worker<D>,
     request: &Request,
-    placed: &Placed<'_>,
+    placed: &Destination<'_>,
     after: Option<u64>,
     now: Mono,
 ) -> Vec<u8>
@@ -60,7 +60,7 @@
     put(&[
         request.method.as_str().as_bytes(),
         b" ",
-        request.target.as_bytes(),
+        request.path_and_query.as_bytes(),
         b" HTTP/1.1\r\n",
     ]);
     put(&[b"host: ", request.host.as_bytes(), b"\r\n"]);
@@ -73,7 +73,10 @@
     let mut set = |name: &HeaderName, value: &str| {
         put(&[name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"]);
     };
-    set(&names.deadline, &request.left(now).as_millis().to_string());
+    set(
+        &names.deadline,
+        &request.time_left(now).as_millis().to_string(),
+    );
     if let Some(target) = placed.targets.get(placed.choice.first) {
         set(&names.instance, target.name.as_str());
     }
--- a/almondlock-gateway/src/pace.rs
+++ b/almondlock-gateway/src/pace.rs
@@ -159,7 +159,7 @@
         }
         let next = now + REVIEW;
         self.pacing.due.borrow_mut().insert(service.clone(), next);
-        let known = self.known();
+        let known = self.snapshot();
         let targets = known.instances.get(service).into_iter().flatten();
         let members: Vec<Upstream> = targets.map(|target| target.name.clone()).collect();
         let mut rng = self.rng.borrow_mut();
@@ -202,12 +202,12 @@
         if !self.pacing.table.borrow().has_ejected()
             || !request.route.kind.is_idempotent()
             || request.route.attempts < 2
-            || request.after.is_some()
-            || request.left(now) < needed
+            || request.last_event.is_some()
+            || request.time_left(now) < needed
         {
             return None;
         }
-        let known = self.known();
+        let known = self.snapshot();
         let rules = known.rules.as_ref()?;
         let speed = rules.service(&request.service)?.engine.as_ref();
         let engine = speed.zip(request.demand);
@@ -282,7 +282,7 @@
         waited: Duration,
     ) {
         let now = clock::mono();
-        let known = self.known();
+        let known = self.snapshot();
         let rules = known.rules.as_ref();
         let speed = rules.and_then(|rules| rules.service(&request.service)?.engine.as_ref());
         let Some(speed) = speed else {
@@ -310,7 +310,9 @@
             Failure::Limited | Failure::Misdirected => return,
             Failure::Silent if !is_silent || table.doubt.is_late(now) => return,
             // It asks for a pause: it says itself that it is busy.
-            Failure::Rejected if broken.elsewhere || self.backoff(now, upstream).is_some() => {
+            Failure::Rejected
+                if broken.is_other_upstream || self.backoff(now, upstream).is_some() =>
+            {
                 return;
             }
             Failure::Answered => match &broken.answer {
@@ -340,7 +342,7 @@
     pub(crate) fn own_paces(&self, now: Mono) -> Vec<Pace> {
         let report = self.pacing.table.borrow_mut().report(now);
         let paces = report.iter().filter_map(|(upstream, account)| {
-            let birth = self.known_birth(upstream)?;
+            let birth = self.birth_of(upstream)?;
             Some(Pace::of(now, Key::of(upstream), birth, account))
         });
         paces.take(PACES).collect()
@@ -351,16 +353,16 @@
         if !self.features.observed_pace {
             return;
         }
-        let names = self.upstreams();
+        let names = self.upstreams_by_key();
         let accounts = paces.iter().filter_map(|pace| {
             let name = names.get(&pace.key)?;
-            let is_alive = self.known_birth(name) == Some(pace.birth);
+            let is_alive = self.birth_of(name) == Some(pace.birth);
             is_alive.then(|| (name.clone(), pace.account(now)))
         });
         let accounts: HashMap<Upstream, Account> = accounts.collect();
         self.pacing.table.borrow_mut().hear(now, accounts);
         // Also without requests: what others observed is news for three seconds only.
-        for service in self.known().instances.keys() {
+        for service in self.snapshot().instances.keys() {
             self.review_pace(now, service);
         }
     }
--- a/almondlock-gateway/src/permit.rs
+++ b/almondlock-gateway/src/permit.rs
@@ -24,7 +24,7 @@
 
 /// How long a relay may take to answer: a way there and back, and a turn of its process.
 /// A part of the shortest objectives.
-const ANSWER: Duration = Duration::from_millis(30);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// What came of asking a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,22 +56,22 @@
     waits: RefCell<Waits<Key, SocketAddr>>,
     /// Who waits for the answer to which question. Invariant: a question that was given up
     /// is not here, so that its permit is used by nobody.
-    asked: RefCell<HashMap<u32, oneshot::Sender<Permit>>>,
-    last: Cell<u32>,
+    pending: RefCell<HashMap<u32, oneshot::Sender<Permit>>>,
+    last_number: Cell<u32>,
     returns: RefCell<HashMap<Service, Returns>>,
     /// Upstreams whose limits this host saw change, for the relays.
-    news: RefCell<BTreeSet<Key>>,
-    noticed: Notify,
+    changed: RefCell<BTreeSet<Key>>,
+    change_signal: Notify,
 }
 
 impl Permits {
     /// Sends questions on this socket from now on.
-    pub(crate) fn connect(&self, socket: Rc<UdpSocket>) {
+    pub(crate) fn set_socket(&self, socket: Rc<UdpSocket>) {
         *self.socket.borrow_mut() = Some(socket);
     }
 
     /// Asks relays in this order from now on: those that are listened to, then the others.
-    pub(crate) fn follow<I>(&self, listened: I, all: &[SocketAddr])
+    pub(crate) fn set_relay_order<I>(&self, listened: I, all: &[SocketAddr])
     where
         I: Iterator<Item = SocketAddr>,
     {
@@ -83,18 +83,18 @@
     }
 
     /// This host saw a limit change.
-    pub(crate) fn note(&self, key: Key) {
-        self.news.borrow_mut().insert(key);
-        self.noticed.notify_one();
+    pub(crate) fn note_change(&self, key: Key) {
+        self.changed.borrow_mut().insert(key);
+        self.change_signal.notify_one();
     }
 
     /// Waits until a limit has changed.
-    pub(crate) async fn noticed(&self) {
-        self.noticed.notified().await;
+    pub(crate) async fn wait_for_change(&self) {
+        self.change_signal.notified().await;
     }
 
-    pub(crate) fn take_news(&self) -> Vec<Key> {
-        self.news.take().into_iter().collect()
+    pub(crate) fn take_changed(&self) -> Vec<Key> {
+        self.changed.take().into_iter().collect()
     }
 
     /// Whether a relay may have a permit now.
@@ -104,12 +104,12 @@
     }
 
     /// When a relay may have a permit.
-    pub(crate) fn opens(&self, now: Mono, key: Key) -> Duration {
+    pub(crate) fn time_until_open(&self, now: Mono, key: Key) -> Duration {
         self.waits.borrow().opens(now, &key, &self.relays.borrow())
     }
 
     /// When a caller comes back that found every upstream of a service at its limit.
-    pub(crate) fn returns(
+    pub(crate) fn retry_after(
         &self,
         now: Mono,
         service: &Service,
@@ -123,8 +123,8 @@
     }
 
     /// Takes in a relay's answer.
-    pub(crate) fn answer(&self, permit: &Permit) {
-        if let Some(waiting) = self.asked.borrow_mut().remove(&permit.number) {
+    pub(crate) fn handle_answer(&self, permit: &Permit) {
+        if let Some(waiting) = self.pending.borrow_mut().remove(&permit.number) {
             // Whoever waited may have left: then the permit is used by nobody.
             let _ = waiting.send(*permit);
         }
@@ -132,23 +132,27 @@
 
     /// Asks a relay that may have one for a permit to send one request. None: there is no
     /// such relay.
-    pub(crate) async fn ask(&self, key: Key, bound: &Bound) -> Option<(SocketAddr, Outcome)> {
+    pub(crate) async fn request_permit(
+        &self,
+        key: Key,
+        bound: &Bound,
+    ) -> Option<(SocketAddr, Outcome)> {
         let now = clock::mono();
         let socket = self.socket.borrow().clone()?;
         let relays = self.relays.borrow().clone();
         let relay = self.waits.borrow().next(now, &key, &relays)?;
-        let number = self.last.get().wrapping_add(1);
-        self.last.set(number);
+        let number = self.last_number.get().wrapping_add(1);
+        self.last_number.set(number);
         let (sender, answer) = oneshot::channel();
-        self.asked.borrow_mut().insert(number, sender);
+        self.pending.borrow_mut().insert(number, sender);
         let ask = Ask {
             number,
             limit: Limit::of(now, key, &bound.named.unwrap_or(Notice::NONE)),
             cold: bound.cold,
         };
         send(&socket, relay, &Message::Ask(ask)).await;
-        let answer = timeout(ANSWER, answer).await;
-        self.asked.borrow_mut().remove(&number);
+        let answer = timeout(ANSWER_TIMEOUT, answer).await;
+        self.pending.borrow_mut().remove(&number);
         let outcome = match answer {
             Ok(Ok(Permit { wait_ms: None, .. })) => Outcome::Granted,
             Ok(Ok(Permit {
--- a/almondlock-gateway/src/placement.rs
+++ b/almondlock-gateway/src/placement.rs
@@ -17,7 +17,7 @@
     failure::Failure,
     lease::Leases,
     pick::{self, Candidate, Choice, Lack},
-    request::{History, Request, note},
+    request::{History, Request, record_failure},
     resources::Resources,
     slots::{Grant, Question, Waiter},
     startup,
@@ -26,20 +26,20 @@
 
 /// How often others are chosen for engines that have no memory to give. Each time takes
 /// a way there and back.
-const PLACEMENTS: usize = 4;
+const MAX_PLACEMENTS: usize = 4;
 /// The part of its objective within which a request asks for memory on the engine that
 /// answers. Engines that leave orders unanswered take most of that.
-const ASKING_SHARE: f64 = 0.25;
+const RESERVATION_FRACTION: f64 = 0.25;
 
 /// How a placement ends that doesn't fail.
-pub(crate) enum Placed<D>
+pub(crate) enum Placement<D>
 where
     D: Dialect,
 {
     /// The attempt is sent.
-    Sent(Choice, Box<Resources<D>>),
+    Send(Choice, Box<Resources<D>>),
     /// It waits for a slot, and is then placed anew.
-    Waits(Waiter<D>),
+    Wait(Waiter<D>),
 }
 
 /// What was found out while an attempt is placed.
@@ -52,7 +52,7 @@
     /// How often memory was asked for in vain.
     placements: usize,
     /// How often leave to send was asked for in vain.
-    questions: usize,
+    permit_requests: usize,
 }
 
 impl Search {
@@ -60,17 +60,22 @@
     /// prompt when a stream of its own has ended.
     fn is_last(&self, request: &Request, now: Mono) -> bool {
         let spent = now.since(request.arrived);
-        let is_over = spent > request.route.objective.mul_f64(ASKING_SHARE);
-        self.placements == PLACEMENTS || self.placements > 0 && is_over
+        let is_over = spent > request.route.objective.mul_f64(RESERVATION_FRACTION);
+        self.placements == MAX_PLACEMENTS || self.placements > 0 && is_over
     }
 
     /// Some had no memory to give.
-    fn note<D>(&mut self, worker: &Worker<D>, request: &Request, failed: Vec<Fault>, attempt: usize)
-    where
+    fn record_refusals<D>(
+        &mut self,
+        worker: &Worker<D>,
+        request: &Request,
+        failed: Vec<Fault>,
+        attempt: usize,
+    ) where
         D: Dialect,
     {
         for fault in failed {
-            note(worker, request, &fault, attempt);
+            record_failure(worker, request, &fault, attempt);
             if fault.failure == Failure::Unsent {
                 self.silent.extend(fault.upstream.clone());
             }
@@ -94,13 +99,13 @@
     history: &History,
     targets: &[Target],
     (after, grant): (Option<u64>, Option<&Grant>),
-) -> Result<Placed<D>, Fault>
+) -> Result<Placement<D>, Fault>
 where
     D: Dialect,
 {
     let is_new = history.tried.is_empty() && after.is_none();
     if is_new {
-        startup::settle(worker, request).await;
+        startup::wait_after_start(worker, request).await;
     }
     let mut search = Search::default();
     loop {
@@ -121,13 +126,13 @@
             .flatten();
         let is_probe = probe.is_some();
         let choice = probe.map_or_else(|| choose(worker, request, &candidates), Ok);
-        let mut choice = choice.map_err(|lack| refused_for(worker, request, lack, now))?;
+        let mut choice = choice.map_err(|lack| refuse(worker, request, lack, now))?;
         if is_last {
             choice.shares.retain(|share| share.place != choice.first);
         }
         let verdict = match is_probe {
             true => Verdict::Send,
-            false => admit(
+            false => admit_to_slot(
                 worker,
                 request,
                 (targets, &candidates),
@@ -139,49 +144,49 @@
         match verdict {
             Verdict::Send => {}
             Verdict::Wait(ticket) => {
-                return Ok(Placed::Waits(Waiter::new(worker, request, ticket)));
+                return Ok(Placement::Wait(Waiter::new(worker, request, ticket)));
             }
             Verdict::Refuse { returns } => {
                 return Err(Fault {
-                    returns: Some(returns),
+                    retry_after: Some(returns),
                     ..Fault::new(Failure::Unsent, None, "too many wait for a slot")
                 });
             }
         }
-        let refused = refusal(worker, request, (targets, &choice), now);
+        let refused = admission_fault(worker, request, (targets, &choice), now);
         if let Some(refused) = refused.filter(|_| is_new) {
-            worker.note_refused(request, Resource::Reading, now, refused.returns);
+            worker.note_refused(request, Resource::Reading, now, refused.retry_after);
             return Err(refused);
         }
         let first = targets.get(choice.first);
-        let first = first.ok_or_else(|| lacking(Lack::Upstream))?;
-        if !worker.permit(request, first).await {
+        let first = first.ok_or_else(|| lack_fault(Lack::Upstream))?;
+        if !worker.obtain_permit(request, first).await {
             // It is known as spent from now on, so that another one is chosen.
-            search.questions += 1;
-            if search.questions > targets.len() {
-                return Err(refused_for(worker, request, Lack::Limit, clock::mono()));
+            search.permit_requests += 1;
+            if search.permit_requests > targets.len() {
+                return Err(refuse(worker, request, Lack::Limit, clock::mono()));
             }
             continue;
         }
         let resources = Resources::new(worker, request, targets, &choice, now);
         if choice.shares.is_empty() {
-            return Ok(Placed::Sent(choice, Box::new(resources)));
+            return Ok(Placement::Send(choice, Box::new(resources)));
         }
-        match Leases::take(worker, &request.id, targets, &choice.shares).await {
+        match Leases::acquire(worker, &request.id, targets, &choice.shares).await {
             Ok(leases) => {
-                resources.keep(leases);
-                return Ok(Placed::Sent(choice, Box::new(resources)));
+                resources.attach_leases(leases);
+                return Ok(Placement::Send(choice, Box::new(resources)));
             }
-            Err(failed) => search.note(worker, request, failed, history.tried.len()),
+            Err(failed) => search.record_refusals(worker, request, failed, history.tried.len()),
         }
         if is_last {
-            return Err(lacking(Lack::Memory));
+            return Err(lack_fault(Lack::Memory));
         }
     }
 }
 
 /// Refused because something is missing. For a limit it is known when to come back.
-fn refused_for<D>(worker: &Worker<D>, request: &Request, lack: Lack, now: Mono) -> Fault
+fn refuse<D>(worker: &Worker<D>, request: &Request, lack: Lack, now: Mono) -> Fault
 where
     D: Dialect,
 {
@@ -190,20 +195,20 @@
         worker.note_refused(request, Resource::Reading, now, None);
     }
     match lack {
-        Lack::Upstream | Lack::Memory | Lack::Backoff => lacking(lack),
+        Lack::Upstream | Lack::Memory | Lack::Backoff => lack_fault(lack),
         Lack::Limit => Fault {
-            returns: Some(worker.limit_returns(request, now)),
+            retry_after: Some(worker.limit_retry_after(request, now)),
             ..Fault::new(Failure::Limited, None, lack)
         },
     }
 }
 
-pub(crate) fn lacking(lack: Lack) -> Fault {
+pub(crate) fn lack_fault(lack: Lack) -> Fault {
     Fault::new(Failure::Unsent, None, lack)
 }
 
 /// Whether a prompt would be late, or the engines' time does more for others.
-fn refusal<D>(
+fn admission_fault<D>(
     worker: &Worker<D>,
     request: &Request,
     (targets, choice): (&[Target], &Choice),
@@ -212,14 +217,14 @@
 where
     D: Dialect,
 {
-    let known = worker.known();
+    let known = worker.snapshot();
     let service = known
         .rules
         .as_ref()
         .and_then(|rules| rules.service(&request.service));
     let engine = service.and_then(|service| service.engine.as_ref());
     let (speed, demand) = (engine?, request.demand?);
-    let backlog = worker.backlog(now, &request.service, choice);
+    let backlog = worker.mean_backlog(now, &request.service, choice);
     let case = admission::Case {
         prompt: demand.prompt,
         objective: request.route.objective,
@@ -239,13 +244,13 @@
     let reason =
         format!("first event expected in {expected} ms, mean backlog over a second {backlog} ms");
     Some(Fault {
-        returns: Some(returns),
+        retry_after: Some(returns),
         ..Fault::new(Failure::Unsent, None, reason)
     })
 }
 
 /// Whether a short prompt gets a slot now.
-fn admit<D>(
+fn admit_to_slot<D>(
     worker: &Worker<D>,
     request: &Request,
     (targets, candidates): (&[Target], &[Candidate]),
@@ -260,7 +265,7 @@
     if !worker.features.slot_admission || !is_short {
         return Verdict::Send;
     }
-    let known = worker.known();
+    let known = worker.snapshot();
     let rules = known.rules.as_ref();
     let service = rules.and_then(|rules| rules.service(&request.service));
     let Some(speed) = service.and_then(|service| service.engine.as_ref()) else {
@@ -285,7 +290,7 @@
 where
     D: Dialect,
 {
-    let known = worker.known();
+    let known = worker.snapshot();
     let rules = known.rules.as_ref();
     let service = rules.and_then(|rules| rules.service(&request.service));
     let service = service.ok_or(Lack::Upstream)?;
--- a/almondlock-gateway/src/pool.rs
+++ b/almondlock-gateway/src/pool.rs
@@ -11,15 +11,15 @@
 use crate::upstream::Connection;
 
 /// A connection is idle no longer than this, if the upstream says nothing.
-const IDLE: Duration = Duration::from_secs(4);
+const MAX_IDLE: Duration = Duration::from_secs(4);
 /// Upstreams close this much earlier than they say: their clock started when
 /// they sent the answer, and a request takes time to arrive.
-const MARGIN: Duration = Duration::from_millis(800);
+const CLOSE_MARGIN: Duration = Duration::from_millis(800);
 /// A request that may not be repeated uses a connection only if it was active
 /// this short a time ago, when it can hardly have gone silent meanwhile.
-const FRESH: Duration = Duration::from_millis(500);
+const MAX_IDLE_UNREPEATABLE: Duration = Duration::from_millis(500);
 /// Idle connections kept for one instance.
-const KEPT: usize = 24;
+const MAX_IDLE_CONNECTIONS: usize = 24;
 
 /// Idle connections.
 #[derive(Debug, Default)]
@@ -33,11 +33,11 @@
         let idle = self.idle.get_mut(instance)?;
         while let Some(mut connection) = idle.pop() {
             let age = now.since(connection.idle_since);
-            let kept = connection.idle.unwrap_or(IDLE).min(IDLE);
-            if age > kept.saturating_sub(MARGIN) || !connection.is_clean() {
+            let kept = connection.idle_timeout.unwrap_or(MAX_IDLE).min(MAX_IDLE);
+            if age > kept.saturating_sub(CLOSE_MARGIN) || !connection.is_clean() {
                 continue;
             }
-            if once && age > FRESH {
+            if once && age > MAX_IDLE_UNREPEATABLE {
                 return None;
             }
             return Some(connection);
@@ -47,9 +47,9 @@
 
     /// Puts a connection back.
     pub fn put(&mut self, now: Mono, instance: &Upstream, mut connection: Connection) {
-        connection.rest(now);
+        connection.mark_idle(now);
         let idle = self.idle.entry(instance.clone()).or_default();
-        if idle.len() < KEPT {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
@@ -66,7 +66,7 @@
         F: Fn(&Upstream) -> bool,
     {
         self.idle.retain(|instance, idle| {
-            idle.retain(|connection| now.since(connection.idle_since) < IDLE);
+            idle.retain(|connection| now.since(connection.idle_since) < MAX_IDLE);
             is_known(instance) && !idle.is_empty()
         });
     }
--- a/almondlock-gateway/src/request.rs
+++ b/almondlock-gateway/src/request.rs
@@ -19,40 +19,40 @@
 use tokio::time::timeout;
 
 use crate::{
-    attempt::{Fault, Run, WHOLE_LIMIT, attempt, keep, patient},
+    attempt::{Fault, MAX_BODY_BYTES, Run, attempt, return_to_pool, wait_or_give_up},
     dialect::Dialect,
     event::Splitter,
     failure::{self, Failure},
     pick::Demand,
     rules::{Organisation, Route},
-    shared::SPREAD,
+    shared::RETRY_SPREAD_FRACTION,
     stream::Stream,
     upstream::{self, Connection, Head},
     worker::Worker,
 };
 
 /// Attempts in all, also of those that provably did not run.
-const TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 /// Callers leave a stream that pauses this long in any case.
-const CALLERS_PATIENCE: Duration = Duration::from_secs(2);
+const CALLER_PATIENCE: Duration = Duration::from_secs(2);
 /// Of a caller's patience, the part after which a silent upstream is given up,
 /// so that another one can still answer in time.
-const GIVE_UP_SHARE: f64 = 0.6;
+const GIVE_UP_FRACTION: f64 = 0.6;
 /// The last rank at an engine.
-pub(crate) const LAST: u32 = 9;
+pub(crate) const LAST_RANK: u32 = 9;
 /// When to come back after a refusal at the least: a few passes of an engine.
-const RETRY_LEAST: Duration = Duration::from_millis(150);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 
 /// The part of its time after which a caller comes back at the latest. What is left
 /// has to do for the answer.
-const RETRY_SHARE: f64 = 1.0 / 3.0;
+const MAX_RETRY_FRACTION: f64 = 1.0 / 3.0;
 
 /// A request as it is handed on.
 pub(crate) struct Request {
     pub(crate) id: Arc<str>,
     pub(crate) method: Method,
     /// Path and query, as they came.
-    pub(crate) target: String,
+    pub(crate) path_and_query: String,
     pub(crate) host: String,
     /// The headers that are handed on unchanged.
     pub(crate) headers: Vec<(HeaderName, HeaderValue)>,
@@ -62,28 +62,26 @@
     pub(crate) organisation: Option<Arc<Organisation>>,
     pub(crate) arrived: Mono,
     /// When its time is over: the caller's, or the route's.
-    pub(crate) until: Mono,
+    pub(crate) deadline: Mono,
     pub(crate) demand: Option<Demand>,
     /// The last event that the caller has.
-    pub(crate) after: Option<u64>,
+    pub(crate) last_event: Option<u64>,
 }
 
 impl Request {
-    pub(crate) fn left(&self, now: Mono) -> Duration {
-        self.until.since(now)
+    pub(crate) fn time_left(&self, now: Mono) -> Duration {
+        self.deadline.since(now)
     }
 
     /// How long an upstream may be silent before another one is tried. Callers
     /// leave after a gap of a few objectives or pauses.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn silence_timeout(&self) -> Duration {
         let pause = match self.route.kind {
             crate::rules::Kind::Stream { pause, .. } => pause,
             _ => Duration::ZERO,
         };
-        let gap = CALLERS_PATIENCE
-            .max(self.route.objective * 4)
-            .max(pause * 8);
-        gap.mul_f64(GIVE_UP_SHARE)
+        let gap = CALLER_PATIENCE.max(self.route.objective * 4).max(pause * 8);
+        gap.mul_f64(GIVE_UP_FRACTION)
     }
 
     /// Its rank at an engine, 0 to 9: each doubling of the objective is one
@@ -101,7 +99,7 @@
     fn rank(&self, priority: u32) -> u32 {
         let hundreds = u32::try_from(self.route.objective.as_millis() / 100).unwrap_or(u32::MAX);
         let rank = hundreds.checked_ilog2().unwrap_or(0);
-        (rank + priority.saturating_sub(1)).min(LAST)
+        (rank + priority.saturating_sub(1)).min(LAST_RANK)
     }
 }
 
@@ -145,8 +143,8 @@
         self.ran.unwrap_or(Ran::No)
     }
 
-    fn note(&mut self, fault: &mut Fault) {
-        self.ran = Some(failure::merge(self.ran(), fault.failure));
+    fn record(&mut self, fault: &mut Fault) {
+        self.ran = Some(failure::merge_ran(self.ran(), fault.failure));
         self.runs += u32::from(fault.failure.ran() != Ran::No);
         self.tried.extend(fault.upstream.clone());
         if matches!(fault.failure, Failure::Rejected | Failure::Misdirected) {
@@ -167,15 +165,15 @@
     D: Dialect,
 {
     let mut history = History::default();
-    worker.request(request.arrived, &request.service);
+    worker.count_request(request.arrived, &request.service);
     if let Some(end) = worker.refuse_suspect(&request, clock::mono()) {
         return Err(end);
     }
     loop {
         let begun = clock::mono();
-        let mut fault = match attempt(&worker, &request, &history, request.after).await {
+        let mut fault = match attempt(&worker, &request, &history, request.last_event).await {
             Ok(run) if request.route.kind.is_stream() => {
-                match begin(&worker, &request, run).await {
+                match begin_stream(&worker, &request, run).await {
                     Ok(mut stream) => {
                         history.runs += 1;
                         stream.history = history;
@@ -184,7 +182,7 @@
                     Err(fault) => fault,
                 }
             }
-            Ok(run) => match whole(&worker, &request, run).await {
+            Ok(run) => match read_response(&worker, &request, run).await {
                 Ok(whole) => {
                     worker.clear_suspect(&request);
                     return Ok(Answer::Complete(whole));
@@ -195,10 +193,10 @@
         };
         worker.blame(&request, &fault, begun);
         worker.observe_failure(&request, &fault, begun);
-        history.note(&mut fault);
+        history.record(&mut fault);
         let now = clock::mono();
-        note(&worker, &request, &fault, history.tried.len());
-        if fault.upstream.is_none() || !again(&worker, &request, &history, &fault, now) {
+        record_failure(&worker, &request, &fault, history.tried.len());
+        if fault.upstream.is_none() || !may_try_again(&worker, &request, &history, &fault, now) {
             return finish(&worker, &request, history, &fault, now);
         }
     }
@@ -206,14 +204,18 @@
 
 /// Logs a failed attempt, and passes its upstream over from now on if it is to
 /// blame.
-pub(crate) fn note<D>(worker: &Worker<D>, request: &Request, fault: &Fault, attempt: usize)
-where
+pub(crate) fn record_failure<D>(
+    worker: &Worker<D>,
+    request: &Request,
+    fault: &Fault,
+    attempt: usize,
+) where
     D: Dialect,
 {
     if let Some(upstream) = &fault.upstream
         && fault.failure.blames_upstream()
     {
-        worker.suspect(clock::mono(), upstream);
+        worker.mark_suspect(clock::mono(), upstream);
     }
     let upstream = fault.upstream.as_ref().map_or("none", Upstream::as_str);
     let failure = fault.failure.as_str();
@@ -221,13 +223,13 @@
     tracing::info!(
         request = %request.id, %upstream, attempt, failure, reason = %fault.reason,
         spent_ms = clock::mono().since(request.arrived).as_millis(),
-        left_ms = request.left(clock::mono()).as_millis(),
+        left_ms = request.time_left(clock::mono()).as_millis(),
         "attempt failed"
     );
 }
 
 /// Whether one more attempt is safe, of use and affordable.
-fn again<D>(
+fn may_try_again<D>(
     worker: &Worker<D>,
     request: &Request,
     history: &History,
@@ -241,10 +243,10 @@
     let refused = answered && history.answer.as_ref().is_some_and(|a| a.head.status < 500);
     let kind = request.route.kind;
     !refused
-        && history.tried.len() < TRIES
-        && !request.left(now).is_zero()
-        && failure::may_repeat(kind, history.ran(), history.runs, request.route.attempts)
-        && (is_paid(fault.failure) || worker.afford(now, &request.service))
+        && history.tried.len() < MAX_ATTEMPTS
+        && !request.time_left(now).is_zero()
+        && failure::may_retry(kind, history.ran(), history.runs, request.route.attempts)
+        && (is_paid(fault.failure) || worker.try_take_retry(now, &request.service))
 }
 
 /// Whether another attempt costs nothing more: nothing has reached an upstream,
@@ -270,11 +272,11 @@
     if let Some(whole) = history.answer {
         return Ok(Answer::Complete(whole));
     }
-    let mut code = failure::code(ran, fault.failure);
-    if ran == Ran::No && request.left(now).is_zero() {
+    let mut code = failure::result_code(ran, fault.failure);
+    if ran == Ran::No && request.time_left(now).is_zero() {
         code = Code::DeadlineUnreachable;
     }
-    let retry_after = (ran == Ran::No).then(|| worker.retry_after(request, fault.returns, now));
+    let retry_after = (ran == Ran::No).then(|| worker.retry_after(request, fault.retry_after, now));
     Err(Refusal { code, retry_after })
 }
 
@@ -292,13 +294,13 @@
         now: Mono,
     ) -> Duration {
         let wait = returns.unwrap_or_else(|| self.shortest_wait(request, now));
-        let spread = 1.0 + self.rng.borrow_mut().random::<f64>() * SPREAD;
-        let wait = wait.max(RETRY_LEAST).mul_f64(spread);
-        wait.min(request.left(now).mul_f64(RETRY_SHARE))
+        let spread = 1.0 + self.rng.borrow_mut().random::<f64>() * RETRY_SPREAD_FRACTION;
+        let wait = wait.max(MIN_RETRY_AFTER).mul_f64(spread);
+        wait.min(request.time_left(now).mul_f64(MAX_RETRY_FRACTION))
     }
 
     fn shortest_wait(&self, request: &Request, now: Mono) -> Duration {
-        let known = self.known();
+        let known = self.snapshot();
         let targets = known.instances.get(&request.service);
         let waits = targets.into_iter().flatten().filter_map(|target| {
             let pause = match self.backoff(now, &target.name) {
@@ -314,14 +316,18 @@
 }
 
 /// Reads the whole body of an answer that is no stream.
-async fn whole<D>(worker: &Worker<D>, request: &Request, mut run: Run<D>) -> Result<Response, Fault>
+async fn read_response<D>(
+    worker: &Worker<D>,
+    request: &Request,
+    mut run: Run<D>,
+) -> Result<Response, Fault>
 where
     D: Dialect,
 {
-    let left = request.left(clock::mono());
-    let body = match timeout(left, run.connection.whole(WHOLE_LIMIT)).await {
+    let left = request.time_left(clock::mono());
+    let body = match timeout(left, run.connection.read_body(MAX_BODY_BYTES)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(error)) => return Err(Fault::of(&error, &run.upstream)),
+        Ok(Err(error)) => return Err(Fault::from_error(&error, &run.upstream)),
         Err(_) => {
             return Err(Fault::new(
                 Failure::Silent,
@@ -330,9 +336,9 @@
             ));
         }
     };
-    worker.clear(&run.upstream);
+    worker.mark_answering(&run.upstream);
     worker.observe_answer(request, &run.upstream, &run.sent);
-    keep(worker, &run.upstream, run.connection, &run.head);
+    return_to_pool(worker, &run.upstream, run.connection, &run.head);
     Ok(Response {
         head: run.head,
         body,
@@ -341,7 +347,7 @@
 
 /// Waits for the first whole event of a stream: until then a failure can still
 /// be answered with a status, or be made good elsewhere.
-async fn begin<D>(
+async fn begin_stream<D>(
     worker: &Rc<Worker<D>>,
     request: &Rc<Request>,
     mut run: Run<D>,
@@ -350,11 +356,16 @@
     D: Dialect,
 {
     let mut splitter = Splitter::new();
-    let left = request.left(clock::mono());
-    let first = first_event(&mut run.connection, &mut splitter);
-    let first = match timeout(left, patient(worker, request, &run.resources, first)).await {
+    let left = request.time_left(clock::mono());
+    let first = read_first_event(&mut run.connection, &mut splitter);
+    let first = match timeout(
+        left,
+        wait_or_give_up(worker, request, &run.resources, first),
+    )
+    .await
+    {
         Ok(Some(Ok(first))) => first,
-        Ok(Some(Err(error))) => return Err(Fault::of(&error, &run.upstream)),
+        Ok(Some(Err(error))) => return Err(Fault::from_error(&error, &run.upstream)),
         Ok(None) | Err(_) => {
             return Err(Fault::new(
                 Failure::Silent,
@@ -363,23 +374,23 @@
             ));
         }
     };
-    worker.clear(&run.upstream);
+    worker.mark_answering(&run.upstream);
     worker.observe_answer(request, &run.upstream, &run.sent);
-    run.resources.read();
+    run.resources.mark_prompt_read();
     Ok(Stream::new(worker, request, run, splitter, first))
 }
 
 /// The first whole event of an answer.
-pub(crate) async fn first_event(
+pub(crate) async fn read_first_event(
     connection: &mut Connection,
     splitter: &mut Splitter,
 ) -> Result<Bytes, upstream::Error> {
-    while let Some(bytes) = connection.chunk().await? {
+    while let Some(bytes) = connection.next_chunk().await? {
         if let Some(events) = splitter.push(&bytes) {
             return Ok(events);
         }
     }
-    Err(upstream::Error::Answer(
+    Err(upstream::Error::Invalid(
         "the stream ended before its first event",
     ))
 }
--- a/almondlock-gateway/src/resources.rs
+++ b/almondlock-gateway/src/resources.rs
@@ -29,7 +29,7 @@
 /// out. Given up this early, the memory is given back within the 4 s for which it
 /// may outlive its use, as long as first events are expected within 2.2 s. Where
 /// the order that gives it back is lost too, the lease lasts on to its own end.
-const SILENCE: Duration = Duration::from_millis(1_800);
+const MAX_SILENCE: Duration = Duration::from_millis(1_800);
 
 /// Given back when dropped.
 pub(crate) struct Resources<D>
@@ -45,12 +45,12 @@
     slot: Option<Slot>,
     is_short: bool,
     // Some of the memory is on engines that only help.
-    is_elsewhere: bool,
+    has_helper_memory: bool,
     // When the first event is expected.
-    expected: Mono,
-    is_read: Cell<bool>,
+    first_event_expected: Mono,
+    is_prompt_read: Cell<bool>,
     // The request's objective if it probes an ejected upstream.
-    probe: Option<Duration>,
+    probe_objective: Option<Duration>,
 }
 
 impl<D> Resources<D>
@@ -95,7 +95,7 @@
             })
             .collect();
         drop(load);
-        worker.changed.notify_one();
+        worker.load_changed.notify_one();
         let target = targets.get(choice.first);
         Resources {
             slot: target.and_then(|target| worker.take_slot(request, target, now)),
@@ -104,10 +104,10 @@
             tickets,
             leases: RefCell::default(),
             claim: worker.claim_sent(request),
-            is_elsewhere: choice.shares.iter().any(|s| s.place != choice.first),
-            expected: now + choice.expected,
-            is_read: Cell::new(false),
-            probe: targets
+            has_helper_memory: choice.shares.iter().any(|s| s.place != choice.first),
+            first_event_expected: now + choice.expected,
+            is_prompt_read: Cell::new(false),
+            probe_objective: targets
                 .get(choice.first)
                 .filter(|target| worker.is_probe(&target.name))
                 .map(|_| request.route.objective),
@@ -115,14 +115,14 @@
     }
 
     /// Keeps memory that was set aside for the attempt.
-    pub(crate) fn keep(&self, leases: Leases<D>) {
+    pub(crate) fn attach_leases(&self, leases: Leases<D>) {
         *self.leases.borrow_mut() = Some(leases);
     }
 
     /// Gives back memory on engines that only help, though the attempt may go on. On
     /// the engine that answers it is in use for as long as that one works.
-    pub(crate) fn let_go(&self) {
-        if !self.is_elsewhere {
+    pub(crate) fn release_helper_memory(&self) {
+        if !self.has_helper_memory {
             return;
         }
         drop(self.leases.borrow_mut().take());
@@ -131,24 +131,24 @@
     /// How long to wait for the next bytes, of an attempt that others are waited
     /// for as long as `usual`. A probe's first event is waited for no longer than its
     /// objective: the upstream is expected to be silent, and another attempt follows.
-    pub(crate) fn patience(&self, now: Mono, usual: Duration) -> Duration {
-        let usual = match self.probe {
-            Some(objective) if !self.is_read.get() => usual.min(objective),
+    pub(crate) fn silence_timeout(&self, now: Mono, usual: Duration) -> Duration {
+        let usual = match self.probe_objective {
+            Some(objective) if !self.is_prompt_read.get() => usual.min(objective),
             _ => usual,
         };
-        if !self.is_elsewhere || self.leases.borrow().is_none() {
+        if !self.has_helper_memory || self.leases.borrow().is_none() {
             return usual;
         }
-        let first = match self.is_read.get() {
+        let first = match self.is_prompt_read.get() {
             true => Duration::ZERO,
-            false => self.expected.since(now),
+            false => self.first_event_expected.since(now),
         };
-        usual.min(first + SILENCE)
+        usual.min(first + MAX_SILENCE)
     }
 
     /// The prompt is read.
-    pub(crate) fn read(&self) {
-        self.is_read.set(true);
+    pub(crate) fn mark_prompt_read(&self) {
+        self.is_prompt_read.set(true);
         if let Some(claim) = &self.claim {
             claim.read();
         }
@@ -156,7 +156,7 @@
         for (upstream, ticket) in &self.tickets {
             load.read(upstream, *ticket);
         }
-        self.worker.changed.notify_one();
+        self.worker.load_changed.notify_one();
     }
 
     /// Whether it is a short prompt that takes a slot which is counted.
@@ -165,7 +165,7 @@
     }
 
     /// The names of the memory that was set aside, in the order of the shares.
-    pub(crate) fn memory(&self) -> Vec<String> {
+    pub(crate) fn memory_ids(&self) -> Vec<String> {
         let leases = self.leases.borrow();
         leases.as_ref().map_or_else(Vec::new, Leases::ids)
     }
@@ -181,7 +181,7 @@
             load.end(upstream, *ticket);
         }
         drop(load);
-        self.worker.changed.notify_one();
+        self.worker.load_changed.notify_one();
         if let (Some(slot), Some((upstream, _))) = (&self.slot, self.tickets.first()) {
             self.worker.leave_slot(slot, upstream);
         }
--- a/almondlock-gateway/src/response.rs
+++ b/almondlock-gateway/src/response.rs
@@ -15,7 +15,7 @@
 };
 
 /// Headers that concern one connection only, or that are written anew.
-pub(crate) const HOP: [&str; 11] = [
+pub(crate) const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -35,14 +35,14 @@
     let mut builder = HttpResponse::build(status);
     for (name, value) in &head.headers {
         let name = name.to_ascii_lowercase();
-        if !HOP.contains(&name.as_str()) && name != "date" {
+        if !HOP_BY_HOP.contains(&name.as_str()) && name != "date" {
             builder.header(name.as_str(), &value[..]);
         }
     }
     builder
 }
 
-pub(crate) fn whole_response<D>(
+pub(crate) fn complete_response<D>(
     worker: &Worker<D>,
     id: &str,
     whole: Response,
@@ -60,7 +60,7 @@
 }
 
 /// The answer to a request that ends here.
-pub(crate) fn refusal<D>(
+pub(crate) fn refusal_response<D>(
     worker: &Worker<D>,
     id: &str,
     end: &Refusal,
--- a/almondlock-gateway/src/server.rs
+++ b/almondlock-gateway/src/server.rs
@@ -32,25 +32,25 @@
 
 pub use crate::worker::{Bounds, Features};
 use crate::{
-    accept::{accept, text},
+    accept::{accept, header_text},
     dialect::Dialect,
     exchange, follow, lease,
     request::{self, Answer, Refusal, Request},
-    response::{refusal, start_response, whole_response},
+    response::{complete_response, refusal_response, start_response},
     shared::Shared,
     worker::Worker,
 };
 
 /// How often the end of answers in progress is looked for on a stop.
-const DRAIN_PAUSE: Duration = Duration::from_millis(20);
+const DRAIN_POLL: Duration = Duration::from_millis(20);
 /// How long the listeners may take to stop once nothing is under way. Requests that come
 /// meanwhile on open connections are not read, and their callers wait that long for nothing.
-const STOP_TIME: Duration = Duration::from_millis(50);
+const LISTENER_STOP_TIMEOUT: Duration = Duration::from_millis(50);
 /// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a request's head may take to arrive. Published limits come with
 /// the configuration, later than the listener.
-const HEAD_TIME: Seconds = Seconds(5);
+const HEAD_TIMEOUT: Seconds = Seconds(5);
 /// How long an idle connection of a caller is kept: longer than callers reuse
 /// one, which is most of the published limit.
 const KEEP_ALIVE: Seconds = Seconds(20);
@@ -94,8 +94,8 @@
     D: Dialect,
 {
     let shared = Arc::new(Shared::new(clock::mono()));
-    let callers = callers(&config, dialect, node.clone(), &shared)?;
-    let ready = ready(&config, node, &shared)?;
+    let callers = start_caller_listener(&config, dialect, node.clone(), &shared)?;
+    let ready = start_readiness_listener(&config, node, &shared)?;
     let mut servers = vec![callers, ready];
     if let Some(address) = config.metrics {
         let shared = Arc::clone(&shared);
@@ -120,12 +120,12 @@
         let end = clock::mono() + self.notice + self.grace;
         self.shared.begin_stop(end);
         sleep(self.notice).await;
-        self.shared.closing.store(true, Ordering::Relaxed);
+        self.shared.refuses_streams.store(true, Ordering::Relaxed);
         let drained = async {
-            self.idle().await;
+            self.wait_until_idle().await;
             // What entered since the last look is finished too.
             self.shared.close();
-            self.idle().await;
+            self.wait_until_idle().await;
         };
         if timeout(self.grace, drained).await.is_err() {
             let active = self.shared.active();
@@ -133,22 +133,25 @@
         }
         self.shared.close();
         // The last answers leave the buffers of their connections.
-        sleep(DRAIN_PAUSE).await;
+        sleep(DRAIN_POLL).await;
         let stops = self.servers.into_iter().map(|server| server.stop(false));
-        if timeout(STOP_TIME, join_all(stops)).await.is_err() {
+        if timeout(LISTENER_STOP_TIMEOUT, join_all(stops))
+            .await
+            .is_err()
+        {
             tracing::warn!("listeners have not stopped in time");
         }
     }
 
     /// Waits until nothing is under way.
-    async fn idle(&self) {
+    async fn wait_until_idle(&self) {
         while self.shared.active() > 0 {
-            sleep(DRAIN_PAUSE).await;
+            sleep(DRAIN_POLL).await;
         }
     }
 }
 
-fn callers<D>(
+fn start_caller_listener<D>(
     config: &Config,
     dialect: D,
     node: Handle,
@@ -180,9 +183,9 @@
             observed_pace = worker.features.observed_pace,
             "gateway begins"
         );
-        spawn_local(lease::give_back(Rc::clone(&worker), ended));
+        spawn_local(lease::release_ended(Rc::clone(&worker), ended));
         spawn_local(follow::run(Rc::clone(&worker)));
-        spawn_local(sweep(Rc::clone(&worker)));
+        spawn_local(sweep_periodically(Rc::clone(&worker)));
         let any = SocketAddr::from((config.listen.ip(), 0));
         match UdpSocket::bind(any).await {
             Ok(socket) if !config.relays.is_empty() => {
@@ -202,7 +205,7 @@
             .default_service(web::route().to(handle::<D>))
     };
     let http = HttpServiceConfig::new()
-        .set_client_timeout(HEAD_TIME)
+        .set_client_timeout(HEAD_TIMEOUT)
         .set_keepalive(KEEP_ALIVE);
     // One thread: the tables of loads and connections are its own, and a host
     // of this kind has a part of one core.
@@ -214,13 +217,13 @@
     Ok(server.run())
 }
 
-async fn sweep<D>(worker: Rc<Worker<D>>)
+async fn sweep_periodically<D>(worker: Rc<Worker<D>>)
 where
     D: Dialect,
 {
     loop {
-        sleep(SWEEP).await;
-        let known = worker.known();
+        sleep(SWEEP_INTERVAL).await;
+        let known = worker.snapshot();
         let is_known = |name: &almondlock_base::id::Upstream| {
             known.instances.values().flatten().any(|t| t.name == *name)
         };
@@ -231,7 +234,11 @@
     }
 }
 
-fn ready(config: &Config, node: Handle, shared: &Arc<Shared>) -> io::Result<ntex::server::Server> {
+fn start_readiness_listener(
+    config: &Config,
+    node: Handle,
+    shared: &Arc<Shared>,
+) -> io::Result<ntex::server::Server> {
     let listener = TcpListener::bind(config.ready)?;
     let (shared, stale) = (Arc::clone(shared), config.bounds.max_config_age);
     let factory = async move || {
@@ -273,17 +280,17 @@
     D: Dialect,
 {
     let arrived = clock::mono();
-    let active = worker.shared.enter();
+    let active = worker.shared.count_active();
     let worker = Rc::clone(&worker);
     let names = worker.dialect.names();
-    let id = text(&incoming, &names.request_id)
+    let id = header_text(&incoming, &names.request_id)
         .unwrap_or_default()
         .to_owned();
     let accepted = accept(&worker, &incoming, payload, arrived).await;
     let accepted = accepted.and_then(|request| {
         // What is begun now might not end before the process does.
         let is_stream = request.route.kind.is_stream();
-        match worker.shared.may_begin(is_stream, request.until) {
+        match worker.shared.may_begin(is_stream, request.deadline) {
             true => Ok(request),
             false => Err(Code::HostStopping),
         }
@@ -292,13 +299,13 @@
         Ok(request) => serve(&worker, &incoming, Rc::new(request)).await,
         Err(code) => {
             let drawn = worker.rng.borrow_mut().random();
-            let span = worker.shared.return_time(arrived, drawn);
+            let span = worker.shared.retry_after(arrived, drawn);
             let retry_after = code.is_retryable().then_some(span);
             Err(Refusal { code, retry_after })
         }
     };
     let mut response = match result {
-        Ok(Answer::Complete(whole)) => whole_response(&worker, &id, whole, arrived),
+        Ok(Answer::Complete(whole)) => complete_response(&worker, &id, whole, arrived),
         Ok(Answer::Stream(stream)) => {
             let mut builder = start_response(&stream.head);
             let io = incoming.io().cloned();
@@ -312,13 +319,13 @@
                         }
                         Err(error) => {
                             drop((stream, active));
-                            break_off(io, error).await
+                            abort_response(io, error).await
                         }
                     },
                 );
             builder.streaming(body.boxed_local())
         }
-        Err(end) => refusal(&worker, &id, &end, arrived),
+        Err(end) => refusal_response(&worker, &id, &end, arrived),
     };
     if worker.shared.is_stopping() {
         let head = response.head_mut();
@@ -330,7 +337,7 @@
 /// Ends a response in the middle of its body, by closing the connection. The
 /// HTTP library would write the error's own response into the unfinished body,
 /// which the caller could take for a part of it.
-async fn break_off<T>(io: Option<IoRef>, error: io::Error) -> Option<(io::Result<Bytes>, T)> {
+async fn abort_response<T>(io: Option<IoRef>, error: io::Error) -> Option<(io::Result<Bytes>, T)> {
     match io {
         Some(io) => {
             io.close();
--- a/almondlock-gateway/src/shared.rs
+++ b/almondlock-gateway/src/shared.rs
@@ -16,12 +16,12 @@
 /// others started with it. Replicas that it is told of may start later than it does.
 const COLD_START: Duration = Duration::from_millis(1_300);
 /// Callers that were refused together come back spread over this much more.
-pub(crate) const SPREAD: f64 = 0.5;
+pub(crate) const RETRY_SPREAD_FRACTION: f64 = 0.5;
 /// When to come back to another host, because this one is cut off.
-const ELSEWHERE: Duration = Duration::from_millis(100);
+const RETRY_ELSEWHERE: Duration = Duration::from_millis(100);
 /// When to come back to another host, because this one stops. The others are ready, and
 /// the balancer has noticed the stop before requests are refused.
-const STOPPING: Duration = Duration::from_millis(10);
+const RETRY_STOPPING: Duration = Duration::from_millis(10);
 
 /// What the threads of a process share.
 #[derive(Debug)]
@@ -32,12 +32,12 @@
     /// What the balancer was last told.
     pub(crate) ready: AtomicBool,
     /// No stream is begun any more.
-    pub(crate) closing: AtomicBool,
+    pub(crate) refuses_streams: AtomicBool,
     /// Nothing is begun any more.
-    closed: AtomicBool,
+    refuses_all: AtomicBool,
     /// When the stop ends at the latest, in microseconds of the clock. Zero: no stop has
     /// begun.
-    ends: AtomicU64,
+    stop_deadline: AtomicU64,
     active: AtomicUsize,
     pub(crate) metrics: Figures,
 }
@@ -51,9 +51,9 @@
             started: now,
             stopping: AtomicBool::new(false),
             ready: AtomicBool::new(false),
-            closing: AtomicBool::new(false),
-            closed: AtomicBool::new(false),
-            ends: AtomicU64::new(0),
+            refuses_streams: AtomicBool::new(false),
+            refuses_all: AtomicBool::new(false),
+            stop_deadline: AtomicU64::new(0),
             active: AtomicUsize::new(0),
             metrics: Figures::default(),
         }
@@ -64,33 +64,33 @@
     /// same refusal; later it is this host alone, and another one will serve.
     ///
     /// `drawn` is a number from 0 to 1 that spreads returns.
-    pub(crate) fn return_time(&self, now: Mono, drawn: f64) -> Duration {
+    pub(crate) fn retry_after(&self, now: Mono, drawn: f64) -> Duration {
         let left = match self.is_stopping() {
-            true => STOPPING,
-            false => self.cold_left(now).max(ELSEWHERE),
+            true => RETRY_STOPPING,
+            false => self.cold_start_left(now).max(RETRY_ELSEWHERE),
         };
-        left.mul_f64(1.0 + drawn * SPREAD)
+        left.mul_f64(1.0 + drawn * RETRY_SPREAD_FRACTION)
     }
 
     /// The time since the start.
-    pub(crate) fn age(&self, now: Mono) -> Duration {
+    pub(crate) fn uptime(&self, now: Mono) -> Duration {
         now.since(self.started)
     }
 
     /// How much of a cold start is left.
-    pub(crate) fn cold_left(&self, now: Mono) -> Duration {
-        COLD_START.saturating_sub(self.age(now))
+    pub(crate) fn cold_start_left(&self, now: Mono) -> Duration {
+        COLD_START.saturating_sub(self.uptime(now))
     }
 
     /// A stop has begun and ends at `end` at the latest.
     pub(crate) fn begin_stop(&self, end: Mono) {
-        self.ends.store(end.as_micros(), Ordering::Relaxed);
+        self.stop_deadline.store(end.as_micros(), Ordering::Relaxed);
         self.stopping.store(true, Ordering::Relaxed);
     }
 
     /// From now on nothing is begun.
     pub(crate) fn close(&self) {
-        self.closed.store(true, Ordering::SeqCst);
+        self.refuses_all.store(true, Ordering::SeqCst);
     }
 
     /// How many requests are under way. Once closed, those that are counted here are all
@@ -105,17 +105,17 @@
     /// **Failure.** A call that may not be repeated is handed to an upstream and cut off
     /// with the process: its caller can't know whether it ran.
     pub(crate) fn may_begin(&self, is_stream: bool, until: Mono) -> bool {
-        if self.closed.load(Ordering::SeqCst) {
+        if self.refuses_all.load(Ordering::SeqCst) {
             return false;
         }
-        match self.ends.load(Ordering::Relaxed) {
+        match self.stop_deadline.load(Ordering::Relaxed) {
             0 => true,
-            _ if is_stream => !self.closing.load(Ordering::Relaxed),
+            _ if is_stream => !self.refuses_streams.load(Ordering::Relaxed),
             ends => until <= Mono::from_micros(ends),
         }
     }
 
-    pub(crate) fn enter(self: &Arc<Shared>) -> Active {
+    pub(crate) fn count_active(self: &Arc<Shared>) -> Active {
         self.active.fetch_add(1, Ordering::SeqCst);
         Active(Arc::clone(self))
     }
--- a/almondlock-gateway/src/slots.rs
+++ b/almondlock-gateway/src/slots.rs
@@ -129,7 +129,7 @@
 {
     pub(crate) fn new(worker: &Rc<Worker<D>>, request: &Request, ticket: Ticket) -> Waiter<D> {
         let (sender, granted) = oneshot::channel();
-        worker.lines.with(&request.service, |line| {
+        worker.waiting_prompts.with(&request.service, |line| {
             line.waiters.insert(ticket, sender);
         });
         worker.shared.metrics.rise("slots", "waiting");
@@ -168,7 +168,7 @@
     fn drop(&mut self) {
         self.worker.shared.metrics.fall("slots", "waiting");
         let unused = self.granted.try_recv();
-        self.worker.lines.with(&self.service, |line| {
+        self.worker.waiting_prompts.with(&self.service, |line| {
             line.waiters.remove(&self.ticket);
             line.desk.leave(self.ticket);
             if let Ok(grant) = unused
@@ -201,7 +201,7 @@
             (load.is_informed(now), load.hosts(now), load.age(now))
         };
         let hold = pick::hold(speed, demand, speed.slots);
-        let is_scarce = self.lines.with(&request.service, |line| {
+        let is_scarce = self.waiting_prompts.with(&request.service, |line| {
             let rows = pick::slots(candidates, request.route.objective);
             line.desk.see(now, rows, hold, hosts);
             line.objective = request.route.objective;
@@ -226,7 +226,7 @@
         }
         let case = Case {
             arrived: request.arrived,
-            until: request.until,
+            until: request.deadline,
             objective: request.route.objective,
             expected: speed.reading(demand.prompt)
                 + speed.writing(speed.slots, demand.prompt * u64::from(speed.slots)) * PASSES,
@@ -235,7 +235,7 @@
         };
         let first = has_slot(choice.first);
         let rng = &mut *self.rng.borrow_mut();
-        self.lines.with(&request.service, |line| {
+        self.waiting_prompts.with(&request.service, |line| {
             let verdict = line.desk.ask(now, &case, first, rng);
             let outcome = match verdict {
                 Verdict::Send => "sent",
@@ -277,13 +277,13 @@
         if !self.features.slot_admission {
             return None;
         }
-        let known = self.known();
+        let known = self.snapshot();
         let service = known.rules.as_ref()?.service(&request.service)?;
         let speed = service.engine.as_ref()?;
         let hold = pick::hold(speed, request.demand?, speed.slots);
         let service = request.service.clone();
         let commitment = self
-            .lines
+            .waiting_prompts
             .with(&service, |line| line.desk.begin(now + hold));
         Some(Slot {
             service,
@@ -299,7 +299,7 @@
         let is_avoided = self.is_suspect(now, upstream) || self.pacing.standing(upstream).1;
         let is_closed = is_avoided || self.backoff(now, upstream).is_some();
         let is_open = total.requests() < slot.slots && !is_closed;
-        self.lines.with(&slot.service, |line| {
+        self.waiting_prompts.with(&slot.service, |line| {
             let has_slot = is_open && !pick::is_backlogged(&total, line.objective);
             if let Some(next) = line.desk.end(now, slot.commitment, has_slot) {
                 let upstream = Some(upstream.clone());
@@ -312,7 +312,7 @@
     /// they may.
     fn look(&self, service: &Service, objective: Duration) {
         let now = clock::mono();
-        let is_due = self.lines.with(service, |line| {
+        let is_due = self.waiting_prompts.with(service, |line| {
             let is_due = now.since(line.looked) >= LOOK;
             line.looked = if is_due { now } else { line.looked };
             is_due
@@ -323,21 +323,23 @@
         if self.shared.is_stopping() || !self.load.borrow().is_informed(now) {
             return self.release(service);
         }
-        let account = self.lines.with(service, |line| *line.desk.account());
+        let account = self
+            .waiting_prompts
+            .with(service, |line| *line.desk.account());
         if now.since(account.at) >= REFRESH {
-            let known = self.known();
+            let known = self.snapshot();
             let targets = known.instances.get(service).into_iter().flatten();
             let open = targets.filter(|target| self.backoff(now, &target.name).is_none());
             let candidates: Vec<Candidate> = open
                 .map(|target| self.candidate(now, target, &[], &[]))
                 .collect();
             let rows = pick::slots(&candidates, objective);
-            self.lines.with(service, |line| {
+            self.waiting_prompts.with(service, |line| {
                 line.desk.see(now, rows, account.hold, account.hosts);
             });
         }
         let rng = &mut *self.rng.borrow_mut();
-        self.lines.with(service, |line| {
+        self.waiting_prompts.with(service, |line| {
             let granted = line.desk.grant(now, rng);
             line.wake_all(granted);
         });
@@ -345,7 +347,7 @@
 
     /// Wakes all that wait.
     fn release(&self, service: &Service) {
-        self.lines.with(service, |line| {
+        self.waiting_prompts.with(service, |line| {
             let all = line.desk.release();
             line.wake_all(all);
         });
--- a/almondlock-gateway/src/standing.rs
+++ b/almondlock-gateway/src/standing.rs
@@ -15,7 +15,7 @@
     dialect::Dialect,
     exchange::shares::{Envelope, PERIOD, Report, Tag},
     load::Key,
-    request::{LAST, Request},
+    request::{LAST_RANK, Request},
     rules::Organisation,
     share::{Claim, Finding, Known, Ledger, Notices, OTHERS},
     worker::Worker,
@@ -69,7 +69,7 @@
         if self.finding(now, request).is_none() {
             return own;
         }
-        let behind = rank(own, kind, kinds, LAST);
+        let behind = rank(own, kind, kinds, LAST_RANK);
         if behind != own {
             self.note_deprioritised(request, now, "ranked behind");
         }
@@ -119,7 +119,7 @@
 
     /// The reading time of a request's prompt, on all engines together.
     fn reading(&self, request: &Request) -> Option<Duration> {
-        let known = self.known();
+        let known = self.snapshot();
         let service = known.rules.as_ref()?.service(&request.service)?;
         let speed = service.engine.as_ref()?;
         Some(speed.reading(request.demand?.prompt))
@@ -162,7 +162,7 @@
         let (number, is_empty) = (number.wrapping_add(1), counts.is_empty());
         self.shares.reported.set((now, number, is_empty));
         let report = Report {
-            host: self.host,
+            host: self.host_number,
             number,
             counts,
         };
@@ -180,7 +180,7 @@
         let Some(totals) = envelope.open(relay) else {
             return;
         };
-        let known = self.known();
+        let known = self.snapshot();
         let capacity = |service: Key| {
             let mut services = known.instances.iter();
             let found = services.find(|(name, _)| Key::named(name.as_str()) == service);
@@ -199,7 +199,7 @@
     fn are_shares_in_force(&self) -> bool {
         self.features.fair_shares
             && self
-                .known()
+                .snapshot()
                 .rules
                 .as_ref()
                 .is_some_and(|rules| rules.has_several_organisations())
--- a/almondlock-gateway/src/startup.rs
+++ b/almondlock-gateway/src/startup.rs
@@ -14,12 +14,12 @@
 const POLL: Duration = Duration::from_millis(5);
 
 /// Waits until a prompt may be placed.
-pub(crate) async fn settle<D>(worker: &Worker<D>, request: &Request)
+pub(crate) async fn wait_after_start<D>(worker: &Worker<D>, request: &Request)
 where
     D: Dialect,
 {
     let begun = clock::mono();
-    while let Some(left) = left(worker, request, clock::mono()) {
+    while let Some(left) = time_left(worker, request, clock::mono()) {
         sleep(left.min(POLL)).await;
     }
     let now = clock::mono();
@@ -31,23 +31,23 @@
             .time("settled", "phase=\"start\"", waited);
         tracing::info!(
             request = %request.id, waited_ms = waited.as_millis(),
-            age_ms = worker.shared.age(now).as_millis(), hosts = worker.load.borrow().hosts(now),
+            age_ms = worker.shared.uptime(now).as_millis(), hosts = worker.load.borrow().hosts(now),
             "waited after the start"
         );
     }
 }
 
-fn left<D>(worker: &Worker<D>, request: &Request, now: Mono) -> Option<Duration>
+fn time_left<D>(worker: &Worker<D>, request: &Request, now: Mono) -> Option<Duration>
 where
     D: Dialect,
 {
     let settling = worker.features.settling;
-    let age = worker.shared.age(now);
+    let age = worker.shared.uptime(now);
     if age >= settling {
         return None;
     }
     let demand = request.demand?;
-    let speed = worker.speed(&request.service)?;
+    let speed = worker.engine_speed(&request.service)?;
     let case = Case {
         age,
         spent: now.since(request.arrived),
--- a/almondlock-gateway/src/stream.rs
+++ b/almondlock-gateway/src/stream.rs
@@ -26,7 +26,7 @@
 
 /// Some events of a stream.
 #[derive(Clone, Copy, Debug, Default)]
-struct Piece {
+struct Sample {
     // The number of the event before them.
     from: Option<u64>,
     waited: Duration,
@@ -45,14 +45,14 @@
     // Who answers, or did last.
     upstream: Upstream,
     splitter: Splitter,
-    ready: Option<Bytes>,
+    buffered: Option<Bytes>,
     pub(crate) history: History,
     first_at: Mono,
     last_at: Mono,
-    longest: Duration,
+    longest_pause: Duration,
     events: u64,
     // Events since their pace was last observed. What a slow caller takes isn't part of it.
-    piece: Piece,
+    sample: Sample,
     // The response has come to an end, whole or not.
     ended: bool,
 }
@@ -86,20 +86,20 @@
             upstream: run.upstream.clone(),
             run: Some(run),
             splitter,
-            ready: Some(first),
+            buffered: Some(first),
             history: History::default(),
             first_at: now,
             last_at: now,
-            longest: Duration::ZERO,
+            longest_pause: Duration::ZERO,
             events: 1,
-            piece: Piece::default(),
+            sample: Sample::default(),
             ended: false,
         }
     }
 
     /// The next whole events; none at the end.
     pub(crate) async fn next(&mut self) -> Option<io::Result<Bytes>> {
-        if let Some(ready) = self.ready.take() {
+        if let Some(ready) = self.buffered.take() {
             return Some(Ok(ready));
         }
         if self.ended {
@@ -107,9 +107,9 @@
         }
         loop {
             let begun = clock::mono();
-            let fault = match self.step().await {
+            let fault = match self.read_events().await {
                 Ok(Some(events)) => {
-                    self.passed(begun);
+                    self.record_events(begun);
                     return Some(Ok(events));
                 }
                 Ok(None) => {
@@ -121,9 +121,9 @@
             self.worker.blame(&self.request, &fault, self.first_at);
             let worker = &self.worker;
             worker.observe_failure(&self.request, &fault, begun);
-            self.piece = Piece::default();
+            self.sample = Sample::default();
             self.history.tried.extend(fault.upstream.clone());
-            request::note(
+            request::record_failure(
                 &self.worker,
                 &self.request,
                 &fault,
@@ -133,32 +133,33 @@
             self.run = None;
             if let Err(reason) = self.resume(&fault).await {
                 self.ended = true;
-                self.log("broken off", reason);
+                self.log_end("broken off", reason);
                 return Some(Err(io::ErrorKind::ConnectionAborted.into()));
             }
         }
     }
 
-    async fn step(&mut self) -> Result<Option<Bytes>, Fault> {
-        if let Some(ready) = self.ready.take() {
+    async fn read_events(&mut self) -> Result<Option<Bytes>, Fault> {
+        if let Some(ready) = self.buffered.take() {
             return Ok(Some(ready));
         }
         let Some(run) = &mut self.run else {
             return Ok(None);
         };
-        let left = self.request.left(clock::mono());
+        let left = self.request.time_left(clock::mono());
         let fault = |failure, reason: &str| Fault::new(failure, Some(&run.upstream), reason);
         loop {
-            let chunk = run.connection.chunk();
-            let chunk = attempt::patient(&self.worker, &self.request, &run.resources, chunk);
+            let chunk = run.connection.next_chunk();
+            let chunk =
+                attempt::wait_or_give_up(&self.worker, &self.request, &run.resources, chunk);
             let chunk = match timeout(left, chunk).await {
                 Ok(Some(Ok(chunk))) => chunk,
-                Ok(Some(Err(error))) => return Err(Fault::of(&error, &run.upstream)),
+                Ok(Some(Err(error))) => return Err(Fault::from_error(&error, &run.upstream)),
                 Ok(None) => return Err(fault(Failure::Silent, "the stream stopped")),
                 Err(_) => return Err(fault(Failure::Silent, "its time is over")),
             };
             let Some(bytes) = chunk else {
-                let rest = self.splitter.finish();
+                let rest = self.splitter.take_rest();
                 return Ok(Some(rest).filter(|rest| !rest.is_empty()));
             };
             if let Some(events) = self.splitter.push(&bytes) {
@@ -167,32 +168,32 @@
         }
     }
 
-    fn passed(&mut self, begun: Mono) {
+    fn record_events(&mut self, begun: Mono) {
         let now = clock::mono();
-        self.longest = self.longest.max(now.since(self.last_at));
+        self.longest_pause = self.longest_pause.max(now.since(self.last_at));
         self.last_at = now;
         self.events += 1;
         if self.worker.features.observed_pace {
-            self.observe(now.since(begun));
+            self.observe_pace(now.since(begun));
         }
     }
 
     /// Observes the pace of a few events at a time.
-    fn observe(&mut self, waited: Duration) {
-        let Some(last) = self.splitter.last() else {
+    fn observe_pace(&mut self, waited: Duration) {
+        let Some(last) = self.splitter.last_id() else {
             return;
         };
-        let from = *self.piece.from.get_or_insert(last);
+        let from = *self.sample.from.get_or_insert(last);
         // The wait for the first one isn't part of the piece.
         if last > from {
-            self.piece.waited += waited;
+            self.sample.waited += waited;
         }
         let events = last.saturating_sub(from);
         if events >= EVENTS {
-            let waited = self.piece.waited;
+            let waited = self.sample.waited;
             self.worker
                 .observe_events(&self.request, &self.upstream, events, waited);
-            self.piece = Piece {
+            self.sample = Sample {
                 from: Some(last),
                 waited: Duration::ZERO,
             };
@@ -208,7 +209,7 @@
             return Err("it may not be resumed");
         };
         let now = clock::mono();
-        if self.request.left(now).is_zero() {
+        if self.request.time_left(now).is_zero() {
             return Err("its time is over");
         }
         if self.history.runs >= self.request.route.attempts {
@@ -216,29 +217,29 @@
         }
         // A silent upstream was given up only once the next attempt was paid for.
         let paid = fault.failure == Failure::Silent;
-        if !paid && !self.worker.afford(now, &self.request.service) {
+        if !paid && !self.worker.try_take_retry(now, &self.request.service) {
             return Err("the retry budget is spent");
         }
-        let Some(last) = self.splitter.last() else {
+        let Some(last) = self.splitter.last_id() else {
             return Err("its events have no numbers");
         };
-        self.splitter.drop_rest();
+        self.splitter.discard_rest();
         let run = attempt::attempt(&self.worker, &self.request, &self.history, Some(last)).await;
         let mut run = run.map_err(|_| "no other upstream took it")?;
         self.history.runs += 1;
-        let left = self.request.left(clock::mono());
-        let events = request::first_event(&mut run.connection, &mut self.splitter);
-        let events = attempt::patient(&self.worker, &self.request, &run.resources, events);
+        let left = self.request.time_left(clock::mono());
+        let events = request::read_first_event(&mut run.connection, &mut self.splitter);
+        let events = attempt::wait_or_give_up(&self.worker, &self.request, &run.resources, events);
         match timeout(left, events).await {
-            Ok(Some(Ok(events))) => self.ready = Some(events),
+            Ok(Some(Ok(events))) => self.buffered = Some(events),
             Ok(Some(Err(_)) | None) | Err(_) => return Err("the resumed run failed too"),
         }
-        if self.splitter.last().is_none_or(|next| next <= last) {
+        if self.splitter.last_id().is_none_or(|next| next <= last) {
             return Err("the resumed run began at another event");
         }
         self.worker
             .observe_answer(&self.request, &run.upstream, &run.sent);
-        run.resources.read();
+        run.resources.mark_prompt_read();
         self.upstream = run.upstream.clone();
         self.run = Some(run);
         Ok(())
@@ -247,13 +248,13 @@
     fn finish(&mut self) {
         self.ended = true;
         if let Some(run) = self.run.take() {
-            attempt::keep(&self.worker, &run.upstream, run.connection, &run.head);
+            attempt::return_to_pool(&self.worker, &run.upstream, run.connection, &run.head);
         }
         self.worker.clear_suspect(&self.request);
-        self.log("answered", "whole");
+        self.log_end("answered", "whole");
     }
 
-    fn log(&self, outcome: &str, reason: &str) {
+    fn log_end(&self, outcome: &str, reason: &str) {
         let now = clock::mono();
         let spent = now.since(self.request.arrived);
         let label = format!(
@@ -265,7 +266,7 @@
             request = %self.request.id, route = %self.request.route.name, outcome, reason,
             upstream = %self.upstream,
             first_ms = self.first_at.since(self.request.arrived).as_millis(),
-            longest_pause_ms = self.longest.as_millis(), events = self.events,
+            longest_pause_ms = self.longest_pause.as_millis(), events = self.events,
             spent_ms = spent.as_millis(), "ended"
         );
     }
@@ -277,7 +278,7 @@
 {
     fn drop(&mut self) {
         if !self.ended {
-            self.log("left", "the caller left");
+            self.log_end("left", "the caller left");
         }
     }
 }
--- a/almondlock-gateway/src/suspicion.rs
+++ b/almondlock-gateway/src/suspicion.rs
@@ -103,7 +103,7 @@
     fn fingerprint(&self) -> Option<Fingerprint> {
         let name = self.organisation.as_ref().map_or(PUBLIC, |o| &*o.name);
         let organisation = Organisation::new(name).ok()?;
-        let path = format!("{} {}{}", self.method, self.host, self.target);
+        let path = format!("{} {}{}", self.method, self.host, self.path_and_query);
         Some(Fingerprint::new(&organisation, &path, &self.body))
     }
 }
@@ -132,7 +132,7 @@
     /// An attempt failed: if its upstream was lost with it, the relays are told.
     /// `since` is when it was begun.
     pub(crate) fn blame(&self, request: &Request, broken: &Fault, since: Mono) {
-        let (true, Some(upstream)) = (broken.cut, &broken.upstream) else {
+        let (true, Some(upstream)) = (broken.is_connection_lost, &broken.upstream) else {
             return;
         };
         let Some(print) = request.fingerprint() else {
--- a/almondlock-gateway/src/upstream.rs
+++ b/almondlock-gateway/src/upstream.rs
@@ -19,19 +19,19 @@
 };
 
 /// The largest head that an upstream may send, in bytes.
-const HEAD_LIMIT: usize = 32 * 1024;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// The most header lines of an answer.
-const HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 /// The longest line with a chunk's size, in bytes.
-const CHUNK_LINE: usize = 256;
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 /// How many answers to other requests are passed over on one connection.
-const FOREIGN: u32 = 2;
+const MAX_FOREIGN_ANSWERS: u32 = 2;
 /// What is read at one time, in bytes: some dozens of events. Kept small: idle
 /// connections are many.
-const READ: usize = 4 * 1024;
+const READ_BYTES: usize = 4 * 1024;
 /// Unacknowledged bytes end a connection after this long: a peer that lost
 /// power answers nothing, and the kernel would go on sending for minutes.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Why an exchange failed.
 #[derive(Debug)]
@@ -45,10 +45,10 @@
     Broken(#[from] io::Error),
     /// The connection ended before the answer did.
     #[error("no answer: it ended before {0}")]
-    Ended(&'static str),
+    Closed(&'static str),
     /// What came is no answer, or not a whole one.
     #[error("no answer: {0}")]
-    Answer(&'static str),
+    Invalid(&'static str),
 }
 
 /// The head of an answer.
@@ -63,7 +63,7 @@
     /// Another request may follow on the connection.
     pub keep_alive: bool,
     /// How long the upstream keeps an idle connection, if it says so.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
 }
 
 impl Head {
@@ -103,7 +103,7 @@
     /// Since when it is idle.
     pub idle_since: Mono,
     /// How long the upstream keeps it idle.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// Whether a request was answered on it before.
     pub used: bool,
 }
@@ -141,7 +141,7 @@
         };
         stream.set_nodelay(true).map_err(Error::Connect)?;
         let socket = SockRef::from(&stream);
-        let bounded = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+        let bounded = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
         bounded.map_err(Error::Connect)?;
         Ok(Connection {
             stream,
@@ -149,7 +149,7 @@
             body: Body::Done,
             flushed: true,
             idle_since: Mono::ZERO,
-            idle: None,
+            idle_timeout: None,
             used: false,
         })
     }
@@ -170,20 +170,20 @@
     pub async fn exchange(&mut self, request: &Request<'_>) -> Result<Head, Error> {
         let mut head = self.send(request).await?;
         let mut foreign = 0;
-        while is_foreign(&head, request.id) {
+        while answers_other_request(&head, request.id) {
             foreign += 1;
-            if foreign > FOREIGN {
-                return Err(Error::Answer("answers to other requests"));
+            if foreign > MAX_FOREIGN_ANSWERS {
+                return Err(Error::Invalid("answers to other requests"));
             }
             tracing::warn!(
                 expected = %String::from_utf8_lossy(request.id.1),
                 "passed over an answer to another request"
             );
-            self.begin(&head);
-            while self.chunk().await?.is_some() {}
-            head = self.head().await?;
+            self.start_body(&head);
+            while self.next_chunk().await?.is_some() {}
+            head = self.read_head().await?;
         }
-        self.begin(&head);
+        self.start_body(&head);
         Ok(head)
     }
 
@@ -201,14 +201,14 @@
         tokio::pin!(write);
         let mut written: Option<io::Result<()>> = None;
         let head = loop {
-            if let Some(head) = parse(buffer)? {
+            if let Some(head) = parse_head(buffer)? {
                 break head;
             }
-            buffer.reserve(READ);
+            buffer.reserve(READ_BYTES);
             tokio::select! {
                 result = &mut write, if written.is_none() => written = Some(result),
                 read = from.read_buf(buffer) => match (read, &written) {
-                    (Ok(0), _) => return Err(Error::Ended("its head")),
+                    (Ok(0), _) => return Err(Error::Closed("its head")),
                     (Ok(_), _) => {}
                     (Err(error), _) => return Err(Error::Broken(error)),
                 },
@@ -218,18 +218,18 @@
         Ok(head)
     }
 
-    async fn head(&mut self) -> Result<Head, Error> {
+    async fn read_head(&mut self) -> Result<Head, Error> {
         loop {
-            if let Some(head) = parse(&mut self.buffer)? {
+            if let Some(head) = parse_head(&mut self.buffer)? {
                 return Ok(head);
             }
-            if self.fill().await? == 0 {
-                return Err(Error::Ended("its head"));
+            if self.fill_buffer().await? == 0 {
+                return Err(Error::Closed("its head"));
             }
         }
     }
 
-    fn begin(&mut self, head: &Head) {
+    fn start_body(&mut self, head: &Head) {
         self.body = match head.framing {
             Framing::Length(0) => Body::Done,
             Framing::Length(length) => Body::Length(length),
@@ -239,32 +239,32 @@
     }
 
     /// The next bytes of the body; none at its end.
-    pub async fn chunk(&mut self) -> Result<Option<Bytes>, Error> {
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
-            if let Some(bytes) = self.take()? {
+            if let Some(bytes) = self.take_body()? {
                 return Ok(Some(bytes));
             }
             if self.body == Body::Done {
                 return Ok(None);
             }
-            if self.fill().await? == 0 {
+            if self.fill_buffer().await? == 0 {
                 if self.body == Body::Close {
                     self.body = Body::Done;
                     self.flushed = false;
                     return Ok(None);
                 }
-                return Err(Error::Ended("its body did"));
+                return Err(Error::Closed("its body did"));
             }
         }
     }
 
     /// The whole body, if it is no longer than `limit`.
-    pub async fn whole(&mut self, limit: usize) -> Result<Bytes, Error> {
+    pub async fn read_body(&mut self, limit: usize) -> Result<Bytes, Error> {
         let mut body = BytesMut::new();
-        while let Some(bytes) = self.chunk().await? {
+        while let Some(bytes) = self.next_chunk().await? {
             body.extend_from_slice(&bytes);
             if body.len() > limit {
-                return Err(Error::Answer("its body is too long"));
+                return Err(Error::Invalid("its body is too long"));
             }
         }
         Ok(body.freeze())
@@ -281,26 +281,26 @@
     }
 
     /// Gives back the memory that an idle connection doesn't need.
-    pub fn rest(&mut self, now: Mono) {
+    pub fn mark_idle(&mut self, now: Mono) {
         self.buffer = BytesMut::new();
         self.idle_since = now;
         self.used = true;
     }
 
-    async fn fill(&mut self) -> Result<usize, Error> {
-        self.buffer.reserve(READ);
+    async fn fill_buffer(&mut self) -> Result<usize, Error> {
+        self.buffer.reserve(READ_BYTES);
         Ok(self.stream.read_buf(&mut self.buffer).await?)
     }
 
     /// Takes body bytes out of the buffer. None: more must be read, or the body
     /// has ended.
-    fn take(&mut self) -> Result<Option<Bytes>, Error> {
+    fn take_body(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             match self.body {
                 Body::Done => return Ok(None),
-                Body::Close => return Ok(self.some(u64::MAX).map(|(bytes, _)| bytes)),
+                Body::Close => return Ok(self.take_up_to(u64::MAX).map(|(bytes, _)| bytes)),
                 Body::Length(left) => {
-                    return Ok(self.some(left).map(|(bytes, left)| {
+                    return Ok(self.take_up_to(left).map(|(bytes, left)| {
                         self.body = if left == 0 {
                             Body::Done
                         } else {
@@ -310,7 +310,7 @@
                     }));
                 }
                 Body::Chunk(left) => {
-                    return Ok(self.some(left).map(|(bytes, left)| {
+                    return Ok(self.take_up_to(left).map(|(bytes, left)| {
                         self.body = if left == 0 {
                             Body::ChunkEnd
                         } else {
@@ -319,21 +319,21 @@
                         bytes
                     }));
                 }
-                Body::ChunkHead => match self.line()? {
+                Body::ChunkHead => match self.take_line()? {
                     None => return Ok(None),
                     Some(line) => {
-                        self.body = match chunk_size(&line)? {
+                        self.body = match parse_chunk_size(&line)? {
                             0 => Body::Trailer,
                             size => Body::Chunk(size),
                         };
                     }
                 },
-                Body::ChunkEnd => match self.line()? {
+                Body::ChunkEnd => match self.take_line()? {
                     None => return Ok(None),
                     Some(line) if line.is_empty() => self.body = Body::ChunkHead,
-                    Some(_) => return Err(Error::Answer("a chunk is longer than it says")),
+                    Some(_) => return Err(Error::Invalid("a chunk is longer than it says")),
                 },
-                Body::Trailer => match self.line()? {
+                Body::Trailer => match self.take_line()? {
                     None => return Ok(None),
                     Some(line) if line.is_empty() => self.body = Body::Done,
                     Some(_) => {}
@@ -343,7 +343,7 @@
     }
 
     /// Up to `most` bytes of the buffer, and how many are left of `most`.
-    fn some(&mut self, most: u64) -> Option<(Bytes, u64)> {
+    fn take_up_to(&mut self, most: u64) -> Option<(Bytes, u64)> {
         if self.buffer.is_empty() {
             return None;
         }
@@ -354,10 +354,10 @@
         Some((bytes, most - length as u64))
     }
 
-    fn line(&mut self) -> Result<Option<Bytes>, Error> {
+    fn take_line(&mut self) -> Result<Option<Bytes>, Error> {
         let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\r\n") else {
-            if self.buffer.len() > CHUNK_LINE {
-                return Err(Error::Answer("a chunk's head can't be read"));
+            if self.buffer.len() > MAX_CHUNK_LINE_BYTES {
+                return Err(Error::Invalid("a chunk's head can't be read"));
             }
             return Ok(None);
         };
@@ -366,29 +366,29 @@
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, Error> {
+fn parse_chunk_size(line: &[u8]) -> Result<u64, Error> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let text = std::str::from_utf8(digits).unwrap_or_default().trim();
-    u64::from_str_radix(text, 16).map_err(|_| Error::Answer("a chunk's size can't be read"))
+    u64::from_str_radix(text, 16).map_err(|_| Error::Invalid("a chunk's size can't be read"))
 }
 
-fn is_foreign(head: &Head, (name, id): (&str, &[u8])) -> bool {
+fn answers_other_request(head: &Head, (name, id): (&str, &[u8])) -> bool {
     head.get(name)
         .is_some_and(|echoed| echoed.trim_ascii() != id)
 }
 
 /// Reads a head out of the buffer, if it is whole. Interim answers are passed
 /// over.
-fn parse(buffer: &mut BytesMut) -> Result<Option<Head>, Error> {
+fn parse_head(buffer: &mut BytesMut) -> Result<Option<Head>, Error> {
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         let parsed = response
             .parse(buffer)
-            .map_err(|_| Error::Answer("its head can't be read"))?;
+            .map_err(|_| Error::Invalid("its head can't be read"))?;
         let httparse::Status::Complete(length) = parsed else {
-            if buffer.len() > HEAD_LIMIT {
-                return Err(Error::Answer("its head is too long"));
+            if buffer.len() > MAX_HEAD_BYTES {
+                return Err(Error::Invalid("its head is too long"));
             }
             return Ok(None);
         };
@@ -404,33 +404,33 @@
             .map(|header| (Box::from(header.name), Bytes::copy_from_slice(header.value)))
             .collect();
         let _ = buffer.split_to(length);
-        return frame(status, version, headers).map(Some);
+        return build_head(status, version, headers).map(Some);
     }
 }
 
-fn frame(status: u16, version: u8, headers: Vec<(Box<str>, Bytes)>) -> Result<Head, Error> {
+fn build_head(status: u16, version: u8, headers: Vec<(Box<str>, Bytes)>) -> Result<Head, Error> {
     let mut head = Head {
         status,
         headers,
         framing: Framing::Close,
         keep_alive: version == 1,
-        idle: None,
+        idle_timeout: None,
     };
     if let Some(connection) = head.text("connection") {
         let close = connection.to_ascii_lowercase().contains("close");
         head.keep_alive = !close && head.keep_alive;
     }
-    head.idle = head.text("keep-alive").and_then(idle_time);
+    head.idle_timeout = head.text("keep-alive").and_then(parse_idle_timeout);
     let chunked = head
         .text("transfer-encoding")
         .is_some_and(|coding| coding.eq_ignore_ascii_case("chunked"));
     head.framing = match (chunked, head.text("content-length")) {
         _ if status == 204 || status == 304 => Framing::Length(0),
         (true, None) => Framing::Chunked,
-        (true, Some(_)) => return Err(Error::Answer("its body has two lengths")),
+        (true, Some(_)) => return Err(Error::Invalid("its body has two lengths")),
         (false, Some(length)) => {
             let length = length.parse();
-            Framing::Length(length.map_err(|_| Error::Answer("its length can't be read"))?)
+            Framing::Length(length.map_err(|_| Error::Invalid("its length can't be read"))?)
         }
         (false, None) => Framing::Close,
     };
@@ -438,7 +438,7 @@
 }
 
 /// The seconds of `timeout=N`.
-fn idle_time(value: &str) -> Option<Duration> {
+fn parse_idle_timeout(value: &str) -> Option<Duration> {
     let mut parts = value.split(',');
     let seconds = parts.find_map(|part| part.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
--- a/almondlock-gateway/src/worker.rs
+++ b/almondlock-gateway/src/worker.rs
@@ -50,7 +50,7 @@
 
 /// An upstream that failed is passed over for this long. Two heartbeats of the
 /// usual interval: by then a crashed one was replaced or has come back.
-const SUSPECT: Duration = Duration::from_millis(2500);
+const SUSPECT_TIME: Duration = Duration::from_millis(2500);
 
 /// An instance as requests see it.
 #[derive(Clone, Debug)]
@@ -63,12 +63,12 @@
     /// Its cell. This host's own one is 0.
     pub(crate) cell: usize,
     /// Requests a second that it bears of all hosts together, while it is cold.
-    pub(crate) cold: Option<Rate>,
+    pub(crate) cold_limit: Option<Rate>,
 }
 
 /// The configuration in force, read.
 #[derive(Debug, Default)]
-pub(crate) struct Known {
+pub(crate) struct Snapshot {
     pub(crate) revision: Revision,
     pub(crate) rules: Option<Arc<Rules>>,
     /// Instances that take new work, by service.
@@ -81,17 +81,17 @@
     pub(crate) shared: Arc<Shared>,
     pub(crate) domain: Domain,
     /// The host's number, drawn at its start.
-    pub(crate) host: u64,
+    pub(crate) host_number: u64,
     pub(crate) bounds: Bounds,
     pub(crate) features: Features,
     pub(crate) load: RefCell<load::Table>,
     /// What this host has under way has changed: the others are to be told.
-    pub(crate) changed: Notify,
+    pub(crate) load_changed: Notify,
     pub(crate) pool: RefCell<Pool>,
     pub(crate) rng: RefCell<SmallRng>,
-    known: RefCell<Rc<Known>>,
+    known: RefCell<Rc<Snapshot>>,
     /// The published versions.
-    pub(crate) current: RefCell<Current>,
+    pub(crate) versions: RefCell<Current>,
     budgets: RefCell<HashMap<Service, Budget>>,
     suspects: RefCell<HashMap<Upstream, Mono>>,
     backlogs: RefCell<HashMap<Service, Backlog>>,
@@ -103,7 +103,7 @@
     pub(crate) limits: RefCell<throttle::Limits<Key>>,
     pub(crate) permits: Permits,
     /// Prompts that wait for a free slot.
-    pub(crate) lines: Lines,
+    pub(crate) waiting_prompts: Lines,
     /// Requests that upstreams were lost with.
     pub(crate) suspicion: Suspicion,
     /// What organisations have in flight, here and at all hosts.
@@ -111,9 +111,9 @@
     /// How fast and how often upstreams answer.
     pub(crate) pacing: Pacing,
     /// Headers of answers that nobody reads, as far as they were logged.
-    pub(crate) unread: RefCell<BTreeSet<Box<str>>>,
+    pub(crate) logged_headers: RefCell<BTreeSet<Box<str>>>,
     /// Where the memory of attempts goes that have ended.
-    pub(crate) ended: UnboundedSender<Ended>,
+    pub(crate) ended_leases: UnboundedSender<Ended>,
 }
 
 /// What a gateway is bound by.
@@ -159,15 +159,15 @@
             node,
             shared,
             domain,
-            host,
+            host_number: host,
             bounds,
             features,
             load: RefCell::default(),
-            changed: Notify::new(),
+            load_changed: Notify::new(),
             pool: RefCell::default(),
             rng: RefCell::new(rng),
             known: RefCell::default(),
-            current: RefCell::default(),
+            versions: RefCell::default(),
             budgets: RefCell::default(),
             suspects: RefCell::default(),
             backlogs: RefCell::default(),
@@ -175,35 +175,35 @@
             backoffs: RefCell::default(),
             limits: RefCell::default(),
             permits: Permits::default(),
-            lines: Lines::default(),
+            waiting_prompts: Lines::default(),
             suspicion: Suspicion::default(),
             shares: Shares::default(),
             pacing: Pacing::default(),
-            unread: RefCell::default(),
-            ended,
+            logged_headers: RefCell::default(),
+            ended_leases: ended,
         }
     }
 
     /// The configuration in force. Instances are taken in when its revision has changed;
     /// what was published is read by a task of its own.
-    pub(crate) fn known(&self) -> Rc<Known> {
+    pub(crate) fn snapshot(&self) -> Rc<Snapshot> {
         let revision = self.node.view().revision();
         let known = Rc::clone(&self.known.borrow());
         match known.revision == revision && revision > Revision::ZERO {
             true => known,
-            false => self.take_in(),
+            false => self.refresh_config(),
         }
     }
 
     /// Takes in the newest revision, and what was read of what was published.
-    pub(crate) fn take_in(&self) -> Rc<Known> {
+    pub(crate) fn refresh_config(&self) -> Rc<Snapshot> {
         let config = self.node.view().get();
-        self.forget_ended(&config.instances);
+        self.forget_restarted(&config.instances);
         let rules = config
             .document
             .as_ref()
-            .and_then(|document| self.rules(document));
-        let next = Rc::new(Known {
+            .and_then(|document| self.rules_for(document));
+        let next = Rc::new(Snapshot {
             revision: config.revision,
             instances: self.targets(&config, rules.as_deref()),
             rules,
@@ -226,7 +226,7 @@
         let targets = services.into_iter().map(|(service, members)| {
             let cold = rules.and_then(|rules| rules.service(&service)?.cold);
             let places = members.iter().map(|(name, i)| (*name, &i.domain));
-            let cells = cell::assign(places, &self.domain, self.host);
+            let cells = cell::assign(places, &self.domain, self.host_number);
             let targets = members
                 .into_iter()
                 .zip(cells)
@@ -237,7 +237,7 @@
                     near: i.domain == self.domain,
                     birth: i.birth,
                     cell,
-                    cold: cold.filter(|_| i.cold),
+                    cold_limit: cold.filter(|_| i.cold),
                 });
             (service, targets.collect())
         });
@@ -250,7 +250,7 @@
     /// **Failure.** An upstream crashes and is back before its connections are
     /// found broken. Requests to it then still count, and new ones go elsewhere;
     /// or it is passed over for a failure of its earlier life.
-    fn forget_ended(&self, instances: &BTreeMap<Upstream, Instance>) {
+    fn forget_restarted(&self, instances: &BTreeMap<Upstream, Instance>) {
         let mut births = self.births.borrow_mut();
         for (name, instance) in instances {
             let birth = instance.birth;
@@ -272,7 +272,7 @@
     }
 
     /// Which life of an upstream the configuration in force names.
-    pub(crate) fn known_birth(&self, upstream: &Upstream) -> Option<Birth> {
+    pub(crate) fn birth_of(&self, upstream: &Upstream) -> Option<Birth> {
         self.births.borrow().get(upstream).copied()
     }
 
@@ -282,7 +282,7 @@
     }
 
     /// The upstreams that the configuration in force names.
-    pub(crate) fn upstreams(&self) -> HashMap<Key, Upstream> {
+    pub(crate) fn upstreams_by_key(&self) -> HashMap<Key, Upstream> {
         let births = self.births.borrow();
         births
             .keys()
@@ -291,9 +291,9 @@
     }
 
     /// Whether a later life of the target has begun.
-    pub(crate) fn is_over(&self, target: &Target) -> bool {
+    pub(crate) fn has_restarted(&self, target: &Target) -> bool {
         // Takes in a configuration that has come since.
-        self.known();
+        self.snapshot();
         let births = self.births.borrow();
         births
             .get(&target.name)
@@ -301,8 +301,8 @@
     }
 
     /// The figures of a service's engines, if it has engines.
-    pub(crate) fn speed(&self, service: &Service) -> Option<Speed> {
-        let known = self.known();
+    pub(crate) fn engine_speed(&self, service: &Service) -> Option<Speed> {
+        let known = self.snapshot();
         let target = known.rules.as_ref()?.service(service)?;
         target.engine.clone()
     }
@@ -322,7 +322,7 @@
             slots: target.slots,
             near: target.near,
             suspect,
-            limited: self.limited(now, target),
+            limited: self.limit_state(now, target),
             full: full.contains(&target.name),
             cell: target.cell,
             rate,
@@ -336,17 +336,17 @@
     }
 
     /// An instance failed: it is passed over for a while.
-    pub(crate) fn suspect(&self, now: Mono, name: &Upstream) {
+    pub(crate) fn mark_suspect(&self, now: Mono, name: &Upstream) {
         let mut suspects = self.suspects.borrow_mut();
         suspects.retain(|_, until| now < *until);
-        if suspects.insert(name.clone(), now + SUSPECT).is_none() {
-            tracing::info!(upstream = %name, for_ms = SUSPECT.as_millis(), "upstream passed over");
+        if suspects.insert(name.clone(), now + SUSPECT_TIME).is_none() {
+            tracing::info!(upstream = %name, for_ms = SUSPECT_TIME.as_millis(), "upstream passed over");
         }
         self.pool.borrow_mut().forget(name);
     }
 
     /// An instance answered.
-    pub(crate) fn clear(&self, name: &Upstream) {
+    pub(crate) fn mark_answering(&self, name: &Upstream) {
         if self.suspects.borrow_mut().remove(name).is_some() {
             tracing::info!(upstream = %name, "upstream answers again");
         }
@@ -354,23 +354,23 @@
 
     /// What an engine of a service has left to read, in the mean of all and of the
     /// last moments, given what a choice among them saw.
-    pub(crate) fn backlog(&self, now: Mono, service: &Service, choice: &Choice) -> Duration {
+    pub(crate) fn mean_backlog(&self, now: Mono, service: &Service, choice: &Choice) -> Duration {
         let mut backlogs = self.backlogs.borrow_mut();
         let backlog = backlogs.entry(service.clone()).or_default();
         backlog.tell(now, choice.backlog)
     }
 
     /// Counts a request towards the budget of further attempts.
-    pub(crate) fn request(&self, now: Mono, service: &Service) {
-        self.budget(service, |budget| budget.request(now));
+    pub(crate) fn count_request(&self, now: Mono, service: &Service) {
+        self.with_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes a further attempt out of the budget.
-    pub(crate) fn afford(&self, now: Mono, service: &Service) -> bool {
-        self.budget(service, |budget| budget.take(now))
+    pub(crate) fn try_take_retry(&self, now: Mono, service: &Service) -> bool {
+        self.with_budget(service, |budget| budget.try_take(now))
     }
 
-    fn budget<T, F>(&self, service: &Service, act: F) -> T
+    fn with_budget<T, F>(&self, service: &Service, act: F) -> T
     where
         F: FnOnce(&mut Budget) -> T,
     {
--- a/almondlock-gateway/tests/failed_attempt.rs
+++ b/almondlock-gateway/tests/failed_attempt.rs
@@ -6,7 +6,7 @@
 
 use almondlock_base::{Code, Ran};
 use almondlock_gateway::{
-    failure::{Failure, code, may_repeat, merge},
+    failure::{Failure, may_retry, merge_ran, result_code},
     rules::Kind,
 };
 use yare::parameterized;
@@ -29,20 +29,20 @@
     answered = { Failure::Answered, Ran::Yes },
 )]
 fn single_attempt(failure: Failure, ran: Ran) {
-    assert_eq!(merge(Ran::No, failure), ran);
-    assert_eq!(may_repeat(Kind::Unsafe, ran, 0, 2), ran == Ran::No);
-    assert_eq!(may_repeat(ONCE, ran, 0, 2), ran == Ran::No);
-    assert!(may_repeat(Kind::Safe, ran, 1, 2));
-    assert!(may_repeat(RESUMABLE, ran, 1, 2));
-    assert!(!may_repeat(Kind::Safe, ran, 2, 2));
+    assert_eq!(merge_ran(Ran::No, failure), ran);
+    assert_eq!(may_retry(Kind::Unsafe, ran, 0, 2), ran == Ran::No);
+    assert_eq!(may_retry(ONCE, ran, 0, 2), ran == Ran::No);
+    assert!(may_retry(Kind::Safe, ran, 1, 2));
+    assert!(may_retry(RESUMABLE, ran, 1, 2));
+    assert!(!may_retry(Kind::Safe, ran, 2, 2));
 }
 
 #[test]
 fn once_unknown_stays() {
-    let ran = merge(Ran::No, Failure::Lost);
-    let ran = merge(ran, Failure::Rejected);
+    let ran = merge_ran(Ran::No, Failure::Lost);
+    let ran = merge_ran(ran, Failure::Rejected);
     assert_eq!(ran, Ran::Unknown);
-    assert!(!may_repeat(Kind::Unsafe, ran, 1, 9));
+    assert!(!may_retry(Kind::Unsafe, ran, 1, 9));
 }
 
 /// 408, 421, 429 and 503 promise that the request has not run.
@@ -51,10 +51,13 @@
     use Failure::{Answered, Lost, Misdirected, Rejected, Silent, Unsent};
     for failure in [Unsent, Rejected, Misdirected, Lost, Silent, Answered] {
         for before in [Ran::No, Ran::Unknown, Ran::Yes] {
-            let ran = merge(before, failure);
-            let promises = matches!(code(ran, failure).status(), 408 | 421 | 429 | 503);
+            let ran = merge_ran(before, failure);
+            let promises = matches!(result_code(ran, failure).status(), 408 | 421 | 429 | 503);
             assert_eq!(promises, ran == Ran::No, "{failure:?} after {before:?}");
         }
     }
-    assert_eq!(code(Ran::Unknown, Failure::Silent), Code::DeadlinePassed);
+    assert_eq!(
+        result_code(Ran::Unknown, Failure::Silent),
+        Code::DeadlinePassed
+    );
 }
--- a/almondlock-gateway/tests/retry_budget.rs
+++ b/almondlock-gateway/tests/retry_budget.rs
@@ -22,9 +22,9 @@
 fn quiet_service() {
     let mut budget = budget();
     let now = Mono::from_millis(1);
-    let taken = (0..10).filter(|_| budget.take(now)).count();
+    let taken = (0..10).filter(|_| budget.try_take(now)).count();
     assert_eq!(taken, 3);
-    assert!(budget.take(now + WINDOW));
+    assert!(budget.try_take(now + WINDOW));
 }
 
 #[test]
@@ -35,9 +35,9 @@
     let mut now = Mono::from_millis(0);
     for _ in 0..5_000 {
         now = now + Duration::from_millis(rng.random_range(0..20));
-        budget.request(now);
+        budget.record_request(now);
         requests.push(now);
-        if rng.random_bool(0.5) && budget.take(now) {
+        if rng.random_bool(0.5) && budget.try_take(now) {
             attempts.push(now);
         }
     }
--- a/almondlock-gateway/tests/upstream_answers.rs
+++ b/almondlock-gateway/tests/upstream_answers.rs
@@ -33,7 +33,7 @@
         id: ("x-id", b"r-1"),
     };
     let head = connection.exchange(&request).await?;
-    let body = connection.whole(1 << 20).await?;
+    let body = connection.read_body(1 << 20).await?;
     Ok((head, body.to_vec()))
 }
 
--- a/almondlock-gateway/tests/whole_events.rs
+++ b/almondlock-gateway/tests/whole_events.rs
@@ -14,8 +14,8 @@
         }
         let whole = "id: 7\ndata: a\n\nid: 8\ndata: b\n\n";
         assert_eq!(passed, whole.as_bytes());
-        assert_eq!(splitter.last(), Some(8));
-        assert!(!splitter.is_whole());
+        assert_eq!(splitter.last_id(), Some(8));
+        assert!(!splitter.is_empty());
     }
 }
 
@@ -23,17 +23,17 @@
 fn resumed_run() {
     let mut splitter = Splitter::new();
     splitter.push(b"id: 1\ndata: a\n\nid: 2\nda");
-    splitter.drop_rest();
+    splitter.discard_rest();
     let events = splitter.push(b"id: 2\ndata: b\n\n").unwrap();
     assert_eq!(&events[..], b"id: 2\ndata: b\n\n");
-    assert_eq!(splitter.last(), Some(2));
+    assert_eq!(splitter.last_id(), Some(2));
 }
 
 #[test]
 fn end_without_event() {
     let mut splitter = Splitter::new();
     assert!(splitter.push(b"no event").is_none());
-    assert_eq!(splitter.last(), None);
-    assert_eq!(&splitter.finish()[..], b"no event");
-    assert!(splitter.is_whole());
+    assert_eq!(splitter.last_id(), None);
+    assert_eq!(&splitter.take_rest()[..], b"no event");
+    assert!(splitter.is_empty());
 }
