--- a/almondlock-entry/src/gang.rs
+++ b/almondlock-entry/src/gang.rs
@@ -129,7 +129,7 @@
         let rest = gang.parts().len().saturating_sub(1);
         loop {
             match gang.step(clock::mono()) {
-                Step::Reserve(index) if index == rest => gang.granted(index),
+                Step::Reserve(index) if index == rest => gang.note_grant(index),
                 Step::Reserve(index) => {
                     let share = gang.parts()[index].clone();
                     let text = text_of(request, index, gang.parts().len());
@@ -137,7 +137,7 @@
                         self.passed_over(pool, &share.upstream);
                         return Err(failure);
                     }
-                    gang.granted(index);
+                    gang.note_grant(index);
                 }
                 Step::Run => break,
                 Step::Wait | Step::Release(_) | Step::Done => {
--- a/almondlock-gateway/src/exchange/host.rs
+++ b/almondlock-gateway/src/exchange/host.rs
@@ -208,7 +208,7 @@
         .follow(listened.iter().map(|(relay, _)| *relay), &all);
     if is_all && now.since(teller.limits_at) >= REPEAT {
         teller.limits_at = now;
-        let limited = worker.limits.borrow().limited();
+        let limited = worker.limits.borrow().limited_keys();
         tell_limits(worker, socket, named, &limited).await;
     }
     if is_all {
--- a/almondlock-gateway/src/permit.rs
+++ b/almondlock-gateway/src/permit.rs
@@ -10,7 +10,7 @@
 
 use almondlock_base::{id::Service, time::Mono};
 use almondlock_node::clock;
-use almondlock_policy::throttle::{Bound, Notice, Rate, Returns, Waits};
+use almondlock_policy::throttle::{Bound, Notice, Rate, Selector, Stagger};
 use tokio::{
     net::UdpSocket,
     sync::{Notify, oneshot},
@@ -53,12 +53,12 @@
     socket: RefCell<Option<Rc<UdpSocket>>>,
     /// In the order in which they are asked.
     relays: RefCell<Vec<SocketAddr>>,
-    waits: RefCell<Waits<Key, SocketAddr>>,
+    waits: RefCell<Selector<Key, SocketAddr>>,
     /// Who waits for the answer to which question. Invariant: a question that was given up
     /// is not here, so that its permit is used by nobody.
     asked: RefCell<HashMap<u32, oneshot::Sender<Permit>>>,
     last: Cell<u32>,
-    returns: RefCell<HashMap<Service, Returns>>,
+    returns: RefCell<HashMap<Service, Stagger>>,
     /// Upstreams whose limits this host saw change, for the relays.
     news: RefCell<BTreeSet<Key>>,
     noticed: Notify,
@@ -105,7 +105,9 @@
 
     /// When a relay may have a permit.
     pub(crate) fn opens(&self, now: Mono, key: Key) -> Duration {
-        self.waits.borrow().opens(now, &key, &self.relays.borrow())
+        self.waits
+            .borrow()
+            .time_to_permit(now, &key, &self.relays.borrow())
     }
 
     /// When a caller comes back that found every upstream of a service at its limit.
@@ -160,8 +162,8 @@
         let mut waits = self.waits.borrow_mut();
         match outcome {
             Outcome::Granted => {}
-            Outcome::Refused(wait) => waits.refused(clock::mono(), &key, relay, wait),
-            Outcome::Unanswered => waits.unanswered(clock::mono(), relay),
+            Outcome::Refused(wait) => waits.note_refusal(clock::mono(), &key, relay, wait),
+            Outcome::Unanswered => waits.note_no_answer(clock::mono(), relay),
         }
         Some((relay, outcome))
     }
--- a/almondlock-gateway/src/placement.rs
+++ b/almondlock-gateway/src/placement.rs
@@ -225,19 +225,19 @@
     let engine = service.and_then(|service| service.engine.as_ref());
     let (speed, demand) = (engine?, request.demand?);
     let backlog = worker.backlog(now, &request.service, choice);
-    let case = admission::Case {
+    let case = admission::Candidate {
         prompt: demand.prompt,
         objective: request.route.objective,
-        spent: now.since(request.arrived),
-        expected: choice.expected,
+        elapsed: now.since(request.arrived),
+        expected_delay: choice.expected,
         backlog,
         // Counts of engines are far below the precision of an `f64`.
-        taken: (choice.helpers.len() + 1) as f64 / targets.len().max(1) as f64,
+        engine_ratio: (choice.helpers.len() + 1) as f64 / targets.len().max(1) as f64,
     };
     let standing = worker.standing(now, request);
     let alone = choice.part + speed.writing(1, demand.prompt);
-    let returns = admission::refusal_of(speed, &case, standing, alone)?;
-    if standing != Standing::Within && admission::refusal(speed, &case).is_none() {
+    let returns = admission::check_with_share(speed, &case, standing, alone)?;
+    if standing != Standing::Within && admission::check(speed, &case).is_none() {
         worker.note_deprioritised(request, now, "refused");
     }
     let (expected, backlog) = (choice.expected.as_millis(), backlog.as_millis());
--- a/almondlock-gateway/src/worker.rs
+++ b/almondlock-gateway/src/worker.rs
@@ -357,7 +357,7 @@
     pub(crate) fn backlog(&self, now: Mono, service: &Service, choice: &Choice) -> Duration {
         let mut backlogs = self.backlogs.borrow_mut();
         let backlog = backlogs.entry(service.clone()).or_default();
-        backlog.tell(now, choice.backlog)
+        backlog.observe(now, choice.backlog)
     }
 
     /// Counts a request towards the budget of further attempts.
--- a/almondlock-gateway/tests/gateway/dialect.rs
+++ b/almondlock-gateway/tests/gateway/dialect.rs
@@ -108,7 +108,7 @@
         let service = Service::new("s").unwrap();
         let target = Target {
             connections: 100,
-            cold: Rate::per(COLD_RATE),
+            cold: Rate::from_per_second(COLD_RATE),
             engine: None,
         };
         rules.service(service.clone(), target)?;
--- a/almondlock-gateway/tests/greedy_long.rs
+++ b/almondlock-gateway/tests/greedy_long.rs
@@ -10,7 +10,7 @@
 use almondlock_base::time::Mono;
 use almondlock_gateway::share::Claim;
 use almondlock_policy::{
-    admission::{Backlog, Case, refusal_of},
+    admission::{Backlog, Candidate, check_with_share},
     engine::Speed,
     share::{Capacity, Standing},
 };
@@ -96,13 +96,13 @@
         order.sort_by_key(|engine| self.free[*engine]);
         let readers = &order[..READERS];
         let wait = self.free[readers[READERS - 1]].since(now);
-        let case = Case {
+        let case = Candidate {
             prompt: PROMPT,
             objective: OBJECTIVE,
-            spent: now.since(attempt.arrived),
-            expected: wait + part + pass,
-            backlog: self.backlog.tell(now, left / ENGINES as u32),
-            taken: READERS as f64 / ENGINES as f64,
+            elapsed: now.since(attempt.arrived),
+            expected_delay: wait + part + pass,
+            backlog: self.backlog.observe(now, left / ENGINES as u32),
+            engine_ratio: READERS as f64 / ENGINES as f64,
         };
         let host = &self.fleet.hosts[host];
         let name = &self.fleet.names[attempt.organisation];
@@ -113,8 +113,8 @@
             None => Standing::Within,
         };
         let reading = speed.reading(PROMPT);
-        if let Some(returns) = refusal_of(&speed, &case, standing, part + pass) {
-            let usual = refusal_of(&speed, &case, Standing::Within, part + pass);
+        if let Some(returns) = check_with_share(&speed, &case, standing, part + pass) {
+            let usual = check_with_share(&speed, &case, Standing::Within, part + pass);
             self.refused_early += u32::from(usual.is_none());
             let until = now + returns.min(Duration::from_secs(1));
             self.claims
@@ -124,7 +124,7 @@
         for engine in readers {
             self.free[*engine] = self.free[*engine].max(now) + part;
         }
-        let ends = now + case.expected;
+        let ends = now + case.expected_delay;
         self.claims
             .push((ends, host.ledger.send(SERVICE, name, reading)));
         let outcome = &mut self.outcomes[attempt.organisation];
--- a/almondlock-gateway/tests/permit_parts.rs
+++ b/almondlock-gateway/tests/permit_parts.rs
@@ -10,7 +10,7 @@
     exchange::{Ask, Limit, Ration},
     load::Key,
 };
-use almondlock_policy::throttle::{Limits, Notice, Rate, Waits};
+use almondlock_policy::throttle::{Limits, Notice, Rate, Selector};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use yare::parameterized;
 
@@ -31,7 +31,7 @@
 
 struct Host {
     limits: Limits<Key>,
-    waits: Waits<Key, usize>,
+    waits: Selector<Key, usize>,
     /// The link to each relay is cut until then.
     cut: Vec<u64>,
 }
@@ -56,7 +56,7 @@
     fn new(relays: usize) -> Host {
         Host {
             limits: Limits::default(),
-            waits: Waits::default(),
+            waits: Selector::default(),
             cut: vec![0; relays],
         }
     }
@@ -139,9 +139,9 @@
                 Some(None) => return true,
                 Some(Some(wait)) => {
                     let wait = std::time::Duration::from_millis(wait.into());
-                    waits.refused(now, &key(), relay, wait);
+                    waits.note_refusal(now, &key(), relay, wait);
                 }
-                None => waits.unanswered(now, relay),
+                None => waits.note_no_answer(now, relay),
             }
         }
     }
--- a/almondlock-policy/examples/decisions.rs
+++ b/almondlock-policy/examples/decisions.rs
@@ -144,7 +144,7 @@
         weight: 1,
         prompt: Tokens(rng.random_range(500..40_000)),
         cached: Tokens::ZERO,
-        output: Tokens(200),
+        max_output: Tokens(200),
         deadline: now + Duration::from_secs(3_600),
         suspect: false,
     }
@@ -165,7 +165,7 @@
                 continue;
             }
             if let Some(grant) = timed(&mut grants, || queue.grant(now, &room)) {
-                queue.prefilled(&grant.id, now + Duration::from_millis(200));
+                queue.end_prefill(&grant.id, now + Duration::from_millis(200));
                 queue.finish(&grant.id, Tokens(100));
             }
         }
--- a/almondlock-policy/examples/footprint.rs
+++ b/almondlock-policy/examples/footprint.rs
@@ -91,7 +91,7 @@
             weight: 1,
             prompt: Tokens(1_000 + counter % 50_000),
             cached: Tokens::ZERO,
-            output: Tokens(200),
+            max_output: Tokens(200),
             deadline: Mono::from_millis(600_000 + counter),
             suspect: false,
         };
--- a/almondlock-policy/examples/order.rs
+++ b/almondlock-policy/examples/order.rs
@@ -105,7 +105,7 @@
             weight: 1,
             prompt: Tokens(request.prompt),
             cached: Tokens::ZERO,
-            output: Tokens(request.output),
+            max_output: Tokens(request.output),
             deadline: request.at + Duration::from_secs(100_000),
             suspect: false,
         };
@@ -121,8 +121,8 @@
         };
         let used: Tokens = self.running.iter().map(need).sum();
         Room {
-            free: self.memory.saturating_sub(used),
-            slots: SLOTS - self.running.len() as u32,
+            free_memory: self.memory.saturating_sub(used),
+            free_slots: SLOTS - self.running.len() as u32,
             ..Room::idle(self.memory, SLOTS)
         }
     }
@@ -166,7 +166,7 @@
         self.now = self.now + Duration::from_micros(micros);
         for id in done {
             self.first[id] = Some(self.now.since(self.requests[id].at));
-            self.queue.prefilled(&id, self.now);
+            self.queue.end_prefill(&id, self.now);
         }
         let (requests, queue) = (self.requests, &mut self.queue);
         self.running.retain(|run| {
--- a/almondlock-policy/src/admission.rs
+++ b/almondlock-policy/src/admission.rs
@@ -63,43 +63,43 @@
 
 /// What is known of a prompt when it is decided on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Case {
+pub struct Candidate {
     /// Its tokens.
     pub prompt: u64,
     /// When its first event should be there, from its arrival.
     pub objective: Duration,
     /// The time since its arrival.
-    pub spent: Duration,
+    pub elapsed: Duration,
     /// When its first event is expected, from now.
-    pub expected: Duration,
+    pub expected_delay: Duration,
     /// What an engine has left to read, in the mean of all and of the last
     /// moments.
     pub backlog: Duration,
     /// The part of all engines that would read it.
-    pub taken: f64,
+    pub engine_ratio: f64,
 }
 
 /// Whether a prompt is refused: if it is, when its caller should come back.
-pub fn refusal(speed: &Speed, case: &Case) -> Option<Duration> {
-    refusal_of(speed, case, Standing::Within, Duration::ZERO)
+pub fn check(speed: &Speed, case: &Candidate) -> Option<Duration> {
+    check_with_share(speed, case, Standing::Within, Duration::ZERO)
 }
 
 /// The same for a prompt of an organisation that stands like this with its share. `alone` is
 /// when the prompt's first event would be expected, from now, if its engines had nothing else
 /// to read.
-pub fn refusal_of(
+pub fn check_with_share(
     speed: &Speed,
-    case: &Case,
+    case: &Candidate,
     standing: Standing,
     alone: Duration,
 ) -> Option<Duration> {
     if speed.reading(case.prompt) <= COSTLY {
         return None;
     }
-    let late = case.spent + case.expected;
+    let late = case.elapsed + case.expected_delay;
     let bound = case.objective.mul_f64(HOPELESS);
     let busy_bound = bound.mul_f64(relative_yield(speed, case));
-    let busy_bound = tightened(busy_bound, standing, case.spent + alone);
+    let busy_bound = tightened(busy_bound, standing, case.elapsed + alone);
     let idle = case.objective.mul_f64(IDLE);
     let is_idle = case.backlog <= idle;
     let idle_bound = case.objective.mul_f64(idle_share(case, idle));
@@ -118,15 +118,15 @@
 
 /// By which part of its objective a prompt must be expected that comes to idle engines:
 /// sooner the more they have left to read, and the more of them it takes.
-fn idle_share(case: &Case, idle: Duration) -> f64 {
+fn idle_share(case: &Candidate, idle: Duration) -> f64 {
     let busy = case.backlog.as_secs_f64() / idle.as_secs_f64().max(f64::MIN_POSITIVE);
-    let taken = busy.max(case.taken / MANY).clamp(0.0, 1.0);
+    let taken = busy.max(case.engine_ratio / MANY).clamp(0.0, 1.0);
     LATEST - (LATEST - HOPELESS) * taken
 }
 
 /// What a prompt yields for the engines' time, as a part of what one does that an
 /// engine reads alone within the objective. At most 1.
-fn relative_yield(speed: &Speed, case: &Case) -> f64 {
+fn relative_yield(speed: &Speed, case: &Candidate) -> f64 {
     let reference = speed.readable(case.objective);
     let (own, usual) = (speed.rate(case.prompt), speed.rate(reference));
     if usual > 0.0 {
@@ -147,7 +147,7 @@
 impl Backlog {
     /// Takes in what the engines have left to read now, in the mean of all, and
     /// gives the mean over time.
-    pub fn tell(&mut self, now: Mono, backlog: Duration) -> Duration {
+    pub fn observe(&mut self, now: Mono, backlog: Duration) -> Duration {
         let backlog = backlog.as_secs_f64();
         let mean = self.last.map_or(backlog, |(at, mean)| {
             let age = now.since(at).as_secs_f64() / SMOOTHING.as_secs_f64();
--- a/almondlock-policy/src/deadline.rs
+++ b/almondlock-policy/src/deadline.rs
@@ -67,7 +67,7 @@
     /// Of that, what is likely cached.
     pub cached: Tokens,
     /// Most tokens of the answer.
-    pub output: Tokens,
+    pub max_output: Tokens,
     /// How long it would wait at the upstream that it would go to.
     pub wait: Duration,
 }
@@ -111,7 +111,7 @@
 impl Forecast {
     /// How long the work takes, the wait included.
     pub fn estimate(&self, work: &Work) -> Duration {
-        work.wait + self.service(work)
+        work.wait + self.service_time(work)
     }
 
     /// Whether the work can end within the time left.
@@ -120,7 +120,7 @@
     ///
     /// Refused when it can't, with when to come back.
     pub fn check(&self, work: &Work, left: Duration) -> Result<Duration, Refusal> {
-        let service = self.service(work);
+        let service = self.service_time(work);
         let estimate = work.wait + service;
         if estimate <= left {
             return Ok(estimate);
@@ -150,9 +150,9 @@
         }
     }
 
-    fn service(&self, work: &Work) -> Duration {
+    fn service_time(&self, work: &Work) -> Duration {
         let prefill = work.prompt.saturating_sub(work.cached).0 as f64 / self.prefill;
-        let decode = work.output.0 as f64 * self.used / self.decode;
+        let decode = work.max_output.0 as f64 * self.used / self.decode;
         Duration::from_secs_f64((prefill + decode).min(1e9))
     }
 }
--- a/almondlock-policy/src/gang/mod.rs
+++ b/almondlock-policy/src/gang/mod.rs
@@ -18,7 +18,7 @@
 //! What is held while waiting is idle memory; it is bounded by the lease on
 //! each part, and by the deadline. One member's loss releases all the others.
 //!
-//! At each member a [`Desk`] grants reservations in the order of arrival. One
+//! At each member a [`Waitlist`] grants reservations in the order of arrival. One
 //! that has waited for [`Config::patience`] has memory collected for it:
 //! the queue starts only short jobs meanwhile, in their reserved part. So the
 //! largest prompts start within the time that running work takes to end, and
@@ -33,19 +33,19 @@
 //! let mut gang = Gang::new(vec![part("c"), part("a"), part("b")], Mono::from_millis(60_000));
 //! assert_eq!(gang.step(now), Step::Reserve(0));
 //! assert_eq!(gang.parts()[0].upstream.as_str(), "a");
-//! gang.granted(0);
+//! gang.note_grant(0);
 //! assert_eq!(gang.step(now), Step::Reserve(1));
 //! // The second member dies: what the first one holds is given back, and what
 //! // was asked of the second, should it be alive after all.
-//! gang.lost(1);
+//! gang.note_loss(1);
 //! assert_eq!(gang.step(now), Step::Release(vec![0, 1]));
 //! ```
 
-mod desk;
+mod waitlist;
 
 use almondlock_base::{Code, id::Upstream, time::Mono, unit::Tokens};
 
-pub use self::desk::{Config, Desk, Refusal};
+pub use self::waitlist::{Config, Refusal, Waitlist};
 
 /// What one upstream contributes.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -207,7 +207,7 @@
     }
 
     /// A member has granted its part.
-    pub fn granted(&mut self, index: usize) {
+    pub fn note_grant(&mut self, index: usize) {
         if let Some(hold) = self.holds.get_mut(index)
             && *hold == Hold::Asked
         {
@@ -216,7 +216,7 @@
     }
 
     /// A member has refused. The others' parts are given back.
-    pub fn refused(&mut self, index: usize, code: Code) {
+    pub fn note_refusal(&mut self, index: usize, code: Code) {
         if let Some(hold) = self.holds.get_mut(index) {
             *hold = Hold::Gone;
             self.fail(code);
@@ -226,7 +226,7 @@
     /// A member has died, or its part's lease has ended. Its own part is given
     /// back too: a death is a presumption, and what was asked of it may yet be
     /// granted, by it or by its next life.
-    pub fn lost(&mut self, index: usize) {
+    pub fn note_loss(&mut self, index: usize) {
         if index < self.holds.len() {
             self.fail(Code::UpstreamLost);
         }
--- a/almondlock-policy/src/gang/desk.rs
+++ b/almondlock-policy/src/gang/waitlist.rs
@@ -4,7 +4,7 @@
 
 use almondlock_base::{Code, time::Mono, unit::Tokens};
 
-/// How a [`Desk`] grants.
+/// How a [`Waitlist`] grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// How long the first reservation waits before memory is collected for it.
@@ -42,18 +42,18 @@
 /// served: any other order could keep one waiting for ever, and gangs that hold
 /// other engines with it.
 #[derive(Clone, Debug)]
-pub struct Desk<I> {
+pub struct Waitlist<I> {
     config: Config,
     waiting: VecDeque<Ask<I>>,
 }
 
-impl<I> Desk<I>
+impl<I> Waitlist<I>
 where
     I: Clone + Eq,
 {
     /// A desk where nothing waits.
-    pub fn new(config: Config) -> Desk<I> {
-        Desk {
+    pub fn new(config: Config) -> Waitlist<I> {
+        Waitlist {
             config,
             waiting: VecDeque::new(),
         }
@@ -123,7 +123,7 @@
     }
 
     /// Takes out those whose time is over, each to be answered at once.
-    pub fn expired(&mut self, now: Mono) -> Vec<I> {
+    pub fn take_expired(&mut self, now: Mono) -> Vec<I> {
         let over = |ask: &&Ask<I>| ask.deadline <= now;
         let gone = self.waiting.iter().filter(over).map(|ask| ask.id.clone());
         let gone = gone.collect();
@@ -131,7 +131,7 @@
         gone
     }
 
-    /// When [`Desk::expired`] or [`Desk::is_collecting`] has something new to
+    /// When [`Waitlist::take_expired`] or [`Waitlist::is_collecting`] has something new to
     /// say.
     pub fn next_event(&self, now: Mono) -> Option<Mono> {
         let patience = self.config.patience;
--- a/almondlock-policy/src/gate.rs
+++ b/almondlock-policy/src/gate.rs
@@ -90,7 +90,7 @@
 
 /// The answer to a settled attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct Settlement {
     /// Whether it ran. `No` is a promise: it will not run later either.
     pub ran: Ran,
     /// What the sidecar does about it.
@@ -261,8 +261,8 @@
     }
 
     /// Gives an attempt up and says whether it ran.
-    pub fn settle(&mut self, attempt: &Attempt, target: Incarnation, now: Mono) -> Settled {
-        let done = |ran| Settled {
+    pub fn settle(&mut self, attempt: &Attempt, target: Incarnation, now: Mono) -> Settlement {
+        let done = |ran| Settlement {
             ran,
             action: Action::None,
         };
@@ -274,12 +274,12 @@
         match self.records.get(attempt).map(|record| record.stage) {
             Some(Stage::Queued) => {
                 self.close(attempt, Ran::No, now);
-                Settled {
+                Settlement {
                     ran: Ran::No,
                     action: Action::Dequeue,
                 }
             }
-            Some(Stage::Running) => Settled {
+            Some(Stage::Running) => Settlement {
                 ran: Ran::Yes,
                 action: Action::Cancel,
             },
--- a/almondlock-policy/src/limit/lend.rs
+++ b/almondlock-policy/src/limit/lend.rs
@@ -36,7 +36,7 @@
 
 /// A part of a limit as the lender counts it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct Allotment {
     /// Thousandths of requests per second.
     pub rate: u64,
     /// Tokens in flight.
@@ -48,20 +48,20 @@
 struct Lent {
     /// What was lent, with the end of each lease. A smaller part does not end a
     /// larger one that was lent before: the answer may have been lost.
-    leases: Vec<(Part, Mono)>,
+    leases: Vec<(Allotment, Mono)>,
     /// The most tokens that it may have in flight over its floor, and until
     /// when.
     peak: Tokens,
     peak_until: Mono,
     /// What it asked for last, so that parts can follow demand.
-    wanted: Part,
+    wanted: Allotment,
 }
 
 impl Lent {
     /// The most that it may use now.
-    fn most(&self, now: Mono) -> Part {
+    fn most(&self, now: Mono) -> Allotment {
         let live = self.leases.iter().filter(|(_, until)| now < *until);
-        let most = live.fold(Part::default(), |most, (part, _)| Part {
+        let most = live.fold(Allotment::default(), |most, (part, _)| Allotment {
             rate: most.rate.max(part.rate),
             tokens: most.tokens.max(part.tokens),
         });
@@ -70,7 +70,7 @@
         } else {
             Tokens::ZERO
         };
-        Part {
+        Allotment {
             tokens: most.tokens.max(lingering),
             ..most
         }
@@ -84,7 +84,7 @@
         self.peak = self.most(now).tokens;
     }
 
-    fn lend(&mut self, part: Part, until: Mono, linger: Duration) {
+    fn lend(&mut self, part: Allotment, until: Mono, linger: Duration) {
         self.leases.push((part, until));
         self.peak = self.peak.max(part.tokens);
         self.peak_until = until + linger;
@@ -160,21 +160,21 @@
         demand: Demand,
         used: Tokens,
         now: Mono,
-    ) -> Part {
+    ) -> Allotment {
         let Some(limit) = self.limits.get(organisation).copied() else {
-            return Part::default();
+            return Allotment::default();
         };
         let spare = self.spare(limit);
         let all = self.lent.entry(organisation.clone()).or_default();
-        all.retain(|name, lent| name == host || lent.most(now) != Part::default());
+        all.retain(|name, lent| name == host || lent.most(now) != Allotment::default());
         let own = all.entry(host.clone()).or_default();
         own.hear(used, now);
-        own.wanted = Part {
+        own.wanted = Allotment {
             rate: demand.requests.saturating_mul(1_000),
             tokens: demand.tokens,
         };
         if now < self.opens {
-            return Part::default();
+            return Allotment::default();
         }
         let part = portion(all, host, spare, now);
         if let Some(own) = all.get_mut(host) {
@@ -184,10 +184,10 @@
     }
 
     /// What the floors leave of a limit.
-    fn spare(&self, limit: Limit) -> Part {
+    fn spare(&self, limit: Limit) -> Allotment {
         let rest = u64::from(100 - self.terms.floor.min(100));
         let tokens = u128::from(limit.tokens.0) * u128::from(rest) / 100;
-        Part {
+        Allotment {
             rate: u64::from(limit.rate) * 10 * rest,
             tokens: Tokens(u64::try_from(tokens).unwrap_or(u64::MAX)),
         }
@@ -195,12 +195,12 @@
 }
 
 /// A host's fair part of `spare`, and never more than what the others leave.
-fn portion(all: &HashMap<Host, Lent>, host: &Host, spare: Part, now: Mono) -> Part {
+fn portion(all: &HashMap<Host, Lent>, host: &Host, spare: Allotment, now: Mono) -> Allotment {
     let others = all.iter().filter(|(name, _)| *name != host);
     let taken = sum(others.map(|(_, lent)| lent.most(now)));
     let wanted = all.get(host).map(|lent| lent.wanted).unwrap_or_default();
     let total = sum(all.values().map(|lent| lent.wanted));
-    Part {
+    Allotment {
         rate: fair(wanted.rate, total.rate, spare.rate, taken.rate),
         tokens: Tokens(fair(
             wanted.tokens.0,
@@ -221,11 +221,11 @@
     part.min(spare.saturating_sub(taken))
 }
 
-fn sum<S>(parts: S) -> Part
+fn sum<S>(parts: S) -> Allotment
 where
-    S: Iterator<Item = Part>,
+    S: Iterator<Item = Allotment>,
 {
-    parts.fold(Part::default(), |sum, part| Part {
+    parts.fold(Allotment::default(), |sum, part| Allotment {
         rate: sum.rate.saturating_add(part.rate),
         tokens: sum.tokens + part.tokens,
     })
--- a/almondlock-policy/src/limit/mod.rs
+++ b/almondlock-policy/src/limit/mod.rs
@@ -39,7 +39,7 @@
 
 use almondlock_base::{Code, id::Organisation, time::Mono, unit::Tokens};
 
-pub use self::lend::{Lender, Part, Terms};
+pub use self::lend::{Allotment, Lender, Terms};
 use crate::bucket::Bucket;
 
 /// How a fleet-wide limit is divided.
--- a/almondlock-policy/src/queue/job.rs
+++ b/almondlock-policy/src/queue/job.rs
@@ -18,7 +18,7 @@
     /// How much of the prompt's start the engine has cached, as believed.
     pub cached: Tokens,
     /// Most tokens it may answer with.
-    pub output: Tokens,
+    pub max_output: Tokens,
     /// When its time is over.
     pub deadline: Mono,
     /// Whether it is under suspicion of killing engines.
@@ -27,19 +27,19 @@
 
 impl Job {
     /// Engine memory that it needs in the end.
-    pub fn need(&self) -> Tokens {
-        self.prompt + self.output
+    pub fn memory_need(&self) -> Tokens {
+        self.prompt + self.max_output
     }
 
     /// Tokens still to be prefilled.
-    pub fn prefill(&self) -> Tokens {
+    pub fn prefill_tokens(&self) -> Tokens {
         self.prompt.saturating_sub(self.cached)
     }
 
     /// Its length class, by the work it is: a long prompt whose start is cached
     /// delays others no more than a short one.
     pub fn class(&self) -> Class {
-        Class::of(self.prefill())
+        Class::of(self.prefill_tokens())
     }
 }
 
@@ -47,23 +47,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Room {
     /// Free memory.
-    pub free: Tokens,
+    pub free_memory: Tokens,
     /// All its memory.
-    pub capacity: Tokens,
+    pub total_memory: Tokens,
     /// Free places in the batch.
-    pub slots: u32,
+    pub free_slots: u32,
     /// All places in the batch.
-    pub slot_limit: u32,
+    pub total_slots: u32,
 }
 
 impl Room {
     /// An engine on which nothing runs.
     pub fn idle(capacity: Tokens, slots: u32) -> Room {
         Room {
-            free: capacity,
-            capacity,
-            slots,
-            slot_limit: slots,
+            free_memory: capacity,
+            total_memory: capacity,
+            free_slots: slots,
+            total_slots: slots,
         }
     }
 }
--- a/almondlock-policy/src/queue/line.rs
+++ b/almondlock-policy/src/queue/line.rs
@@ -88,14 +88,14 @@
 
     pub(super) fn start(&mut self, job: &Job) {
         self.running += 1;
-        let tokens = job.prefill() + job.output;
+        let tokens = job.prefill_tokens() + job.max_output;
         self.counter = self.counter.saturating_add(cost(tokens, job.weight));
     }
 
     /// The counter was charged for the longest answer; the rest is given back.
     pub(super) fn finish(&mut self, job: &Job, output: Tokens) {
         self.running = self.running.saturating_sub(1);
-        let unused = job.output.saturating_sub(output);
+        let unused = job.max_output.saturating_sub(output);
         self.counter = self.counter.saturating_sub(cost(unused, job.weight));
     }
 
--- a/almondlock-policy/src/queue/load.rs
+++ b/almondlock-policy/src/queue/load.rs
@@ -36,12 +36,12 @@
 impl Load {
     pub(super) fn enter(&mut self, running: &Running) {
         let job = &running.job;
-        self.prefill[group(job.class())] += job.prefill();
+        self.prefill[group(job.class())] += job.prefill_tokens();
         if job.class() == Class::Short {
-            self.short_memory += job.need();
+            self.short_memory += job.memory_need();
             self.short_slots += 1;
             if running.held {
-                self.held_memory += job.need();
+                self.held_memory += job.memory_need();
                 self.held_slots += 1;
             }
         }
@@ -57,13 +57,13 @@
     pub(super) fn leave(&mut self, running: &Running) {
         let job = &running.job;
         if running.prefilling {
-            self.end_prefill(job.class(), job.prefill());
+            self.end_prefill(job.class(), job.prefill_tokens());
         }
         if job.class() == Class::Short {
-            self.short_memory = self.short_memory.saturating_sub(job.need());
+            self.short_memory = self.short_memory.saturating_sub(job.memory_need());
             self.short_slots = self.short_slots.saturating_sub(1);
             if running.held {
-                self.held_memory = self.held_memory.saturating_sub(job.need());
+                self.held_memory = self.held_memory.saturating_sub(job.memory_need());
                 self.held_slots = self.held_slots.saturating_sub(1);
             }
         }
--- a/almondlock-policy/src/queue/mod.rs
+++ b/almondlock-policy/src/queue/mod.rs
@@ -40,7 +40,7 @@
 //!     weight: 1,
 //!     prompt: Tokens(prompt),
 //!     cached: Tokens::ZERO,
-//!     output: Tokens(100),
+//!     max_output: Tokens(100),
 //!     deadline: Mono::from_millis(600_000),
 //!     suspect: false,
 //! };
@@ -146,7 +146,7 @@
 
     /// Says whether room is to be kept for something outside this queue, as for
     /// a longer job that is due: only short jobs start then, in the reserved
-    /// part. A [`Desk`](crate::gang::Desk) that collects memory asks for it.
+    /// part. A [`Waitlist`](crate::gang::Waitlist) that collects memory asks for it.
     pub fn set_hold(&mut self, hold: bool) {
         self.hold = hold;
     }
@@ -207,9 +207,9 @@
     ///
     /// A job goes when its deadline passes, and already before when even an
     /// engine that turned to it now would not be done with its prompt in time.
-    pub fn expired(&mut self, now: Mono) -> Vec<Expiry<I>> {
+    pub fn take_expired(&mut self, now: Mono) -> Vec<Expiry<I>> {
         let mut gone = Vec::new();
-        let pause = self.wait_estimate(Class::Short).max(self.config.base);
+        let pause = self.estimate_wait(Class::Short).max(self.config.base);
         while let Some((start, number)) = self.deadlines.first().copied() {
             if start > now {
                 break;
@@ -236,7 +236,7 @@
         gone
     }
 
-    /// When [`Queue::expired`] has something to say next.
+    /// When [`Queue::take_expired`] has something to say next.
     pub fn next_expiry(&self) -> Option<Mono> {
         self.deadlines.first().map(|(start, _)| *start)
     }
@@ -251,14 +251,14 @@
 
     /// Notes that a running job's prompt has been processed: its first token
     /// came.
-    pub fn prefilled(&mut self, id: &I, now: Mono) {
+    pub fn end_prefill(&mut self, id: &I, now: Mono) {
         let Some(running) = self.running.get_mut(id) else {
             return;
         };
         if !std::mem::replace(&mut running.prefilling, false) {
             return;
         }
-        let (class, tokens) = (running.job.class(), running.job.prefill());
+        let (class, tokens) = (running.job.class(), running.job.prefill_tokens());
         self.load.end_prefill(class, tokens);
         self.meter.done(tokens, now);
     }
@@ -270,7 +270,7 @@
         };
         self.load.leave(&running);
         if running.prefilling {
-            self.meter.broke(running.job.prefill());
+            self.meter.broke(running.job.prefill_tokens());
         }
         if let Some(line) = self.lines.get_mut(&running.job.organisation) {
             line.finish(&running.job, output);
@@ -282,10 +282,10 @@
         if self.places.contains_key(id) || self.running.contains_key(id) {
             return Err(refusal(Code::AlreadyRunning, Duration::ZERO));
         }
-        if job.need() > room.capacity {
+        if job.memory_need() > room.total_memory {
             return Err(refusal(Code::PromptTooLong, Duration::ZERO));
         }
-        let pause = self.wait_estimate(Class::Short).max(self.config.base);
+        let pause = self.estimate_wait(Class::Short).max(self.config.base);
         if self.waiting.len() >= self.config.capacity {
             return Err(refusal(Code::Overloaded, pause));
         }
@@ -316,7 +316,7 @@
             last_start,
         };
         self.deadlines.insert((last_start, number));
-        self.queued[class.index()] += job.prefill();
+        self.queued[class.index()] += job.prefill_tokens();
         self.places.insert(id.clone(), place);
         self.waiting.insert(
             number,
@@ -335,7 +335,7 @@
         if lane == Lane::ALONE {
             return now + job.deadline.since(now) / 2;
         }
-        let service = self.service(job.prefill()) + self.config.base;
+        let service = self.service_time(job.prefill_tokens()) + self.config.base;
         now + service.mul_f64(self.config.bounded_stretch())
     }
 
@@ -352,7 +352,7 @@
     /// was seen to be: steps that are not full look slow, and a request that is
     /// refused by a wrong estimate is lost.
     fn hoped(&self, job: &Job) -> Duration {
-        self.service(job.prefill()).div_f64(HOPE)
+        self.service_time(job.prefill_tokens()).div_f64(HOPE)
     }
 
     fn place_of(&self, number: u64) -> Option<Place> {
@@ -365,7 +365,7 @@
         self.places.remove(&waiting.id);
         self.deadlines.remove(&(place.last_start, place.number));
         let queued = &mut self.queued[waiting.job.class().index()];
-        *queued = queued.saturating_sub(waiting.job.prefill());
+        *queued = queued.saturating_sub(waiting.job.prefill_tokens());
         let key = (place.due, place.number);
         if place.lane == Lane::ALONE {
             self.alone.remove(&key);
@@ -390,7 +390,7 @@
             alone: place.lane == Lane::ALONE,
         };
         self.load.enter(&running);
-        self.meter.start(running.job.prefill(), now);
+        self.meter.start(running.job.prefill_tokens(), now);
         self.running.insert(id.clone(), running);
         Grant {
             id,
--- a/almondlock-policy/src/queue/wait.rs
+++ b/almondlock-policy/src/queue/wait.rs
@@ -30,7 +30,7 @@
         if let Some(place) = self.choose_alone(room) {
             return Some((place, false));
         }
-        if room.slots == 0 || self.load.alone > 0 || self.is_draining(now) {
+        if room.free_slots == 0 || self.load.alone > 0 || self.is_draining(now) {
             return None;
         }
         let lowest = self.lowest_counter(room)?;
@@ -55,8 +55,8 @@
     /// The job to run alone, once the engine is idle.
     fn choose_alone(&self, room: &Room) -> Option<Place> {
         let (_, number) = self.alone.first().copied()?;
-        let fits = self.waiting.get(&number)?.job.need() <= room.free;
-        let idle = fits && self.running.is_empty() && room.slots > 0;
+        let fits = self.waiting.get(&number)?.job.memory_need() <= room.free_memory;
+        let idle = fits && self.running.is_empty() && room.free_slots > 0;
         self.place_of(number).filter(|_| idle)
     }
 
@@ -103,8 +103,8 @@
     /// another one's short job finds one at once and need not wait until a
     /// whole answer has ended.
     fn leaves_headroom(&self, line: &Line, room: &Room) -> bool {
-        let headroom = percent(u64::from(room.slot_limit), self.config.headroom);
-        let most = u64::from(room.slot_limit).saturating_sub(headroom).max(1);
+        let headroom = percent(u64::from(room.total_slots), self.config.headroom);
+        let most = u64::from(room.total_slots).saturating_sub(headroom).max(1);
         u64::from(line.running()) < most
     }
 
@@ -144,7 +144,7 @@
             return Fit::Busy;
         }
         let fits = match job.class() {
-            _ if job.need() > room.free => false,
+            _ if job.memory_need() > room.free_memory => false,
             Class::Short => !held || self.fits_reserve(job, room),
             Class::Medium | Class::Long | Class::Huge => !held && self.spares_reserve(job, room),
         };
@@ -156,16 +156,16 @@
     /// fill the engine when a long one falls due would stop the short ones
     /// until most of them have ended.
     fn fits_reserve(&self, job: &Job, room: &Room) -> bool {
-        let memory = percent(room.capacity.0, self.config.reserve);
-        let slots = percent(u64::from(room.slot_limit), self.config.reserve);
-        self.load.held_memory.0.saturating_add(job.need().0) <= memory
+        let memory = percent(room.total_memory.0, self.config.reserve);
+        let slots = percent(u64::from(room.total_slots), self.config.reserve);
+        self.load.held_memory.0.saturating_add(job.memory_need().0) <= memory
             && u64::from(self.load.held_slots) < slots.max(1)
     }
 
     /// What is to be left free of the reserved part: what short jobs don't hold
     /// of it already.
     pub fn reserve_left(&self, room: &Room) -> Tokens {
-        let memory = Tokens(percent(room.capacity.0, self.config.reserve));
+        let memory = Tokens(percent(room.total_memory.0, self.config.reserve));
         memory.saturating_sub(self.load.short_memory)
     }
 
@@ -173,13 +173,14 @@
     /// short jobs hold of it already is not kept free again. A job that only
     /// fits with the reserved part gets it, else it could never run.
     fn spares_reserve(&self, job: &Job, room: &Room) -> bool {
-        let need = job.need().0;
-        let memory = percent(room.capacity.0, self.config.reserve);
-        let memory = memory.min(room.capacity.0.saturating_sub(need));
-        let slots = percent(u64::from(room.slot_limit), self.config.reserve);
+        let need = job.memory_need().0;
+        let memory = percent(room.total_memory.0, self.config.reserve);
+        let memory = memory.min(room.total_memory.0.saturating_sub(need));
+        let slots = percent(u64::from(room.total_slots), self.config.reserve);
         let unused_memory = memory.saturating_sub(self.load.short_memory.0);
         let unused_slots = slots.saturating_sub(u64::from(self.load.short_slots));
-        need.saturating_add(unused_memory) <= room.free.0 && u64::from(room.slots) > unused_slots
+        need.saturating_add(unused_memory) <= room.free_memory.0
+            && u64::from(room.free_slots) > unused_slots
     }
 
     /// Keeps the order in this queue and not in the engine's: what was handed
@@ -191,7 +192,7 @@
         let active = self.load.prefill[group];
         let limit = self.config.prefill[group];
         let passes = || job.class() < Class::Long && !self.has_much(&job.organisation);
-        active == Tokens::ZERO || active + job.prefill() <= limit || passes()
+        active == Tokens::ZERO || active + job.prefill_tokens() <= limit || passes()
     }
 
     /// Whether an organisation with one job more would have more running than
@@ -204,19 +205,19 @@
 
     /// How long a job of this class would wait if it came now: the work that
     /// goes before it, at the speed seen lately.
-    pub fn wait_estimate(&self, class: Class) -> Duration {
+    pub fn estimate_wait(&self, class: Class) -> Duration {
         let waiting: Tokens = self.queued[..=class.index()].iter().copied().sum();
         let running: Tokens = self.load.prefill[..=group(class)].iter().copied().sum();
-        self.service(waiting + running)
+        self.service_time(waiting + running)
     }
 
     /// How long the engine takes for a prefill of this length.
-    pub fn service(&self, tokens: Tokens) -> Duration {
+    pub fn service_time(&self, tokens: Tokens) -> Duration {
         Duration::from_secs_f64((tokens.0 as f64 / self.meter.speed()).min(1e9))
     }
 
     /// Prefill speed seen lately, in tokens per second.
-    pub fn speed(&self) -> f64 {
+    pub fn prefill_speed(&self) -> f64 {
         self.meter.speed()
     }
 }
--- a/almondlock-policy/src/throttle/ask.rs
+++ b/almondlock-policy/src/throttle/client.rs
@@ -11,22 +11,22 @@
 
 /// When relays that had no permit have one again.
 #[derive(Debug)]
-pub struct Waits<K, R> {
+pub struct Selector<K, R> {
     // By upstream and relay.
     empty: HashMap<(K, R), Mono>,
     silent: HashMap<R, Mono>,
 }
 
-impl<K, R> Default for Waits<K, R> {
-    fn default() -> Waits<K, R> {
-        Waits {
+impl<K, R> Default for Selector<K, R> {
+    fn default() -> Selector<K, R> {
+        Selector {
             empty: HashMap::new(),
             silent: HashMap::new(),
         }
     }
 }
 
-impl<K, R> Waits<K, R>
+impl<K, R> Selector<K, R>
 where
     K: Clone + Eq + Hash,
     R: Copy + Eq + Hash,
@@ -38,20 +38,20 @@
     }
 
     /// A relay has none until so long after now.
-    pub fn refused(&mut self, now: Mono, key: &K, relay: R, wait: Duration) {
+    pub fn note_refusal(&mut self, now: Mono, key: &K, relay: R, wait: Duration) {
         self.silent.remove(&relay);
         self.empty.retain(|_, until| now < *until);
         self.empty.insert((key.clone(), relay), now + wait);
     }
 
     /// A relay did not answer.
-    pub fn unanswered(&mut self, now: Mono, relay: R) {
+    pub fn note_no_answer(&mut self, now: Mono, relay: R) {
         self.silent.retain(|_, until| now < *until);
         self.silent.insert(relay, now + SILENT);
     }
 
     /// When one of the relays may have a permit.
-    pub fn opens(&self, now: Mono, key: &K, relays: &[R]) -> Duration {
+    pub fn time_to_permit(&self, now: Mono, key: &K, relays: &[R]) -> Duration {
         let untils = relays.iter().map(|relay| self.until(key, *relay));
         let first = untils.min().unwrap_or(now + SILENT);
         first.since(now)
@@ -68,11 +68,11 @@
 /// after the other, as fast as this host can expect permits. Told the same moment, all
 /// but one of them would be refused again.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Returns {
+pub struct Stagger {
     last: Mono,
 }
 
-impl Returns {
+impl Stagger {
     /// When the next caller returns. The first permit is due after `opens`, and this host
     /// has one of `hosts` equal parts of `rate`. A caller that can't wait longer than
     /// `patience` keeps no place.
--- a/almondlock-policy/src/throttle/mod.rs
+++ b/almondlock-policy/src/throttle/mod.rs
@@ -13,8 +13,8 @@
 //! | [`Bound`] | both | how often an upstream may be sent to |
 //! | [`Limits`] | both | which limits are in force, from answers and from what others heard |
 //! | [`Issuer`] | relay | whether there is a permit, and when the next one is due |
-//! | [`Waits`] | entry host | which relay to ask, and when to ask again |
-//! | [`Returns`] | entry host | when callers that are refused come back |
+//! | [`Selector`] | entry host | which relay to ask, and when to ask again |
+//! | [`Stagger`] | entry host | when callers that are refused come back |
 //!
 //! ```
 //! use std::time::Duration;
@@ -30,8 +30,8 @@
 //! assert_eq!(issuer.take(later, "engine", rate, 2), Ok(()));
 //! ```
 
-mod ask;
-mod issue;
+mod client;
+mod issuer;
 
 use std::{collections::HashMap, fmt, hash::Hash, iter};
 
@@ -39,8 +39,8 @@
 use serde::{Deserialize, Serialize};
 
 pub use self::{
-    ask::{Returns, Waits},
-    issue::Issuer,
+    client::{Selector, Stagger},
+    issuer::Issuer,
 };
 
 /// Requests a second, in thousandths.
@@ -51,11 +51,11 @@
 impl Rate {
     /// Reads a decimal number of requests a second. None if it is no such number.
     pub fn parse(text: &str) -> Option<Rate> {
-        Rate::per(text.trim().parse().ok()?)
+        Rate::from_per_second(text.trim().parse().ok()?)
     }
 
     /// So many requests a second. None if that is no number of requests.
-    pub fn per(rate: f64) -> Option<Rate> {
+    pub fn from_per_second(rate: f64) -> Option<Rate> {
         let is_rate = rate.is_finite() && rate >= 0.0;
         // A float beyond the range saturates.
         is_rate.then_some(Rate((rate * 1e3) as u32))
@@ -199,7 +199,7 @@
     }
 
     /// The upstreams whose limits are in force.
-    pub fn limited(&self) -> Vec<K> {
+    pub fn limited_keys(&self) -> Vec<K> {
         let limited = self
             .notices
             .iter()
--- a/almondlock-policy/tests/ageing_long.rs
+++ b/almondlock-policy/tests/ageing_long.rs
@@ -22,7 +22,7 @@
         weight: 1,
         prompt: Tokens(prompt),
         cached: Tokens::ZERO,
-        output: Tokens(1_000),
+        max_output: Tokens(1_000),
         deadline: Mono::from_millis(3_600_000),
         suspect: false,
     }
@@ -50,8 +50,8 @@
         {
             ends.pop_front();
             queue.finish(&id, Tokens(1_000));
-            room.free += need;
-            room.slots += 1;
+            room.free_memory += need;
+            room.free_slots += 1;
         }
         for i in 0..4 {
             let id = 1 + step * 4 + i;
@@ -62,10 +62,10 @@
         }
         while let Some(grant) = queue.grant(now, &room) {
             // At the assumed speed, so that the estimate stays what it is.
-            queue.prefilled(&grant.id, now + PREFILL);
+            queue.end_prefill(&grant.id, now + PREFILL);
             let need = Tokens(if grant.id == LONG { 101_000 } else { 4_000 });
-            room.free = room.free.saturating_sub(need);
-            room.slots -= 1;
+            room.free_memory = room.free_memory.saturating_sub(need);
+            room.free_slots -= 1;
             if grant.id == LONG {
                 seen.long_start = Some(step * STEP);
                 return seen;
--- a/almondlock-policy/tests/deadline_bounds.rs
+++ b/almondlock-policy/tests/deadline_bounds.rs
@@ -36,7 +36,7 @@
 fn work(prompt: u64, wait: u64) -> Work {
     Work {
         prompt: Tokens(prompt),
-        output: Tokens(160),
+        max_output: Tokens(160),
         wait: Duration::from_secs(wait),
         ..Work::default()
     }
--- a/almondlock-policy/tests/engine_speed.rs
+++ b/almondlock-policy/tests/engine_speed.rs
@@ -20,7 +20,7 @@
         weight: 1,
         prompt: Tokens(prompt),
         cached: Tokens::ZERO,
-        output: Tokens(10),
+        max_output: Tokens(10),
         deadline: now + Duration::from_secs(600),
         suspect: false,
     }
@@ -53,13 +53,13 @@
         let end = now + Duration::from_millis(50);
         active.retain(|(left, id)| {
             if *left == 0 {
-                queue.prefilled(id, end);
+                queue.end_prefill(id, end);
                 queue.finish(id, Tokens(10));
             }
             *left > 0
         });
     }
-    queue.speed()
+    queue.prefill_speed()
 }
 
 fn process(active: &mut [(u64, u64)], ordered: bool) {
--- a/almondlock-policy/tests/flood_fairness.rs
+++ b/almondlock-policy/tests/flood_fairness.rs
@@ -19,7 +19,7 @@
         weight,
         prompt: Tokens(prompt),
         cached: Tokens::ZERO,
-        output: Tokens(100),
+        max_output: Tokens(100),
         deadline: Mono::from_millis(3_600_000),
         suspect: false,
     }
@@ -68,10 +68,10 @@
             .unwrap();
     }
     while let Some(grant) = queue.grant(now, &room) {
-        queue.prefilled(&grant.id, now);
-        room.slots -= 1;
+        queue.end_prefill(&grant.id, now);
+        room.free_slots -= 1;
     }
-    assert!(room.slots > 0, "the flood took every slot");
+    assert!(room.free_slots > 0, "the flood took every slot");
     queue
         .push(("short", 0), job("short", 1, 2_000), &room, now)
         .unwrap();
@@ -118,7 +118,7 @@
             .push(("back", 9_999), job("back", 1, 2_000), &room, now)
             .unwrap();
         queue.grant(now, &room).unwrap();
-        queue.prefilled(&("back", 9_999), now);
+        queue.end_prefill(&("back", 9_999), now);
     }
     for i in 0..1_000 {
         queue
@@ -151,10 +151,10 @@
     let mut first = u8::MAX;
     let mut prefilling = 0;
     while let Some(grant) = queue.grant(now, &room) {
-        room.slots -= 1;
+        room.free_slots -= 1;
         // The first few have had their first token, the last two have not.
         if prefilling < 6 {
-            queue.prefilled(&grant.id, now);
+            queue.end_prefill(&grant.id, now);
         } else {
             first = first.min(grant.priority);
         }
--- a/almondlock-policy/tests/gang_deadlock.rs
+++ b/almondlock-policy/tests/gang_deadlock.rs
@@ -14,7 +14,7 @@
     unit::Tokens,
 };
 use almondlock_policy::{
-    gang::{Desk, Gang, Part, Step},
+    gang::{Gang, Part, Step, Waitlist},
     length::Class,
     queue::{self, Job, Queue, Room},
 };
@@ -30,7 +30,7 @@
 /// One engine with its queue and its desk.
 struct Engine {
     queue: Queue<u64>,
-    desk: Desk<usize>,
+    desk: Waitlist<usize>,
     running: Vec<(u64, u64, Tokens)>,
     reserved: Vec<usize>,
     longest_short: Duration,
@@ -40,7 +40,7 @@
     fn new() -> Engine {
         Engine {
             queue: Queue::new(queue::Config::short()),
-            desk: Desk::new(Default::default()),
+            desk: Waitlist::new(Default::default()),
             running: Vec::new(),
             reserved: Vec::new(),
             longest_short: Duration::ZERO,
@@ -52,8 +52,8 @@
         let reserved = Tokens(PART.0 * self.reserved.len() as u64);
         assert!(used + reserved <= CAPACITY, "memory is given out twice");
         Room {
-            free: CAPACITY.saturating_sub(used + reserved),
-            slots: 64 - self.running.len() as u32,
+            free_memory: CAPACITY.saturating_sub(used + reserved),
+            free_slots: 64 - self.running.len() as u32,
             ..Room::idle(CAPACITY, 64)
         }
     }
@@ -64,7 +64,7 @@
             weight: 1,
             prompt: Tokens(prompt),
             cached: Tokens::ZERO,
-            output: Tokens(1_000),
+            max_output: Tokens(1_000),
             deadline: now + Duration::from_secs(600),
             suspect: false,
         };
@@ -84,13 +84,13 @@
         });
         let mut granted = Vec::new();
         let reserve = self.queue.reserve_left(&self.room());
-        while let Some(gang) = self.desk.grant(self.room().free, reserve) {
+        while let Some(gang) = self.desk.grant(self.room().free_memory, reserve) {
             self.reserved.push(gang);
             granted.push(gang);
         }
         self.queue.set_hold(self.desk.is_collecting(now));
         while let Some(grant) = self.queue.grant(now, &self.room()) {
-            self.queue.prefilled(&grant.id, now);
+            self.queue.end_prefill(&grant.id, now);
             let prompt = if grant.class == Class::Short {
                 3_000
             } else {
@@ -208,7 +208,7 @@
             if let Some(part) = parts.iter().position(|part| part.upstream == upstream)
                 && !self.finished[id]
             {
-                self.gangs[id].lost(part);
+                self.gangs[id].note_loss(part);
             }
         }
     }
@@ -226,7 +226,7 @@
                     let upstream = name(member);
                     let parts = self.gangs[id].parts();
                     let part = parts.iter().position(|part| part.upstream == upstream);
-                    self.gangs[id].granted(part.unwrap());
+                    self.gangs[id].note_grant(part.unwrap());
                 }
             }
             for id in 0..GANGS {
--- a/almondlock-policy/tests/late_copy.rs
+++ b/almondlock-policy/tests/late_copy.rs
@@ -13,7 +13,7 @@
     id::{Attempt, Host, Incarnation},
     time::Mono,
 };
-use almondlock_policy::gate::{Action, Config, Gate, Refusal, Settled};
+use almondlock_policy::gate::{Action, Config, Gate, Refusal, Settlement};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 const LIFE: Incarnation = Incarnation(9);
@@ -36,7 +36,7 @@
     let settled = gate.settle(&attempt(1), LIFE, at(1));
     assert_eq!(
         settled,
-        Settled {
+        Settlement {
             ran: Ran::No,
             action: Action::None
         }
@@ -60,7 +60,7 @@
     let queued = gate.settle(&attempt(1), LIFE, at(2));
     assert_eq!(
         queued,
-        Settled {
+        Settlement {
             ran: Ran::No,
             action: Action::Dequeue
         }
@@ -69,7 +69,7 @@
     let running = gate.settle(&attempt(2), LIFE, at(2));
     assert_eq!(
         running,
-        Settled {
+        Settlement {
             ran: Ran::Yes,
             action: Action::Cancel
         }
--- a/almondlock-policy/tests/lent_share.rs
+++ b/almondlock-policy/tests/lent_share.rs
@@ -14,7 +14,7 @@
     unit::Tokens,
 };
 use almondlock_policy::limit::{
-    Config, Demand, Lease, Lender, Limit, Limiter, Part, Permit, Terms,
+    Allotment, Config, Demand, Lease, Lender, Limit, Limiter, Permit, Terms,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -55,7 +55,7 @@
 }
 
 /// Asks the lender; the answer may still be lost.
-fn say(limiter: &mut Limiter, i: usize, lender: &mut Lender, now: Mono) -> Part {
+fn say(limiter: &mut Limiter, i: usize, lender: &mut Lender, now: Mono) -> Allotment {
     let used = limiter.over_floor(&bank());
     let mut demand = limiter.take_demand(&bank());
     demand.tokens += used;
--- a/almondlock-policy/tests/long_stretch.rs
+++ b/almondlock-policy/tests/long_stretch.rs
@@ -8,7 +8,7 @@
 
 use almondlock_base::time::Mono;
 use almondlock_policy::{
-    admission::{Backlog, Case, refusal},
+    admission::{Backlog, Candidate, check},
     engine::Speed,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -64,15 +64,15 @@
         let end = (free[PARTS - 1] - now).max(0.0) + part;
         let left: f64 = free.iter().map(|free| (free - now).max(0.0)).sum();
         let at = Mono::from_millis((now * 1e3) as u64);
-        let mean = backlog.tell(at, Duration::from_secs_f64(left / ENGINES as f64));
-        let case = Case {
+        let mean = backlog.observe(at, Duration::from_secs_f64(left / ENGINES as f64));
+        let case = Candidate {
             prompt,
             objective: OBJECTIVE,
-            spent: Duration::ZERO,
-            expected: Duration::from_secs_f64(end),
+            elapsed: Duration::ZERO,
+            expected_delay: Duration::from_secs_f64(end),
             // Without a price, as if the engines were always idle.
             backlog: if price { mean } else { Duration::ZERO },
-            taken: if price {
+            engine_ratio: if price {
                 PARTS as f64 / ENGINES as f64
             } else {
                 1.0
@@ -81,7 +81,7 @@
         let large = f64::from(u8::from(prompt >= LARGE));
         outcome.asked += 1.0;
         outcome.large_asked += large;
-        if refusal(&speed, &case).is_none() {
+        if check(&speed, &case).is_none() {
             for engine in &mut free[..PARTS] {
                 *engine = engine.max(now) + part;
             }
--- a/almondlock-policy/tests/max_min.rs
+++ b/almondlock-policy/tests/max_min.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use almondlock_policy::{
-    admission::{Case, refusal, refusal_of},
+    admission::{Candidate, check, check_with_share},
     engine::Speed,
     share::{Capacity, Count, Resource, Rest, Ruling, Standing, level},
 };
@@ -167,14 +167,14 @@
     }
 }
 
-fn long(expected: u64, backlog: u64) -> Case {
-    Case {
+fn long(expected: u64, backlog: u64) -> Candidate {
+    Candidate {
         prompt: 300_000,
         objective: Duration::from_secs(4),
-        spent: Duration::ZERO,
-        expected: Duration::from_millis(expected),
+        elapsed: Duration::ZERO,
+        expected_delay: Duration::from_millis(expected),
         backlog: Duration::from_millis(backlog),
-        taken: 0.1,
+        engine_ratio: 0.1,
     }
 }
 
@@ -189,7 +189,7 @@
 fn long_prompts(expected: u64, backlog: u64, by: f64, refused: bool) {
     let alone = Duration::from_millis(700);
     let case = long(expected, backlog);
-    let refusal = refusal_of(&speed(), &case, Standing::Over { by }, alone);
+    let refusal = check_with_share(&speed(), &case, Standing::Over { by }, alone);
     assert_eq!(refusal.is_some(), refused);
 }
 
@@ -198,8 +198,8 @@
     #[test]
     fn only_tightens(expected in 0..8_000_u64, backlog in 0..2_000_u64, alone in 0..8_000_u64, by in 0.0..20.0_f64) {
         let case = long(expected, backlog);
-        let usual = refusal(&speed(), &case);
-        let over = refusal_of(&speed(), &case, Standing::Over { by }, Duration::from_millis(alone));
+        let usual = check(&speed(), &case);
+        let over = check_with_share(&speed(), &case, Standing::Over { by }, Duration::from_millis(alone));
         prop_assert!(usual.is_none() || over.is_some());
     }
 }
--- a/almondlock-policy/tests/named_limit.rs
+++ b/almondlock-policy/tests/named_limit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use almondlock_base::time::Mono;
-use almondlock_policy::throttle::{Limits, Notice, Rate, Returns, Waits};
+use almondlock_policy::throttle::{Limits, Notice, Rate, Selector, Stagger};
 use yare::parameterized;
 
 const fn at(millis: u64) -> Mono {
@@ -67,7 +67,7 @@
     assert!(!limits.learn(&"i-1", named("2", 200)));
     assert!(limits.learn(&"i-1", named("1.5", 300)));
     assert!(!limits.learn(&"i-1", named("2", 250)));
-    assert_eq!(limits.limited(), ["i-1"]);
+    assert_eq!(limits.limited_keys(), ["i-1"]);
     limits.retain(|key| *key != "i-1");
     assert!(limits.is_empty());
 }
@@ -76,16 +76,16 @@
 /// answer is left alone for all upstreams.
 #[test]
 fn which_relay() {
-    let mut waits: Waits<&str, u8> = Waits::default();
+    let mut waits: Selector<&str, u8> = Selector::default();
     let relays = [1, 2];
     assert_eq!(waits.next(at(0), &"a", &relays), Some(1));
-    waits.refused(at(0), &"a", 1, Duration::from_millis(300));
+    waits.note_refusal(at(0), &"a", 1, Duration::from_millis(300));
     assert_eq!(waits.next(at(0), &"a", &relays), Some(2));
     assert_eq!(waits.next(at(0), &"b", &relays), Some(1));
-    waits.unanswered(at(0), 2);
+    waits.note_no_answer(at(0), 2);
     assert_eq!(waits.next(at(0), &"a", &relays), None);
     assert_eq!(
-        waits.opens(at(100), &"a", &relays),
+        waits.time_to_permit(at(100), &"a", &relays),
         Duration::from_millis(200)
     );
     assert_eq!(waits.next(at(300), &"a", &relays), Some(1));
@@ -96,7 +96,7 @@
 /// that can't wait that long keeps no place.
 #[test]
 fn callers_return() {
-    let mut returns = Returns::default();
+    let mut returns = Stagger::default();
     let opens = Duration::from_millis(200);
     let mut next = |now, patience| {
         let patience = Duration::from_millis(patience);
--- a/almondlock-policy/tests/queue_expiry.rs
+++ b/almondlock-policy/tests/queue_expiry.rs
@@ -17,7 +17,7 @@
         weight: 1 + (organisation % 3) as u32,
         prompt: Tokens(prompt),
         cached: Tokens::ZERO,
-        output: Tokens(100),
+        max_output: Tokens(100),
         deadline,
         suspect: prompt.is_multiple_of(7),
     }
@@ -36,9 +36,9 @@
     queue
         .push(1, job(1, 80_000, deadline), &room, Mono::ZERO)
         .unwrap();
-    assert!(queue.expired(Mono::from_millis(8_333)).is_empty());
+    assert!(queue.take_expired(Mono::from_millis(8_333)).is_empty());
     assert!(queue.next_expiry() <= Some(Mono::from_millis(8_334)));
-    let gone = queue.expired(Mono::from_millis(8_334));
+    let gone = queue.take_expired(Mono::from_millis(8_334));
     assert_eq!(gone[0].code, Code::DeadlineUnreachable);
     assert!(!gone[0].retry_after.is_zero());
     assert!(queue.is_empty());
@@ -52,7 +52,7 @@
     queue
         .push(1, job(1, 1_000, deadline), &room, Mono::ZERO)
         .unwrap();
-    let gone = queue.expired(deadline);
+    let gone = queue.take_expired(deadline);
     assert_eq!(gone[0].code, Code::QueueTimeout);
 }
 
@@ -96,16 +96,16 @@
         let id = self.running.swap_remove(at);
         self.queue
             .finish(&id, Tokens(self.rng.random_range(0..100)));
-        self.room.free += self.job(id).need();
-        self.room.slots += 1;
+        self.room.free_memory += self.job(id).memory_need();
+        self.room.free_slots += 1;
     }
 
     fn grant(&mut self, now: Mono) {
         while let Some(grant) = self.queue.grant(now, &self.room) {
-            let need = self.job(grant.id).need();
-            assert!(need <= self.room.free, "no room");
-            self.room.free = self.room.free.saturating_sub(need);
-            self.room.slots -= 1;
+            let need = self.job(grant.id).memory_need();
+            assert!(need <= self.room.free_memory, "no room");
+            self.room.free_memory = self.room.free_memory.saturating_sub(need);
+            self.room.free_slots -= 1;
             self.running.push(grant.id);
             self.left += 1;
         }
@@ -119,7 +119,7 @@
     fn step(&mut self, now: Mono) {
         match self.rng.random_range(0..6) {
             0 | 1 => self.push(now),
-            2 => self.left += self.queue.expired(now).len(),
+            2 => self.left += self.queue.take_expired(now).len(),
             3 => self.remove(),
             4 if !self.running.is_empty() => {
                 let at = self.rng.random_range(0..self.running.len());
@@ -154,7 +154,7 @@
             world.finish(0);
         }
         let queue = &mut world.queue;
-        queue.expired(Mono::from_millis(10_000_000));
+        queue.take_expired(Mono::from_millis(10_000_000));
         let rest = (queue.len(), queue.running(), queue.backlog());
         assert_eq!(rest, (0, 0, Tokens::ZERO), "seed {seed}");
     }
@@ -173,7 +173,7 @@
         {
             ends.pop_front();
             queue.finish(&id, Tokens(100));
-            room.slots += 1;
+            room.free_slots += 1;
         }
         let others = job(step % 3, 1_000, now + Duration::from_secs(30));
         queue.push(step, others, &room, now).unwrap();
@@ -186,8 +186,8 @@
                 assert!(step <= 10 + 100 + 20, "started at step {step}");
                 return;
             }
-            queue.prefilled(&grant.id, now);
-            room.slots -= 1;
+            queue.end_prefill(&grant.id, now);
+            room.free_slots -= 1;
             ends.push_back((step + 15, grant.id));
         }
     }
--- a/almondlock-policy/tests/refused_long.rs
+++ b/almondlock-policy/tests/refused_long.rs
@@ -6,7 +6,7 @@
 
 use almondlock_base::time::Mono;
 use almondlock_policy::{
-    admission::{Backlog, Case, refusal},
+    admission::{Backlog, Candidate, check},
     engine::Speed,
 };
 use yare::parameterized;
@@ -30,18 +30,18 @@
     }
 }
 
-fn refuses(speed: &Speed, case: &Case) -> bool {
-    refusal(speed, case).is_some()
+fn refuses(speed: &Speed, case: &Candidate) -> bool {
+    check(speed, case).is_some()
 }
 
-fn case(prompt: u64, expected: u64, backlog: u64) -> Case {
-    Case {
+fn case(prompt: u64, expected: u64, backlog: u64) -> Candidate {
+    Candidate {
         prompt,
         objective: OBJECTIVE,
-        spent: Duration::ZERO,
-        expected: Duration::from_millis(expected),
+        elapsed: Duration::ZERO,
+        expected_delay: Duration::from_millis(expected),
         backlog: Duration::from_millis(backlog),
-        taken: 1.0,
+        engine_ratio: 1.0,
     }
 }
 
@@ -74,9 +74,9 @@
 /// Guards against the longest prompts that are refused by an idle fleet, as few of its
 /// engines as they take.
 fn by_fleet(expected: u64, backlog: u64, taken: f64, refused: bool) {
-    let case = Case {
+    let case = Candidate {
         objective: Duration::from_secs(4),
-        taken,
+        engine_ratio: taken,
         ..case(1_000_000, expected, backlog)
     };
     assert_eq!(refuses(&speed(), &case), refused);
@@ -86,8 +86,8 @@
 #[test]
 fn waited_already() {
     let soon = case(200_000, 900, BUSY);
-    let late = Case {
-        spent: Duration::from_secs(1),
+    let late = Candidate {
+        elapsed: Duration::from_secs(1),
         ..soon
     };
     assert!(!refuses(&speed(), &soon) && refuses(&speed(), &late));
@@ -111,10 +111,10 @@
 fn smoothed_backlog() {
     let mut backlog = Backlog::default();
     let (at, millis) = (Mono::from_millis, Duration::from_millis);
-    assert_eq!(backlog.tell(at(1_000), millis(0)), millis(0));
-    let soon = backlog.tell(at(1_100), millis(600));
+    assert_eq!(backlog.observe(at(1_000), millis(0)), millis(0));
+    let soon = backlog.observe(at(1_100), millis(600));
     assert!(soon < millis(60), "{soon:?}");
-    let then = backlog.tell(at(2_100), millis(600));
+    let then = backlog.observe(at(2_100), millis(600));
     assert!(then > millis(350) && then < millis(450), "{then:?}");
 }
 
@@ -126,6 +126,6 @@
     dearest = { 900_000, 4_000, 3_400..=3_600 },
 )]
 fn returns_then(prompt: u64, expected: u64, millis: std::ops::RangeInclusive<u128>) {
-    let wait = refusal(&speed(), &case(prompt, expected, BUSY)).unwrap();
+    let wait = check(&speed(), &case(prompt, expected, BUSY)).unwrap();
     assert!(millis.contains(&wait.as_millis()), "{wait:?}");
 }
--- a/almondlock-policy/tests/short_first.rs
+++ b/almondlock-policy/tests/short_first.rs
@@ -20,7 +20,7 @@
         weight: 1,
         prompt: Tokens(prompt),
         cached: Tokens::ZERO,
-        output: Tokens(200),
+        max_output: Tokens(200),
         deadline: Mono::from_millis(600_000),
         suspect: false,
     }
@@ -28,8 +28,8 @@
 
 fn after(room: Room, need: Tokens) -> Room {
     Room {
-        free: room.free.saturating_sub(need),
-        slots: room.slots - 1,
+        free_memory: room.free_memory.saturating_sub(need),
+        free_slots: room.free_slots - 1,
         ..room
     }
 }
@@ -62,13 +62,13 @@
     while let Some(grant) = queue.grant(now, &room) {
         room = after(room, Tokens(30_200));
         highest = highest.min(grant.priority);
-        queue.prefilled(&grant.id, now);
+        queue.end_prefill(&grant.id, now);
     }
     assert!(
         queue.running() > 5,
         "long work is not held back more than needed"
     );
-    assert!(room.free >= Tokens(60_000) && room.slots >= 2);
+    assert!(room.free_memory >= Tokens(60_000) && room.free_slots >= 2);
     queue.push(99, job(4_000), &room, now).unwrap();
     let grant = queue.grant(now, &room).unwrap();
     assert_eq!(grant.id, 99);
@@ -85,7 +85,7 @@
         ..job(150_000)
     };
     assert_eq!(job.class(), Class::Short);
-    assert_eq!(job.need(), Tokens(150_200));
+    assert_eq!(job.memory_need(), Tokens(150_200));
 }
 
 #[test]
@@ -98,7 +98,7 @@
     assert_eq!(queue.grant(now, &room).map(|grant| grant.id), Some(1));
     let room = after(room, Tokens(100_200));
     assert_eq!(queue.grant(now, &room), None);
-    queue.prefilled(&1, Mono::from_millis(12_000));
+    queue.end_prefill(&1, Mono::from_millis(12_000));
     let next = queue.grant(Mono::from_millis(12_000), &room);
     assert_eq!(next.map(|grant| grant.id), Some(2));
 }
--- a/almondlock-policy/tests/stale_incarnation.rs
+++ b/almondlock-policy/tests/stale_incarnation.rs
@@ -10,7 +10,7 @@
     id::{Attempt, Host, Incarnation},
     time::Mono,
 };
-use almondlock_policy::gate::{Action, Config, Gate, Settled};
+use almondlock_policy::gate::{Action, Config, Gate, Settlement};
 
 fn attempt() -> Attempt {
     Attempt {
@@ -29,7 +29,7 @@
     drop(first);
     let mut second = Gate::new(Config::default(), Incarnation(2));
     let settled = second.settle(&attempt(), Incarnation(1), now);
-    let unknown = Settled {
+    let unknown = Settlement {
         ran: Ran::Unknown,
         action: Action::None,
     };
--- a/almondlock-sidecar/src/table.rs
+++ b/almondlock-sidecar/src/table.rs
@@ -13,7 +13,7 @@
     unit::Tokens,
 };
 use almondlock_policy::{
-    gang::{self, Desk},
+    gang::{self, Waitlist},
     gate::{self, Action, Gate},
     length::Class,
     poison::Treatment,
@@ -97,7 +97,7 @@
     // Invariant: the sum of `need` over the entries that don't wait, and of
     // the reservations granted.
     used: Tokens,
-    desk: Desk<Attempt>,
+    desk: Waitlist<Attempt>,
     // Invariant: has exactly what waits at `desk`, and what it granted.
     reservations: HashMap<Attempt, Reservation>,
     // Invariant: how many entries don't wait.
@@ -139,7 +139,7 @@
             queue: Queue::new(config.queue),
             entries: HashMap::new(),
             used: Tokens::ZERO,
-            desk: Desk::new(gang::Config::default()),
+            desk: Waitlist::new(gang::Config::default()),
             reservations: HashMap::new(),
             busy: 0,
             prefixes: Prefixes::default(),
@@ -165,7 +165,7 @@
             .admit(&head.attempt, head.incarnation, deadline, now);
         admitted.map_err(Refusal::from)?;
         let job = self.job(head, treatment.is_charged(), deadline);
-        let need = job.need();
+        let need = job.memory_need();
         let room = self.room();
         let id = head.attempt.clone();
         let pushed = if treatment == Treatment::Alone {
@@ -204,7 +204,7 @@
             weight: head.share,
             prompt: head.prompt,
             cached: prefix::tokens(leading).min(head.prompt.saturating_sub(Tokens(1))),
-            output: head.output,
+            max_output: head.output,
             deadline,
             suspect,
         }
@@ -270,7 +270,7 @@
     }
 
     fn grant_reservations(&mut self, now: Mono) {
-        for attempt in self.desk.expired(now) {
+        for attempt in self.desk.take_expired(now) {
             if let Some(reservation) = self.reservations.remove(&attempt)
                 && let Some(tell) = reservation.tell
             {
@@ -282,7 +282,7 @@
             }
             self.gate.finish(&attempt, Ran::No, now);
         }
-        while let Some(attempt) = self.desk.grant(self.room().free, self.short_part()) {
+        while let Some(attempt) = self.desk.grant(self.room().free_memory, self.short_part()) {
             let Some(reservation) = self.reservations.get_mut(&attempt) else {
                 continue;
             };
@@ -301,7 +301,7 @@
     fn queue_room(&self, now: Mono) -> Room {
         let mut room = self.room();
         if self.desk.is_collecting(now) {
-            room.free = room.free.min(self.short_part());
+            room.free_memory = room.free_memory.min(self.short_part());
         }
         room
     }
@@ -346,7 +346,7 @@
 
     /// Notes that a running attempt's prompt has been processed.
     pub fn prefilled(&mut self, attempt: &Attempt, now: Mono) {
-        self.queue.prefilled(attempt, now);
+        self.queue.end_prefill(attempt, now);
         if let Some(entry) = self.entries.get(attempt) {
             self.prefixes.put(&entry.prefix);
         }
@@ -387,7 +387,7 @@
 
     /// Answers those who wait no longer: their time is over, or can't suffice.
     pub fn expire(&mut self, now: Mono) {
-        for expiry in self.queue.expired(now) {
+        for expiry in self.queue.take_expired(now) {
             self.answer(&expiry.id, expiry.code, Some(expiry.retry_after), now);
         }
         self.gate.sweep(now);
@@ -455,10 +455,10 @@
     /// Room on the engine, by what is kept for those that run.
     pub fn room(&self) -> Room {
         Room {
-            free: self.config.capacity.saturating_sub(self.used),
-            capacity: self.config.capacity,
-            slots: self.config.slots.saturating_sub(self.busy),
-            slot_limit: self.config.slots,
+            free_memory: self.config.capacity.saturating_sub(self.used),
+            total_memory: self.config.capacity,
+            free_slots: self.config.slots.saturating_sub(self.busy),
+            total_slots: self.config.slots,
         }
     }
 
@@ -468,12 +468,12 @@
             running: self.busy,
             queued: u32::try_from(self.queue.len()).unwrap_or(u32::MAX),
             backlog: self.queue.backlog(),
-            free: self.room().free,
+            free: self.room().free_memory,
             capacity: self.config.capacity,
-            wait: self.queue.wait_estimate(Class::Short),
+            wait: self.queue.estimate_wait(Class::Short),
             leaving: self.gate.is_leaving(),
             cached: self.prefixes.leading(prefix),
-            speed: self.queue.speed() as u64,
+            speed: self.queue.prefill_speed() as u64,
         }
     }
 }
