--- a/almondlock-gateway/src/worker.rs
+++ b/almondlock-gateway/src/worker.rs
@@ -152,7 +152,7 @@
         (domain, host): (Domain, u64),
         (bounds, features): (Bounds, Features),
         rng: SmallRng,
-        ended: UnboundedSender<Ended>,
+        ended_leases: UnboundedSender<Ended>,
     ) -> Worker<D> {
         Worker {
             dialect,
@@ -180,7 +180,7 @@
             shares: Shares::default(),
             pacing: Pacing::default(),
             logged_headers: RefCell::default(),
-            ended_leases: ended,
+            ended_leases,
         }
     }
 
@@ -357,7 +357,7 @@
     pub(crate) fn mean_backlog(&self, now: Mono, service: &Service, choice: &Choice) -> Duration {
         let mut backlogs = self.backlogs.borrow_mut();
         let backlog = backlogs.entry(service.clone()).or_default();
-        backlog.tell(now, choice.backlog)
+        backlog.observe(now, choice.backlog)
     }
 
     /// Counts a request towards the budget of further attempts.
