--- a/almondlock-gateway/src/accept.rs
+++ b/almondlock-gateway/src/accept.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked against the configuration in force.
+//! Reads a caller's request and checks it against the configuration in force.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,15 +18,16 @@
     worker::Worker,
 };
 
-/// A request without a deadline of its caller's is bounded by its route alone.
+/// Time allowed for a request without a deadline of its own. In practice the route's
+/// timeout limits it.
 const NO_DEADLINE: Duration = Duration::from_secs(3600);
 
-/// How long a request waits for the first configuration of a process: most of a
-/// cold start. What comes back after that would be late for most callers.
+/// How long a request waits for the first configuration of a process: most of a cold start.
+/// A longer wait would be too late for most callers.
 const COLD_WAIT: Duration = Duration::from_millis(900);
 
-/// How often a request that waits looks again: a part of what the shortest
-/// objectives leave.
+/// How often a waiting request checks for a configuration: a fraction of the time that the
+/// shortest objectives leave.
 const COLD_POLL: Duration = Duration::from_millis(15);
 
 /// Reads and checks a request.
@@ -39,8 +40,8 @@
 where
     D: Dialect,
 {
-    let known = worker.snapshot();
-    let limit = known
+    let snapshot = worker.snapshot();
+    let limit = snapshot
         .rules
         .as_ref()
         .map_or(usize::MAX, |rules| rules.limits.body);
@@ -52,21 +53,20 @@
             return Err(Code::BodyTooLarge);
         }
     }
-    // The body may have taken long: what is in force now counts.
+    // The body may have taken long, so the configuration is read again.
     let (rules, current) = wait_for_rules(worker).await;
     let rules = rules.ok_or(Code::NotReady)?;
-    admit(worker, &rules, incoming, body.freeze(), arrived, current)
+    build_request(worker, &rules, incoming, body.freeze(), arrived, current)
 }
 
-/// The rules that are known, and whether they are current. Shortly after the
-/// start, waits until they are.
+/// Returns the rules in force, and whether they are current. Shortly after the start, waits
+/// until they are.
 ///
-/// **Failure.** When all processes were lost together, callers that were cut off
-/// are back as soon as a listener is, some tenths of a second before this process
-/// has a configuration again that it may act on. Refused then, they come back to
-/// a queue, or not at all: of a hundred requests in the two seconds around the
-/// loss 40 were refused. They wait here instead, no longer than they would be
-/// told to.
+/// **Failure.** When all processes were lost together, callers that were cut off are back
+/// as soon as a listener is, some tenths of a second before this process has a
+/// configuration that it may act on. If they were refused, they would come back to a queue
+/// or not at all: of a hundred requests in the two seconds around the loss, 40 were
+/// refused. They wait here instead, no longer than a refusal would ask them to.
 async fn wait_for_rules<D>(worker: &Worker<D>) -> (Option<Arc<Rules>>, bool)
 where
     D: Dialect,
@@ -84,7 +84,8 @@
     }
 }
 
-fn admit<D>(
+/// Finds the route, checks the key, and builds the request to forward.
+fn build_request<D>(
     worker: &Worker<D>,
     rules: &Rules,
     incoming: &HttpRequest,
@@ -102,8 +103,8 @@
         .path_and_query()
         .map_or("/", |target| target.as_str());
     let path = target.split('?').next().unwrap_or(target);
-    // A host that was cut off may not know a route or a key that exists by
-    // now, nor that one was taken away. Nor does one that still reads a version.
+    // A host that was cut off may not know a route or key that has been added, or that one
+    // was removed. The same holds for a host that is still parsing a version.
     let versions = worker.versions.borrow();
     let unsure = |code| match current && !versions.is_waiting() {
         true => code,
@@ -159,11 +160,12 @@
     })
 }
 
+/// Returns a header as text.
 pub(crate) fn header_text<'a>(incoming: &'a HttpRequest, name: &HeaderName) -> Option<&'a str> {
     incoming.headers().get(name)?.to_str().ok()
 }
 
-/// Reads "prompt tokens,output tokens".
+/// Parses `prompt tokens,output tokens`.
 fn parse_demand(usage: &str, objective: Duration) -> Option<Demand> {
     let (prompt, output) = usage.split_once(',')?;
     Some(Demand {
--- a/almondlock-gateway/src/attempt.rs
+++ b/almondlock-gateway/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at one upstream: chosen, sent, and judged by its answer's head.
+//! One attempt at one upstream: choosing the upstream, sending the request, and checking
+//! the head of the answer.
 
 use std::{iter, rc::Rc, time::Duration};
 
@@ -21,16 +22,17 @@
     worker::{Target, Worker},
 };
 
-/// How long connecting may take: several ways there and back, far below the
-/// objective of short requests.
+/// Time allowed for connecting: several round trips, far below the objective of short
+/// requests.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The largest body of an answer that is no stream, in bytes.
+/// Maximum size of the body of an answer that is not a stream, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 8 << 20;
-/// An attempt that is being answered.
+/// An attempt whose answer has begun.
 pub(crate) struct Run<D>
 where
     D: Dialect,
 {
+    /// The upstream that answers.
     pub(crate) upstream: Upstream,
     pub(crate) connection: Connection,
     pub(crate) head: Head,
@@ -38,21 +40,26 @@
     pub(crate) sent: Sent,
 }
 
-/// An attempt that failed.
+/// A failed attempt, or the reason why no attempt could be made.
 pub(crate) struct Fault {
+    /// How the attempt failed.
     pub(crate) failure: Failure,
+    /// The upstream that was tried. `None` if none could be chosen.
     pub(crate) upstream: Option<Upstream>,
+    /// The upstream's answer, if it reported the failure itself.
     pub(crate) answer: Option<Response>,
+    /// Explanation for the log.
     pub(crate) reason: String,
-    /// The connection broke, as it does when the upstream crashes.
+    /// Whether the connection broke, as it does when the upstream crashes.
     pub(crate) is_connection_lost: bool,
-    /// Another upstream that takes part is at fault.
+    /// Whether another participating upstream is at fault.
     pub(crate) is_other_upstream: bool,
-    /// When the caller may find what it found missing, if that is known.
+    /// Time after which the caller may find what was missing, if known.
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl Fault {
+    /// Creates a fault without details beyond its reason.
     pub(crate) fn new<R>(failure: Failure, upstream: Option<&Upstream>, reason: R) -> Fault
     where
         R: ToString,
@@ -68,6 +75,7 @@
         }
     }
 
+    /// Converts an error of the connection to `upstream`.
     pub(crate) fn from_error(error: &upstream::Error, upstream: &Upstream) -> Fault {
         let failure = match error {
             upstream::Error::Connect(_) => Failure::Unsent,
@@ -85,7 +93,7 @@
     }
 }
 
-/// What a request needs to be sent.
+/// A placed request, ready to be sent.
 struct Prepared<D>
 where
     D: Dialect,
@@ -93,12 +101,12 @@
     targets: Vec<Target>,
     choice: Choice,
     resources: Resources<D>,
-    /// To the upstream that answers.
+    /// Connection to the upstream that answers.
     connection: Connection,
 }
 
-/// Places a request and connects to the upstream that answers. Placed anew if one that
-/// takes part has asked for a pause meanwhile, or says that it leaves.
+/// Places a request and connects to the upstream that answers. Starts again if a
+/// participating upstream has asked for a pause or announced that it is leaving meanwhile.
 async fn prepare<D>(
     worker: &Rc<Worker<D>>,
     request: &Request,
@@ -113,8 +121,8 @@
         let targets = worker.open_targets(request, history, clock::mono());
         let targets = targets.map_err(lack_fault)?;
         let found = (after, grant.as_ref());
-        let placed = placement::place(worker, request, history, &targets, found).await?;
-        let (choice, resources) = match placed {
+        let placement = placement::place(worker, request, history, &targets, found).await?;
+        let (choice, resources) = match placement {
             Placement::Send(choice, resources) => (choice, *resources),
             Placement::Wait(waiter) => {
                 grant = Some(waiter.granted(request).await);
@@ -125,9 +133,10 @@
         let connection = connect(worker, request, target).await;
         let connection = connection.map_err(|error| Fault::from_error(&error, &target.name))?;
         let now = clock::mono();
-        let places = iter::once(&choice.first).chain(&choice.helpers);
-        let mut parties = places.filter_map(|place| targets.get(*place));
-        let Some(closed) = parties.find(|party| worker.backoff(now, &party.name).is_some()) else {
+        let participants = iter::once(&choice.first).chain(&choice.helpers);
+        let mut participating = participants.filter_map(|place| targets.get(*place));
+        let Some(closed) = participating.find(|target| worker.backoff(now, &target.name).is_some())
+        else {
             return Ok(Prepared {
                 targets,
                 choice,
@@ -137,17 +146,17 @@
         };
         tracing::info!(
             request = %request.id, upstream = %closed.name,
-            backoff = worker.backoff(now, &closed.name).map(Reason::as_str), "placed again"
+            backoff = worker.backoff(now, &closed.name).map(Reason::as_str), "request placed again"
         );
     }
 }
 
-/// The upstream that answers.
+/// Returns the upstream that answers.
 fn answering_target<'a>(targets: &'a [Target], choice: &Choice) -> Result<&'a Target, Lack> {
     targets.get(choice.first).ok_or(Lack::Upstream)
 }
 
-/// Sends a request to one upstream and waits for the head of its answer.
+/// Sends a request to one upstream and waits for the head of the answer.
 pub(crate) async fn attempt<D>(
     worker: &Rc<Worker<D>>,
     request: &Request,
@@ -166,13 +175,13 @@
     let targets = &targets[..];
     let target = answering_target(targets, &choice).map_err(lack_fault)?;
     log_sent(worker, request, history, (targets, &choice, target));
-    let placed = outgoing::Destination {
+    let destination = outgoing::Destination {
         targets,
         choice: &choice,
         memory: &resources.memory_ids(),
     };
     let now = clock::mono();
-    let head = outgoing::write_head(worker, request, &placed, after, now);
+    let head = outgoing::write_head(worker, request, &destination, after, now);
     let left = request.time_left(now);
     let sent = Sent::new(worker, request, (&choice, &target.name), after);
     let exchange = exchange(worker, request, connection, &head);
@@ -201,11 +210,11 @@
         request.time_left(clock::mono()),
         check_head(worker, run, targets),
     );
-    // A failure's body may stop half-way, like any other.
+    // The body of a failure may stop half-way, like any other body.
     match judged.await {
         Ok(judged) => judged,
         Err(_) => {
-            let reason = "the body of its failure stopped";
+            let reason = "the body of the failure stopped";
             Err(Fault::new(Failure::Silent, Some(&name), reason))
         }
     }
@@ -220,7 +229,7 @@
     D: Dialect,
 {
     let now = clock::mono();
-    let known = worker.snapshot();
+    let snapshot = worker.snapshot();
     tracing::info!(
         request = %request.id, route = %request.route.name, upstream = %target.name,
         prompt = request.demand.map_or(0, |demand| demand.prompt),
@@ -229,23 +238,25 @@
         expected_ms = choice.expected.as_millis(),
         backlog_ms = worker.load.borrow().total(now, &target.name).reading,
         hosts = worker.load.borrow().hosts(now),
-        revision = known.revision.0, age_ms = worker.node.known_age(now).map(|age| age.as_millis()),
+        revision = snapshot.revision.0, age_ms = worker.node.known_age(now).map(|age| age.as_millis()),
         attempt = history.tried.len() + 1,
         backoff = worker.backoff(now, &target.name).map(Reason::as_str), "sent"
     );
 }
 
-/// The names of the engines that read parts besides the one that answers.
+/// Returns the names of the engines that read parts of the prompt besides the answering
+/// one.
 fn helper_names(targets: &[Target], choice: &Choice) -> String {
     let readers = choice.helpers.iter().filter_map(|i| targets.get(*i));
     let names: Vec<&str> = readers.map(|target| target.name.as_str()).collect();
     names.join(",")
 }
 
-/// Waits for an upstream that may be silent. One that is silent for too long is
-/// given up if the request may be sent again and that can be afforded; else
-/// waiting on is the best that can be done, though without memory elsewhere.
-/// `None`: given up.
+/// Waits for an upstream that may be silent.
+///
+/// Returns `None` if the upstream was silent for too long and is given up. That requires
+/// that the request may be repeated and that the retry budget allows it. Otherwise waiting
+/// on is the best option left, but the memory on helpers is released.
 pub(crate) async fn wait_or_give_up<D, F, T>(
     worker: &Worker<D>,
     request: &Request,
@@ -269,6 +280,7 @@
     Some(work.await)
 }
 
+/// Takes a pooled connection to the target, or opens one.
 async fn connect<D>(
     worker: &Worker<D>,
     request: &Request,
@@ -286,6 +298,7 @@
     }
 }
 
+/// Sends the request and returns the connection with the head of the answer.
 async fn exchange<D>(
     worker: &Worker<D>,
     request: &Request,
@@ -307,7 +320,7 @@
     Ok((connection, answered))
 }
 
-/// What the head of an answer says of the attempt.
+/// Decides from the head of an answer whether the attempt succeeded.
 async fn check_head<D>(
     worker: &Worker<D>,
     mut run: Run<D>,
@@ -324,7 +337,7 @@
     }
     let fault = |failure, reason: &str| Fault::new(failure, Some(&run.upstream), reason);
     if run.head.get(names.not_run.as_str()).is_some() || status == 421 {
-        // A helper may be the one at fault.
+        // A helper may be at fault rather than the answering engine.
         let at = run.head.text(names.at_fault.as_str());
         let at = at.and_then(|at| targets.iter().find(|t| t.address.to_string() == at));
         let failure = match status {
@@ -344,16 +357,19 @@
     let sealed = run.head.get(names.seal.as_str()).is_some();
     if (200..300).contains(&status) {
         if !sealed || encoded {
-            return Err(fault(Failure::Lost, "a success without its seal"));
+            return Err(fault(
+                Failure::Lost,
+                "a success status without the upstream's seal",
+            ));
         }
         return Ok(run);
     }
     if matches!(status, 408 | 421 | 429 | 503) || encoded {
-        // Towards callers these promise that the request has not run, which
-        // this upstream doesn't say.
+        // To callers these statuses promise that the request has not run, which this
+        // upstream did not state.
         return Err(fault(
             Failure::Lost,
-            &format!("status {status} that promises nothing"),
+            &format!("status {status} without the statement that the request did not run"),
         ));
     }
     let body = run.connection.read_body(MAX_BODY_BYTES).await;
@@ -367,14 +383,14 @@
     Err(fault)
 }
 
-/// Running and waiting requests out of "running,waiting,slots".
+/// Returns the sum of running and waiting requests from `running,waiting,slots`.
 fn parse_load(load: &str) -> Option<u32> {
     let mut parts = load.split(',').map(|part| part.trim().parse::<u32>());
     let (running, waiting) = (parts.next()?.ok()?, parts.next()?.ok()?);
     Some(running.saturating_add(waiting))
 }
 
-/// Reads what is left of a short answer and keeps the connection.
+/// Reads the rest of a short answer and returns its connection to the pool.
 pub(crate) async fn recycle<D>(
     worker: &Worker<D>,
     upstream: &Upstream,
@@ -388,7 +404,7 @@
     }
 }
 
-/// Keeps the connection of an answer that was read to its end.
+/// Returns a connection to the pool if its answer was read to the end.
 pub(crate) fn return_to_pool<D>(
     worker: &Worker<D>,
     upstream: &Upstream,
--- a/almondlock-gateway/src/backoff.rs
+++ b/almondlock-gateway/src/backoff.rs
@@ -1,5 +1,5 @@
-//! What upstreams ask of this host with their answers: to send nothing for a while, or,
-//! because they leave, nothing more.
+//! Pauses and departures that upstreams announce in their answers: to receive nothing for a
+//! while or, because they are leaving, nothing more.
 
 use almondlock_base::{id::Upstream, time::Mono};
 use almondlock_node::clock;
@@ -17,10 +17,10 @@
 where
     D: Dialect,
 {
-    /// Takes in what an upstream asks with an answer.
+    /// Applies the pause or departure that an answer announces.
     pub(crate) fn apply_backoff_headers(&self, upstream: &Upstream, head: &Head) {
         let names = self.dialect.names();
-        // Another instance answers, and speaks for itself.
+        // Another instance answered, which can't speak for this one.
         if head.status == 421 {
             return;
         }
@@ -44,16 +44,21 @@
         }
     }
 
-    /// The upstreams that a request may be sent to: not those that refused it, since they
-    /// would refuse it again, nor those that want nothing from this host.
+    /// Returns the upstreams that a request may be sent to. Leaves out those that refused
+    /// it, since they would refuse it again, and those that asked for a pause or are
+    /// leaving.
     pub(crate) fn open_targets(
         &self,
         request: &Request,
         history: &History,
         now: Mono,
     ) -> Result<Vec<Target>, Lack> {
-        let known = self.snapshot();
-        let targets = known.instances.get(&request.service).into_iter().flatten();
+        let snapshot = self.snapshot();
+        let targets = snapshot
+            .instances
+            .get(&request.service)
+            .into_iter()
+            .flatten();
         let targets: Vec<&Target> = targets
             .filter(|target| !history.refused.contains(&target.name))
             .collect();
@@ -66,7 +71,7 @@
         }
     }
 
-    /// Why an upstream is to be sent nothing, if so.
+    /// Returns why nothing may be sent to an upstream, or `None` if it accepts requests.
     pub(crate) fn backoff(&self, now: Mono, upstream: &Upstream) -> Option<Reason> {
         self.backoffs.borrow().reason(now, upstream)
     }
--- a/almondlock-gateway/src/budget.rs
+++ b/almondlock-gateway/src/budget.rs
@@ -1,30 +1,28 @@
-//! Whether another attempt may be sent, out of a budget that all entry hosts
-//! share.
+//! A retry budget that keeps the retries of all entry hosts together in bounds.
 //!
-//! **Load pattern.** Part of the upstreams fail, callers repeat on their own,
-//! and each entry host's second attempts come on top: together they could keep
-//! the rest of the upstreams from recovering. So second attempts are bounded by
-//! a ratio of the requests of a sliding window plus a small number that lets a
-//! quiet service retry at all. The small number is each host's own; it is kept
-//! low enough that hundreds of hosts together stay within what the fleet may
+//! **Load pattern.** Some upstreams fail, callers repeat their requests, and the retries of
+//! each entry host come on top: together they could keep the remaining upstreams from
+//! recovering. So retries are limited to a ratio of the requests in a sliding window plus a
+//! small number that lets a quiet service retry at all. Each host has that small number to
+//! itself; it is low enough that hundreds of hosts together stay within what the fleet may
 //! spend.
 
 use std::{collections::VecDeque, time::Duration};
 
 use almondlock_base::time::Mono;
 
-/// What the budget allows.
+/// Limits of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// The sliding window.
+    /// Length of the sliding window.
     pub window: Duration,
-    /// Further attempts for each request of the window.
+    /// Retries allowed per request in the window.
     pub ratio: f64,
-    /// Further attempts in a window in any case.
+    /// Retries allowed in a window whatever the number of requests.
     pub min_retries: u32,
 }
 
-/// The budget of one service at one entry host.
+/// The retry budget of one service at one entry host.
 #[derive(Clone, Debug)]
 pub struct Budget {
     config: Config,
@@ -33,7 +31,7 @@
 }
 
 impl Budget {
-    /// A full budget.
+    /// Creates a budget from which nothing was taken.
     pub fn new(config: Config) -> Budget {
         Budget {
             config,
@@ -42,13 +40,13 @@
         }
     }
 
-    /// A request came.
+    /// Records a request.
     pub fn record_request(&mut self, now: Mono) {
         self.evict_expired(now);
         self.requests.push_back(now);
     }
 
-    /// Takes one further attempt, if there is one.
+    /// Takes a retry from the budget. Returns `false` if none is left.
     pub fn try_take(&mut self, now: Mono) -> bool {
         self.evict_expired(now);
         // Windows hold thousands of requests, which an `f64` counts exactly.
@@ -61,6 +59,7 @@
         affordable
     }
 
+    /// Discards requests and retries that have left the window.
     fn evict_expired(&mut self, now: Mono) {
         let old = |at: &Mono| now.since(*at) >= self.config.window;
         while self.requests.pop_front_if(|at| old(at)).is_some() {}
--- a/almondlock-gateway/src/dialect.rs
+++ b/almondlock-gateway/src/dialect.rs
@@ -1,8 +1,8 @@
-//! What differs from platform to platform: the names of headers, and the
-//! format of the published configuration.
+//! What differs between platforms: header names and the format of the published
+//! configuration.
 //!
-//! The rest of this package speaks of what a header holds, never of its name,
-//! so that one more platform needs a new [`Dialect`] and nothing else.
+//! The rest of this package refers to headers by their meaning, never by name, so that
+//! another platform needs only another [`Dialect`].
 
 use std::{net::SocketAddr, ops::Range, sync::Arc};
 
@@ -17,42 +17,42 @@
 /// Names of the headers that the gateway reads or sets.
 #[derive(Clone, Debug)]
 pub struct Names {
-    /// The request's id, drawn by the caller for each attempt of its own.
+    /// Id of the request, chosen by the caller for each of its own attempts.
     pub request_id: HeaderName,
     /// Milliseconds that the caller will wait, or that the upstream has.
     pub deadline: HeaderName,
-    /// The caller's key.
+    /// Key of the caller.
     pub key: HeaderName,
-    /// The organisation's name, for the upstream.
+    /// Name of the organisation, for the upstream.
     pub organisation: HeaderName,
-    /// The instance that a request is meant for.
+    /// Instance that a request is meant for.
     pub instance: HeaderName,
-    /// The rank of a request at an engine, 0 to 9.
+    /// Rank of a request at an engine, from 0 to 9.
     pub priority: HeaderName,
-    /// Prompt tokens and the most output tokens, with a comma between.
+    /// Prompt tokens and maximum output tokens, separated by a comma.
     pub usage: HeaderName,
     /// Engines that read parts of the prompt.
     pub helpers: HeaderName,
-    /// An upstream's proof that the answer is its own.
+    /// Proof by an upstream that the answer is its own.
     pub seal: HeaderName,
-    /// An upstream states that it did not run the request.
+    /// Statement of an upstream that it did not run the request.
     pub not_run: HeaderName,
-    /// The address of the upstream at fault, in an answer of another one.
+    /// Address of the upstream at fault, in an answer of another upstream.
     pub at_fault: HeaderName,
-    /// Running, waiting and slots of an upstream, with commas between.
+    /// Running requests, waiting requests and slots of an upstream, separated by commas.
     pub load: HeaderName,
-    /// Requests a second that an upstream takes from all hosts together.
+    /// Requests per second that an upstream accepts from all hosts together.
     pub limit: HeaderName,
-    /// Seconds for which an upstream that turns a request away wants nothing more.
+    /// Seconds for which an upstream that refuses a request wants no further ones.
     pub backoff: HeaderName,
-    /// An upstream states that it leaves.
+    /// Statement of an upstream that it is leaving.
     pub leaving: HeaderName,
-    /// The number of the last event that the caller has.
+    /// Number of the last event that the caller already has.
     pub last_event: HeaderName,
 }
 
 impl Names {
-    /// Whether a header of an answer is one that is read here.
+    /// Returns whether the gateway reads this header of an answer.
     pub fn is_read(&self, header: &str) -> bool {
         let read = [
             &self.request_id,
@@ -70,77 +70,79 @@
     }
 }
 
-/// An order to an engine, as an HTTP call.
+/// A command to an engine, as an HTTP call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Where it is posted.
+    /// Path of the POST request.
     pub path: &'static str,
-    /// What its body is written in.
+    /// Content type of the body.
     pub content_type: &'static str,
-    /// What it says.
+    /// Body of the request.
     pub body: String,
 }
 
-/// What an element of a configuration is.
+/// The kinds of elements in a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Section {
-    /// Services.
+    /// A service.
     Services,
-    /// Routes.
+    /// A route.
     Routes,
-    /// Organisations.
+    /// An organisation.
     Organisations,
 }
 
 impl Section {
-    /// All, in the order in which they are added: routes name services.
+    /// All sections, in the order in which they are added: routes refer to services.
     pub const ALL: [Section; 3] = [Section::Services, Section::Routes, Section::Organisations];
 }
 
-/// What a published configuration says outside its elements, and where these are.
+/// What a published configuration contains besides its elements, and where its elements
+/// are.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outline {
-    /// Its version.
+    /// Version number.
     pub version: u64,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub limits: Limits,
-    /// The places of the pieces that hold one element each, as in [`Section::ALL`].
+    /// Ranges of the pieces that hold one element each, in the order of [`Section::ALL`].
     pub sections: [Range<usize>; 3],
 }
 
-/// An organisation, and its keys.
+/// An organisation and its keys.
 pub type Keys = (Organisation, Vec<Arc<str>>);
 
-/// A platform's way to say things.
+/// The header names and formats of a platform.
 pub trait Dialect: Clone + Send + Sync + 'static {
-    /// The names of headers.
+    /// Returns the header names.
     fn names(&self) -> &Names;
 
-    /// Reads a published configuration and checks it.
+    /// Parses a published configuration and checks it.
     fn parse(&self, text: &str) -> Result<Rules, Error>;
 
-    /// Reads what stands outside the elements, if the text is cut into pieces such that each
-    /// element can be read by itself. Otherwise the text is read whole.
+    /// Parses what a text contains besides its elements. Returns `None` unless each element
+    /// has a piece of its own; the text is then parsed as a whole.
     fn parse_outline(&self, _pieces: &[Piece]) -> Option<Outline> {
         None
     }
 
-    /// Reads a piece of a section by itself.
+    /// Parses one piece of a section.
     ///
-    /// Reading all pieces of a text that has an outline gives what [`Dialect::parse`] gives.
+    /// Parsing all pieces of a text that has an outline gives the same as
+    /// [`Dialect::parse`].
     fn parse_entry(&self, _section: Section, _piece: &str) -> Result<Entry, Error> {
         Err(Error::new("pieces can't be read"))
     }
 
-    /// Reads only the organisations of a text, in less time than all of it.
+    /// Parses only the organisations of a text, which takes less time than all of it.
     fn parse_organisations(&self, _text: &str) -> Result<Vec<Keys>, Error> {
         Err(Error::new("organisations can't be read by themselves"))
     }
 
-    /// Writes an order.
+    /// Encodes a command to an engine.
     fn encode_command(&self, order: &Command<'_>) -> Call;
 
-    /// Writes one of the engines that read parts of a prompt, and the name of
-    /// the memory that it holds for it.
+    /// Formats one engine that reads a part of a prompt, with the id of the memory reserved
+    /// there.
     fn format_helper(&self, address: SocketAddr, memory: Option<&str>) -> String;
 }
--- a/almondlock-gateway/src/event.rs
+++ b/almondlock-gateway/src/event.rs
@@ -1,31 +1,32 @@
-//! Event streams, cut into whole events.
+//! Splits event streams into complete events.
 //!
-//! Only whole events are passed on. When an upstream stops in the middle of
-//! one, the caller has got nothing of it, and another run can go on after the
-//! last whole event without a piece missing or doubled.
+//! Only complete events are passed on. If an upstream stops in the middle of an event, the
+//! caller has received nothing of it, and another run can continue after the last complete
+//! event with nothing missing or repeated.
 
 use bytes::{Bytes, BytesMut};
 
-/// Ends an event.
+/// End of an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// Begins the line with an event's number.
+/// Start of the line with an event's number.
 const ID_PREFIX: &[u8] = b"id:";
 
-/// Cuts bytes into whole events.
+/// Splits bytes into complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    // The beginning of an event that isn't whole.
+    /// Start of an event that isn't complete.
     rest: BytesMut,
+    /// Number of the last complete event.
     last: Option<u64>,
 }
 
 impl Splitter {
-    /// A cutter at the beginning of a stream.
+    /// Creates a splitter for the beginning of a stream.
     pub fn new() -> Splitter {
         Splitter::default()
     }
 
-    /// Takes in bytes; gives all events that are whole now, as one piece.
+    /// Adds bytes, and returns all events that they complete, in one piece.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.rest.extend_from_slice(bytes);
         let end = self
@@ -39,12 +40,12 @@
         Some(whole)
     }
 
-    /// The number of the last whole event.
+    /// Returns the number of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether nothing of an unfinished event is held.
+    /// Returns whether the splitter holds nothing of an incomplete event.
     pub fn is_empty(&self) -> bool {
         self.rest.is_empty()
     }
@@ -54,13 +55,13 @@
         self.rest.split().freeze()
     }
 
-    /// Drops the unfinished event of a run that broke off.
+    /// Discards the incomplete event of a run that was interrupted.
     pub fn discard_rest(&mut self) {
         self.rest.clear();
     }
 }
 
-/// The number of the last event among whole ones.
+/// Returns the number of the last numbered event.
 fn last_number(events: &[u8]) -> Option<u64> {
     let mut lines = events.split(|byte| *byte == b'\n').rev();
     let id = lines.find_map(|line| line.strip_prefix(ID_PREFIX))?;
--- a/almondlock-gateway/src/failure.rs
+++ b/almondlock-gateway/src/failure.rs
@@ -1,9 +1,8 @@
-//! What a failed attempt proves, and what may follow.
+//! What a failed attempt proves, and whether the request may be retried.
 //!
-//! An attempt that was never handed on, or whose upstream states so, has not
-//! run. After a reset, a silence or bytes that are no answer it may have: then
-//! only an idempotent request is sent again, and the caller is never told that
-//! it has not run.
+//! An attempt that was never sent, or whose upstream states that it did not run, has not
+//! run. After a reset, a silence or an invalid answer it may have: then only an idempotent
+//! request is sent again, and the caller is never told that it has not run.
 
 use almondlock_base::{Code, Ran};
 
@@ -12,24 +11,24 @@
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection came about, or nothing was written to it.
+    /// The connection could not be opened, or nothing was written to it.
     Unsent,
-    /// Every upstream is at the limit that it names: nothing was sent.
+    /// All upstreams have reached their rate limits, so nothing was sent.
     Limited,
     /// The upstream states that it did not run the request.
     Rejected,
-    /// Another instance answers at the address.
+    /// Another instance answered at the address.
     Misdirected,
-    /// The connection failed, or what came is no whole answer.
+    /// The connection failed, or the answer was invalid or incomplete.
     Lost,
-    /// Nothing came in time.
+    /// Nothing arrived in time.
     Silent,
-    /// A whole answer came that tells of a failure.
+    /// A complete answer reported a failure.
     Answered,
 }
 
 impl Failure {
-    /// Whether the request ran, by this attempt alone.
+    /// Returns whether the request ran, as far as this attempt alone tells.
     pub const fn ran(self) -> Ran {
         match self {
             Failure::Unsent | Failure::Limited | Failure::Rejected | Failure::Misdirected => {
@@ -40,7 +39,7 @@
         }
     }
 
-    /// Whether the upstream is to be passed over for a while.
+    /// Returns whether the upstream should be avoided for a while.
     pub const fn blames_upstream(self) -> bool {
         !matches!(
             self,
@@ -48,7 +47,7 @@
         )
     }
 
-    /// The word used in logs.
+    /// Returns the word used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Failure::Unsent => "unsent",
@@ -62,7 +61,7 @@
     }
 }
 
-/// What is known of a request after one attempt more.
+/// Returns whether a request ran, after one more failed attempt.
 pub const fn merge_ran(before: Ran, failure: Failure) -> Ran {
     match (before, failure.ran()) {
         (Ran::Yes, _) | (_, Ran::Yes) => Ran::Yes,
@@ -71,13 +70,13 @@
     }
 }
 
-/// Whether the request may be sent to one more upstream. `ran` counts all
-/// attempts so far; `runs` those that may have run.
+/// Returns whether the request may be sent to another upstream. `ran` covers all attempts
+/// so far; `runs` is the number of attempts that may have run, `attempts` its maximum.
 pub fn may_retry(kind: Kind, ran: Ran, runs: u32, attempts: u32) -> bool {
     (ran == Ran::No || kind.is_idempotent()) && runs < attempts
 }
 
-/// The code for a caller whose request ends here.
+/// Returns the result code for a caller whose request ends here.
 pub const fn result_code(ran: Ran, failure: Failure) -> Code {
     match (ran, failure) {
         (Ran::No, Failure::Unsent) => Code::NoUpstream,
--- a/almondlock-gateway/src/follow.rs
+++ b/almondlock-gateway/src/follow.rs
@@ -1,8 +1,8 @@
-//! Reads published versions between requests.
+//! Parses published versions between requests.
 //!
-//! **Failure.** A host with 0.09 of a core read each version within the request that saw it
-//! first: 1,300 routes took 0.3 s, in which nothing else happened, and during a series of
-//! versions hosts did nothing else.
+//! **Failure.** A host with 0.09 of a core parsed each version within the request that saw
+//! it first: 1,300 routes took 0.3 s, in which nothing else happened, and during a series
+//! of versions hosts did nothing else.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     worker::Worker,
 };
 
-/// Follows the view for as long as the process runs.
+/// Parses new versions as they are published, for as long as the process runs.
 pub(crate) async fn run<D>(worker: Rc<Worker<D>>)
 where
     D: Dialect,
@@ -36,8 +36,8 @@
     }
 }
 
-/// Reads a version in slices. One that comes meanwhile waits: if it took this one's place,
-/// a quick series of versions would keep each of them from being in force.
+/// Parses a version in slices. A version that is published meanwhile waits: if it replaced
+/// this one, a quick series of versions would keep each of them from coming into force.
 async fn read_version<D>(worker: &Worker<D>, mut job: Job)
 where
     D: Dialect,
@@ -77,8 +77,8 @@
 where
     D: Dialect,
 {
-    /// What requests are served by once this document is seen. The first one of a process is
-    /// read at once, since there is nothing to serve requests by until then.
+    /// Returns the rules by which requests are served once `document` has been seen. The
+    /// first document of a process is parsed at once, since there are no rules until then.
     pub(crate) fn rules_for(&self, document: &Document) -> Option<Arc<Rules>> {
         let job = {
             let mut current = self.versions.borrow_mut();
@@ -92,14 +92,14 @@
         self.versions.borrow().rules()
     }
 
-    /// A version was read, or can't be.
+    /// Takes over a version that was parsed, or logs why it can't be.
     fn finish_reading(&self, job: &Job, result: Result<Version, Error>, slices: u32) {
         let now = clock::mono();
         let version = job.reader.version();
         match &result {
             Ok(read) => self.log_in_force(now, job, read, slices),
-            // Whoever published it had it checked by the same code, so this is a newer
-            // version's text: the one in force stays.
+            // The publisher checked the text with the same code, so it comes from a newer
+            // version of the software. The configuration in force stays.
             Err(error) => tracing::error!(version, %error, "configuration can't be read"),
         }
         let mut current = self.versions.borrow_mut();
--- a/almondlock-gateway/src/lease.rs
+++ b/almondlock-gateway/src/lease.rs
@@ -1,12 +1,12 @@
-//! Memory that is set aside on engines for one attempt, from before it is sent
-//! until it has ended, whatever its end.
+//! Memory reserved on engines for one attempt, from before it is sent until it has ended in
+//! any way.
 //!
-//! **Failure.** A host that dies, an order that is lost, or one that an engine
-//! carries out seconds late leaves memory set aside that nobody uses: the engine
-//! then rejects prompts that it could hold. What is set aside therefore ends by
-//! itself after a short time unless it is renewed; it is given back as soon as
-//! the attempt ends; and where an order had no answer, it is given back again
-//! until the order can't be carried out any more.
+//! **Failure.** A host that dies, a command that is lost, or a command that an engine
+//! carries out seconds late leaves memory reserved that nobody uses, and the engine then
+//! rejects prompts that it could hold. So each reservation is a lease that expires after a
+//! short time unless it is renewed; it is released as soon as the attempt ends; and if a
+//! command was not answered, the release is repeated until the command can no longer be
+//! carried out.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -29,33 +29,35 @@
     worker::{Target, Worker},
 };
 
-/// How long an engine may take to answer an order: a few ways there and back.
-/// Engines answer at once or, in trouble, not at all.
+/// Time allowed for an engine to answer a command: a few round trips. Engines answer at
+/// once or, in trouble, not at all.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Between two orders to give memory back, where the first failed at once.
+/// Pause between two release commands, if the first one failed at once.
 const RELEASE_PAUSE: Duration = Duration::from_millis(100);
 
-/// Memory set aside on one engine.
+/// Memory reserved on one engine.
 struct Lease {
     target: Target,
-    /// Its name, unique among all that were ever used.
+    /// Id of the reservation, unique among all that were ever used.
     id: String,
     tokens: u64,
-    /// The engine may have it: an order was sent, and not refused.
+    /// Whether the engine may hold the memory: a command was sent and not refused.
     may_be_held: Cell<bool>,
-    /// An order for it is under way, or had no answer: it may still be carried
-    /// out. Invariant: only if `asked`.
+    /// Whether a command for it is in progress or was not answered, so that it may still be
+    /// carried out. Invariant: only if `may_be_held`.
     uncertain: Cell<bool>,
 }
 
-/// All memory of one attempt. Given back when dropped.
+/// All memory reserved for one attempt. Released when dropped.
 pub(crate) struct Leases<D>
 where
     D: Dialect,
 {
     worker: Rc<Worker<D>>,
+    /// Id of the request, for the log.
     request: Rc<str>,
     leases: Rc<[Lease]>,
+    /// Task that renews the leases.
     renewal: Option<JoinHandle<()>>,
 }
 
@@ -63,8 +65,8 @@
 where
     D: Dialect,
 {
-    /// Sets memory aside on all engines, or on none. On failure tells each engine
-    /// that failed.
+    /// Reserves memory on all engines or on none. On failure returns a fault for each
+    /// engine that failed.
     pub(crate) async fn acquire(
         worker: &Rc<Worker<D>>,
         request: &str,
@@ -82,7 +84,8 @@
             may_be_held: Cell::new(false),
             uncertain: Cell::new(false),
         });
-        // Dropped half-way, as when the caller leaves, they are given back too.
+        // If this future is dropped half-way, as when the caller leaves, the memory is
+        // released too.
         let mut leases = Leases {
             worker: Rc::clone(worker),
             request: Rc::from(request),
@@ -107,7 +110,7 @@
         Ok(leases)
     }
 
-    /// The names of the memory, in the order of the shares.
+    /// Returns the ids of the reservations, in the order of the shares.
     pub(crate) fn ids(&self) -> Vec<String> {
         self.leases.iter().map(|lease| lease.id.clone()).collect()
     }
@@ -129,22 +132,21 @@
             leases: Rc::clone(&self.leases),
             active: self.worker.shared.count_active(),
         };
-        // Without a receiver the process ends, and so does the memory, by
-        // itself.
+        // Without a receiver the process is ending, and the leases expire by themselves.
         let _ = self.worker.ended_leases.send(ended);
     }
 }
 
-/// The memory of an attempt that has ended.
+/// The leases of an attempt that has ended.
 pub(crate) struct Ended {
     request: Rc<str>,
     leases: Rc<[Lease]>,
-    // A process that stops waits for this as for an answer in progress.
+    // Makes a stopping process wait for the release as for an answer in progress.
     active: Active,
 }
 
-/// Gives back the memory of attempts that have ended. Apart from them, since a
-/// value that is dropped can't wait, nor begin a task while a process ends.
+/// Releases the leases of attempts that have ended. A separate task, since a value that is
+/// dropped can't wait, nor start a task while a process ends.
 pub(crate) async fn release_ended<D>(worker: Rc<Worker<D>>, mut ended: UnboundedReceiver<Ended>)
 where
     D: Dialect,
@@ -167,8 +169,9 @@
 }
 
 impl Lease {
-    /// Sets it aside, or renews it. Only what is set aside already is renewed on an upstream
-    /// that wants nothing from this host: a request that runs there uses it.
+    /// Reserves the memory or renews its lease. On an upstream that has asked for a pause
+    /// or is leaving, only existing leases are renewed, since a request that runs there
+    /// uses the memory.
     async fn reserve_or_renew<D>(&self, worker: &Worker<D>) -> Outcome
     where
         D: Dialect,
@@ -194,11 +197,12 @@
         outcome
     }
 
-    /// Gives it back, until the engine has answered or it has ended by itself.
+    /// Releases the memory: repeats the command until the engine has answered or the lease
+    /// has expired.
     ///
-    /// **Failure.** An engine rejects a prompt and leaves the orders after that
-    /// unanswered for a second or two. Given up sooner, the memory stays set aside
-    /// to its end, which others find as an engine that is full.
+    /// **Failure.** An engine rejects a prompt and leaves the commands after it unanswered
+    /// for a second or two. If the release were given up sooner, the memory would stay
+    /// reserved until the lease expires, and other hosts would find the engine full.
     async fn release<D>(&self, worker: &Worker<D>, request: &str)
     where
         D: Dialect,
@@ -218,18 +222,18 @@
         tracing::warn!(
             request, upstream = %self.target.name, memory = %self.id, tokens = self.tokens,
             hold_ms = memory::lease_duration(worker.bounds.memory_hold).as_millis(),
-            "memory not given back, has ended by itself"
+            "engine memory not released; the lease has expired"
         );
     }
 
-    /// Gives back what an order sets aside that is carried out late.
+    /// Releases memory that an unanswered command may reserve when it is carried out late.
     async fn release_late<D>(&self, worker: &Worker<D>, request: &str)
     where
         D: Dialect,
     {
         tracing::info!(
             request, upstream = %self.target.name, memory = %self.id, tokens = self.tokens,
-            "an order had no answer, memory is given back until it is too old"
+            "command to reserve engine memory not answered; releasing until it can no longer take effect"
         );
         let order = Command::Release { id: &self.id };
         let until = clock::mono() + memory::MAX_EXECUTION_DELAY;
@@ -241,8 +245,8 @@
         }
     }
 
-    /// What is left of a pause that the upstream has asked for. Memory that isn't given back
-    /// meanwhile ends by itself.
+    /// Returns what is left of a pause that the upstream asked for. Leases that aren't
+    /// released in that time expire.
     fn backoff_left<D>(&self, worker: &Worker<D>) -> Option<Duration>
     where
         D: Dialect,
@@ -250,6 +254,7 @@
         worker.backoff(clock::mono(), &self.target.name)?.left()
     }
 
+    /// Sends a command and reports whether it was carried out.
     async fn send_command<D>(&self, worker: &Worker<D>, order: &Command<'_>) -> Outcome
     where
         D: Dialect,
@@ -263,17 +268,18 @@
     }
 }
 
+/// Returns the fault for a reservation that failed.
 fn reservation_fault(lease: &Lease, outcome: Outcome) -> Fault {
     let (failure, what) = match outcome {
         Outcome::Unknown => (Failure::Unsent, "no answer"),
         Outcome::Unreached => (Failure::Rejected, "not reached"),
         Outcome::Done | Outcome::Refused => (Failure::Rejected, "refused"),
     };
-    let reason = format!("{} tokens of memory not set aside: {what}", lease.tokens);
+    let reason = format!("{} tokens of memory not reserved: {what}", lease.tokens);
     Fault::new(failure, Some(&lease.target.name), reason)
 }
 
-/// Renews memory until it is given back.
+/// Renews leases until the task is aborted.
 async fn renew<D>(worker: Rc<Worker<D>>, leases: Rc<[Lease]>)
 where
     D: Dialect,
@@ -281,8 +287,8 @@
     let pause = memory::lease_duration(worker.bounds.memory_hold).mul_f64(memory::RENEWAL_FRACTION);
     loop {
         sleep(pause).await;
-        // An engine that has started again would set memory aside anew, which
-        // nobody uses: the attempt that it was for ended with the earlier life.
+        // Skips engines that have started again: a renewal there would reserve new memory
+        // that nobody uses, since the attempt ended with the engine's earlier life.
         let held = leases
             .iter()
             .filter(|lease| !worker.has_restarted(&lease.target));
@@ -291,7 +297,7 @@
             if outcome != Outcome::Done {
                 tracing::warn!(
                     upstream = %lease.target.name, memory = %lease.id, ?outcome,
-                    "memory not renewed"
+                    "lease of engine memory not renewed"
                 );
             }
         });
@@ -299,7 +305,7 @@
     }
 }
 
-/// Sends an order and gives the status of its answer.
+/// Sends a command and returns the status of the answer.
 async fn post<D>(worker: &Worker<D>, target: &Target, call: &Call) -> Result<u16, upstream::Error>
 where
     D: Dialect,
@@ -323,7 +329,7 @@
     let outgoing = upstream::Request {
         head: head.as_bytes(),
         body: call.body.as_bytes(),
-        // An answer that echoes any id belongs to an earlier request.
+        // Empty, since an answer that echoes any id belongs to an earlier request.
         id: (names.request_id.as_str(), b""),
     };
     let answer = connection.exchange(&outgoing).await?;
--- a/almondlock-gateway/src/limit.rs
+++ b/almondlock-gateway/src/limit.rs
@@ -1,5 +1,5 @@
-//! Limits for all entry hosts together: those that upstreams name with their answers, and
-//! what an upstream bears while it is cold.
+//! Rate limits for all entry hosts together: those that upstreams name in their answers,
+//! and the rate that an upstream can take while it is cold.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     worker::{Target, Worker},
 };
 
-/// The most names of unread headers that are logged in a process's life.
+/// Maximum number of unknown header names that a process logs.
 const MAX_LOGGED_HEADERS: usize = 32;
 
 /// Headers of answers that are passed on and concern callers only.
@@ -34,11 +34,11 @@
 where
     D: Dialect,
 {
-    /// Takes in what an answer says of its upstream's limit, to a request that was sent
-    /// at `sent`.
+    /// Applies what an answer says about its upstream's limit. `sent` is when the request
+    /// was sent.
     ///
-    /// Only an answer that the upstream has sealed ends a limit: a rejection may come from
-    /// before the part of it that knows.
+    /// Only an answer with the upstream's seal can end a limit: a rejection may come from a
+    /// component in front of the one that knows the limit.
     pub(crate) fn apply_limit_header(&self, upstream: &Upstream, sent: Mono, head: &Head) {
         let names = self.dialect.names();
         self.log_unknown_headers(upstream, head);
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Takes in a notice of an upstream's limit. `source` tells, in the log, where it
-    /// comes from. Whether the limit in force has changed.
+    /// Applies a notice of an upstream's limit, and returns whether the limit in force has
+    /// changed. `source` names the origin of the notice in the log.
     pub(crate) fn learn_limit(&self, key: Key, notice: Notice, source: &str) -> bool {
         let is_change = self.limits.borrow_mut().learn(&key, notice);
         if is_change {
@@ -76,7 +76,7 @@
         is_change
     }
 
-    /// An upstream has started again: what its earlier life named is over.
+    /// Ends the limit of an upstream that has started again.
     pub(crate) fn end_limit(&self, upstream: &Upstream) {
         let at = clock::mono();
         let key = Key::of(upstream);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// What bounds an upstream at present.
+    /// Returns the limit that applies to an upstream at present.
     fn bound_of(&self, target: &Target) -> Option<Bound> {
         let limits = self.limits.borrow();
         if limits.is_empty() && target.cold_limit.is_none() {
@@ -95,7 +95,8 @@
         Bound::of(named, target.cold_limit)
     }
 
-    /// How an upstream stands with what bounds it.
+    /// Returns whether an upstream is limited, and whether a relay may have a permit for
+    /// it.
     pub(crate) fn limit_state(&self, now: Mono, target: &Target) -> Limited {
         match self.bound_of(target) {
             None => Limited::No,
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Asks for leave to send a request to an upstream. Given at once if nothing bounds it.
+    /// Obtains permission to send a request to an upstream, from a relay if the upstream is
+    /// limited. Returns `false` if there is no permit.
     pub(crate) async fn obtain_permit(&self, request: &Request, target: &Target) -> bool {
         let (upstream, key) = (&target.name, Key::of(&target.name));
         loop {
@@ -136,10 +138,11 @@
         }
     }
 
-    /// When a caller comes back that found every upstream of its service at its limit.
+    /// Returns when a caller should try again that found every upstream of its service at
+    /// its limit.
     pub(crate) fn limit_retry_after(&self, request: &Request, now: Mono) -> Duration {
-        let known = self.snapshot();
-        let targets = known.instances.get(&request.service);
+        let snapshot = self.snapshot();
+        let targets = snapshot.instances.get(&request.service);
         let targets = targets.into_iter().flatten();
         let keys = targets.clone().map(|target| Key::of(&target.name));
         let opens = keys.map(|key| self.permits.time_until_open(now, key)).min();
@@ -153,7 +156,7 @@
             .retry_after(now, &request.service, opens, share, patience)
     }
 
-    /// Forgets the limits of upstreams that are gone.
+    /// Discards the limits of upstreams that are gone.
     pub(crate) fn sweep_limits(&self) {
         let known = self.upstreams_by_key();
         self.limits
@@ -161,7 +164,7 @@
             .retain(|key| known.contains_key(key));
     }
 
-    /// The name of an upstream, for logs.
+    /// Returns the name of an upstream, for logs.
     fn upstream_name(&self, key: Key) -> Arc<str> {
         let names = self.upstreams_by_key();
         match names.get(&key) {
@@ -170,8 +173,8 @@
         }
     }
 
-    /// Logs each header that nobody reads, once: it may be a part of the protocol that
-    /// this version doesn't know.
+    /// Logs each unknown header once: it may be a part of the protocol that this version
+    /// doesn't know.
     fn log_unknown_headers(&self, upstream: &Upstream, head: &Head) {
         let names = self.dialect.names();
         for (name, value) in &head.headers {
--- a/almondlock-gateway/src/outgoing.rs
+++ b/almondlock-gateway/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! The head of a request as it goes to an upstream.
+//! Writes the head of a request to an upstream.
 
 use almondlock_base::time::Mono;
 use ntex::http::{
@@ -13,18 +13,20 @@
     worker::{Target, Worker},
 };
 
-/// Where a request goes.
+/// Upstreams that take part in an attempt.
 pub(crate) struct Destination<'a> {
+    /// Upstreams that the request could be sent to.
     pub(crate) targets: &'a [Target],
-    /// Its numbers are places in the list of targets.
+    /// The upstreams that were chosen, as indices into `targets`.
     pub(crate) choice: &'a Choice,
-    /// The names of the memory that the first helpers hold.
+    /// Ids of the reserved memory, in the order of the shares.
     pub(crate) memory: &'a [String],
 }
 
 impl Destination<'_> {
-    /// The engines that read parts of the prompt, those with memory first. The one
-    /// that answers reads too; it is named only for its memory.
+    /// Returns the header value that lists the engines which read parts of the prompt,
+    /// those with reserved memory first. The answering engine reads too, but is listed only
+    /// if it has reserved memory.
     fn helpers<D>(&self, dialect: &D) -> String
     where
         D: Dialect,
@@ -43,11 +45,11 @@
     }
 }
 
-/// Writes the head.
+/// Writes the head. `after` is the event after which an interrupted stream resumes.
 pub(crate) fn write_head<D>(
     worker: &Worker<D>,
     request: &Request,
-    placed: &Destination<'_>,
+    destination: &Destination<'_>,
     after: Option<u64>,
     now: Mono,
 ) -> Vec<u8>
@@ -77,7 +79,7 @@
         &names.deadline,
         &request.time_left(now).as_millis().to_string(),
     );
-    if let Some(target) = placed.targets.get(placed.choice.first) {
+    if let Some(target) = destination.targets.get(destination.choice.first) {
         set(&names.instance, target.name.as_str());
     }
     if let Some(organisation) = &request.organisation {
@@ -89,7 +91,7 @@
     if request.demand.is_some() {
         set(&names.priority, &worker.priority(request, now).to_string());
     }
-    let helpers = placed.helpers(&worker.dialect);
+    let helpers = destination.helpers(&worker.dialect);
     if !helpers.is_empty() {
         set(&names.helpers, &helpers);
     }
--- a/almondlock-gateway/src/permit.rs
+++ b/almondlock-gateway/src/permit.rs
@@ -1,4 +1,5 @@
-//! Permits to send to upstreams that something bounds for all hosts, asked of relays.
+//! Permits to send requests to upstreams whose rate is limited for all hosts. Relays issue
+//! them on request.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,21 +23,23 @@
     load::Key,
 };
 
-/// How long a relay may take to answer: a way there and back, and a turn of its process.
-/// A part of the shortest objectives.
+/// Time allowed for a relay to answer: a round trip and one turn of its process. A fraction
+/// of the shortest objectives.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// What came of asking a relay.
+/// Result of a request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
+    /// The request may be sent.
     Granted,
-    /// It has none until so long from now.
+    /// The relay has no permit until this much later.
     Refused(Duration),
+    /// The relay did not answer in time.
     Unanswered,
 }
 
 impl Outcome {
-    /// The word used in logs.
+    /// Returns the word used in logs and metrics.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Outcome::Granted => "granted",
@@ -46,31 +49,36 @@
     }
 }
 
-/// A host's questions for permits.
+/// A host's requests for permits.
 #[derive(Debug, Default)]
 pub(crate) struct Permits {
-    /// Shared with the task that tells loads, which takes in the answers.
+    /// Socket shared with the exchange task, which receives the answers.
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    /// In the order in which they are asked.
+    /// Relays, in the order in which they are asked.
     relays: RefCell<Vec<SocketAddr>>,
+    /// When each relay may have a permit again.
     waits: RefCell<Selector<Key, SocketAddr>>,
-    /// Who waits for the answer to which question. Invariant: a question that was given up
-    /// is not here, so that its permit is used by nobody.
+    /// Requests that wait for an answer, by number. Invariant: a request that was given up
+    /// is not listed, so that nobody uses its permit.
     pending: RefCell<HashMap<u32, oneshot::Sender<Permit>>>,
+    /// Number of the latest request.
     last_number: Cell<u32>,
+    /// Return times given to refused callers, by service.
     returns: RefCell<HashMap<Service, Stagger>>,
-    /// Upstreams whose limits this host saw change, for the relays.
+    /// Upstreams whose limits this host saw change, to be reported to relays.
     changed: RefCell<BTreeSet<Key>>,
+    /// Signals that `changed` has a new entry.
     change_signal: Notify,
 }
 
 impl Permits {
-    /// Sends questions on this socket from now on.
+    /// Sets the socket on which requests are sent.
     pub(crate) fn set_socket(&self, socket: Rc<UdpSocket>) {
         *self.socket.borrow_mut() = Some(socket);
     }
 
-    /// Asks relays in this order from now on: those that are listened to, then the others.
+    /// Sets the order in which relays are asked: first those that this host listens to,
+    /// then the others.
     pub(crate) fn set_relay_order<I>(&self, listened: I, all: &[SocketAddr])
     where
         I: Iterator<Item = SocketAddr>,
@@ -82,7 +90,7 @@
         *self.relays.borrow_mut() = relays;
     }
 
-    /// This host saw a limit change.
+    /// Records that this host saw a limit change.
     pub(crate) fn note_change(&self, key: Key) {
         self.changed.borrow_mut().insert(key);
         self.change_signal.notify_one();
@@ -93,24 +101,26 @@
         self.change_signal.notified().await;
     }
 
+    /// Returns the upstreams whose limits changed since the last call.
     pub(crate) fn take_changed(&self) -> Vec<Key> {
         self.changed.take().into_iter().collect()
     }
 
-    /// Whether a relay may have a permit now.
+    /// Returns whether a relay may have a permit now.
     pub(crate) fn is_open(&self, now: Mono, key: Key) -> bool {
         let relays = self.relays.borrow();
         self.waits.borrow().next(now, &key, &relays).is_some()
     }
 
-    /// When a relay may have a permit.
+    /// Returns the time until a relay may have a permit.
     pub(crate) fn time_until_open(&self, now: Mono, key: Key) -> Duration {
         self.waits
             .borrow()
             .time_to_permit(now, &key, &self.relays.borrow())
     }
 
-    /// When a caller comes back that found every upstream of a service at its limit.
+    /// Returns when a caller should try again that found every upstream of a service at its
+    /// limit.
     pub(crate) fn retry_after(
         &self,
         now: Mono,
@@ -124,16 +134,16 @@
         returns.next(now, opens, share, patience)
     }
 
-    /// Takes in a relay's answer.
+    /// Passes a relay's answer to the request that waits for it.
     pub(crate) fn handle_answer(&self, permit: &Permit) {
         if let Some(waiting) = self.pending.borrow_mut().remove(&permit.number) {
-            // Whoever waited may have left: then the permit is used by nobody.
+            // The request may have been given up; its permit is then unused.
             let _ = waiting.send(*permit);
         }
     }
 
-    /// Asks a relay that may have one for a permit to send one request. None: there is no
-    /// such relay.
+    /// Requests a permit to send one request, from a relay that may have one. Returns
+    /// `None` if there is no such relay.
     pub(crate) async fn request_permit(
         &self,
         key: Key,
--- a/almondlock-gateway/src/placement.rs
+++ b/almondlock-gateway/src/placement.rs
@@ -1,5 +1,6 @@
-//! Where an attempt goes: who answers, who reads parts, whose memory is set aside, and
-//! leave to send where an upstream names a limit.
+//! Decides where an attempt goes: which engine answers, which engines help to read the
+//! prompt, and on which engines memory is reserved. Obtains a permit if an upstream limits
+//! its rate.
 
 use std::rc::Rc;
 
@@ -24,47 +25,46 @@
     worker::{Target, Worker},
 };
 
-/// How often others are chosen for engines that have no memory to give. Each time takes
-/// a way there and back.
+/// Maximum number of placements after engines refused memory. Each one takes a round trip.
 const MAX_PLACEMENTS: usize = 4;
-/// The part of its objective within which a request asks for memory on the engine that
-/// answers. Engines that leave orders unanswered take most of that.
+/// Fraction of the objective within which a request asks for memory on the answering
+/// engine. Engines that leave commands unanswered take most of that time.
 const RESERVATION_FRACTION: f64 = 0.25;
 
-/// How a placement ends that doesn't fail.
+/// Result of a placement.
 pub(crate) enum Placement<D>
 where
     D: Dialect,
 {
-    /// The attempt is sent.
+    /// The attempt can be sent.
     Send(Choice, Box<Resources<D>>),
-    /// It waits for a slot, and is then placed anew.
+    /// The attempt waits for a slot and is then placed again.
     Wait(Waiter<D>),
 }
 
-/// What was found out while an attempt is placed.
+/// What is learned while an attempt is being placed.
 #[derive(Default)]
 struct Search {
-    /// Upstreams that have no memory to give.
+    /// Upstreams that have no memory to reserve.
     full: Vec<Upstream>,
-    /// Those of them that didn't answer.
+    /// Those upstreams in `full` that did not answer.
     silent: Vec<Upstream>,
-    /// How often memory was asked for in vain.
-    placements: usize,
-    /// How often leave to send was asked for in vain.
-    permit_requests: usize,
+    /// Number of placements at which an engine refused memory.
+    refused_placements: usize,
+    /// Number of requests for a permit that were refused.
+    refused_permits: usize,
 }
 
 impl Search {
-    /// Whether memory is asked for no more on the engine that answers: it admits the
-    /// prompt when a stream of its own has ended.
+    /// Returns whether this is the last placement. It reserves no memory on the answering
+    /// engine, which admits the prompt when one of its own streams has ended.
     fn is_last(&self, request: &Request, now: Mono) -> bool {
         let spent = now.since(request.arrived);
         let is_over = spent > request.route.objective.mul_f64(RESERVATION_FRACTION);
-        self.placements == MAX_PLACEMENTS || self.placements > 0 && is_over
+        self.refused_placements == MAX_PLACEMENTS || self.refused_placements > 0 && is_over
     }
 
-    /// Some had no memory to give.
+    /// Records engines that refused memory.
     fn record_refusals<D>(
         &mut self,
         worker: &Worker<D>,
@@ -81,18 +81,18 @@
             }
             self.full.extend(fault.upstream);
         }
-        self.placements += 1;
+        self.refused_placements += 1;
     }
 }
 
-/// Chooses who takes part, and sets memory aside where a long prompt might find too
-/// little. An engine that has none to give is left out, and others are chosen.
+/// Chooses the participating upstreams, and reserves memory where a long prompt might find
+/// too little. An engine that refuses is left out, and others are chosen.
 ///
-/// **Failure.** Several hosts send long prompts to the same engine before they hear of
-/// each other, or an engine writes more than was known. A prompt that doesn't fit there
-/// waits until a stream ends, a second or two, while the engines that have read its
-/// parts hold them, and whatever comes to that engine waits behind it. An engine that
-/// has set the memory aside admits the prompt at once.
+/// **Failure.** Several hosts send long prompts to the same engine before they hear of each
+/// other, or an engine writes more than was known. A prompt that doesn't fit there waits a
+/// second or two until a stream ends, while the helpers that have read its parts hold them
+/// and later prompts queue behind it. An engine that has reserved the memory admits the
+/// prompt at once.
 pub(crate) async fn place<D>(
     worker: &Rc<Worker<D>>,
     request: &Request,
@@ -161,9 +161,10 @@
         let first = targets.get(choice.first);
         let first = first.ok_or_else(|| lack_fault(Lack::Upstream))?;
         if !worker.obtain_permit(request, first).await {
-            // It is known as spent from now on, so that another one is chosen.
-            search.permit_requests += 1;
-            if search.permit_requests > targets.len() {
+            // The permit is now known to be unavailable, so the next round chooses another
+            // upstream.
+            search.refused_permits += 1;
+            if search.refused_permits > targets.len() {
                 return Err(refuse(worker, request, Lack::Limit, clock::mono()));
             }
             continue;
@@ -185,13 +186,14 @@
     }
 }
 
-/// Refused because something is missing. For a limit it is known when to come back.
+/// Returns the fault for a request that can't be placed. For a rate limit it is known when
+/// to try again.
 fn refuse<D>(worker: &Worker<D>, request: &Request, lack: Lack, now: Mono) -> Fault
 where
     D: Dialect,
 {
     if lack == Lack::Memory {
-        // Memory of engines is held by prompts that are read.
+        // Memory of engines is held by prompts that are being read.
         worker.note_refused(request, Resource::Reading, now, None);
     }
     match lack {
@@ -203,11 +205,13 @@
     }
 }
 
+/// Returns the fault for a request that can't be placed, without further effects.
 pub(crate) fn lack_fault(lack: Lack) -> Fault {
     Fault::new(Failure::Unsent, None, lack)
 }
 
-/// Whether a prompt would be late, or the engines' time does more for others.
+/// Returns a fault if the prompt would be late, or if the engines' time is better spent on
+/// other requests.
 fn admission_fault<D>(
     worker: &Worker<D>,
     request: &Request,
@@ -217,8 +221,8 @@
 where
     D: Dialect,
 {
-    let known = worker.snapshot();
-    let service = known
+    let snapshot = worker.snapshot();
+    let service = snapshot
         .rules
         .as_ref()
         .and_then(|rules| rules.service(&request.service));
@@ -241,15 +245,16 @@
         worker.note_deprioritised(request, now, "refused");
     }
     let (expected, backlog) = (choice.expected.as_millis(), backlog.as_millis());
-    let reason =
-        format!("first event expected in {expected} ms, mean backlog over a second {backlog} ms");
+    let reason = format!(
+        "first event expected in {expected} ms, mean backlog over the last second {backlog} ms"
+    );
     Some(Fault {
         retry_after: Some(returns),
         ..Fault::new(Failure::Unsent, None, reason)
     })
 }
 
-/// Whether a short prompt gets a slot now.
+/// Decides whether a short prompt gets a slot now.
 fn admit_to_slot<D>(
     worker: &Worker<D>,
     request: &Request,
@@ -265,8 +270,8 @@
     if !worker.features.slot_admission || !is_short {
         return Verdict::Send;
     }
-    let known = worker.snapshot();
-    let rules = known.rules.as_ref();
+    let snapshot = worker.snapshot();
+    let rules = snapshot.rules.as_ref();
     let service = rules.and_then(|rules| rules.service(&request.service));
     let Some(speed) = service.and_then(|service| service.engine.as_ref()) else {
         return Verdict::Send;
@@ -282,6 +287,7 @@
     worker.admit(&question, choice, now)
 }
 
+/// Chooses an upstream, and helpers if the request is a prompt for engines.
 fn choose<D>(
     worker: &Worker<D>,
     request: &Request,
@@ -290,8 +296,8 @@
 where
     D: Dialect,
 {
-    let known = worker.snapshot();
-    let rules = known.rules.as_ref();
+    let snapshot = worker.snapshot();
+    let rules = snapshot.rules.as_ref();
     let service = rules.and_then(|rules| rules.service(&request.service));
     let service = service.ok_or(Lack::Upstream)?;
     let mut rng = worker.rng.borrow_mut();
--- a/almondlock-gateway/src/pool.rs
+++ b/almondlock-gateway/src/pool.rs
@@ -1,8 +1,8 @@
-//! Connections that wait for their next request, by instance.
+//! Idle connections to upstreams, by instance.
 //!
-//! A connection is used again only well within the time that its upstream
-//! keeps it: a request that meets the close is lost on its way, and if it may
-//! not be repeated, its caller is told that nobody knows whether it ran.
+//! A connection is reused only well within the time for which its upstream keeps it open. A
+//! request that meets the close is lost in transit, and if it may not be repeated, its
+//! caller is told that nobody knows whether it ran.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -10,15 +10,15 @@
 
 use crate::upstream::Connection;
 
-/// A connection is idle no longer than this, if the upstream says nothing.
+/// Maximum time for which a connection is kept idle, whatever the upstream says.
 const MAX_IDLE: Duration = Duration::from_secs(4);
-/// Upstreams close this much earlier than they say: their clock started when
-/// they sent the answer, and a request takes time to arrive.
+/// Margin before the time at which an upstream closes an idle connection: its clock started
+/// when it sent the answer, and a request takes time to arrive.
 const CLOSE_MARGIN: Duration = Duration::from_millis(800);
-/// A request that may not be repeated uses a connection only if it was active
-/// this short a time ago, when it can hardly have gone silent meanwhile.
+/// Maximum idle time of a connection for a request that may not be repeated. Within it the
+/// connection can hardly have gone silent.
 const MAX_IDLE_UNREPEATABLE: Duration = Duration::from_millis(500);
-/// Idle connections kept for one instance.
+/// Maximum number of idle connections per instance.
 const MAX_IDLE_CONNECTIONS: usize = 24;
 
 /// Idle connections.
@@ -28,7 +28,9 @@
 }
 
 impl Pool {
-    /// Takes the connection that was used last. Those found closed are dropped.
+    /// Takes the most recently used connection, and drops connections that were closed.
+    /// With `once`, the request may not be repeated, so that an older connection isn't
+    /// used.
     pub fn take(&mut self, now: Mono, instance: &Upstream, once: bool) -> Option<Connection> {
         let idle = self.idle.get_mut(instance)?;
         while let Some(mut connection) = idle.pop() {
@@ -45,7 +47,7 @@
         None
     }
 
-    /// Puts a connection back.
+    /// Adds a connection whose answer was read to its end.
     pub fn put(&mut self, now: Mono, instance: &Upstream, mut connection: Connection) {
         connection.mark_idle(now);
         let idle = self.idle.entry(instance.clone()).or_default();
@@ -54,13 +56,12 @@
         }
     }
 
-    /// Drops the connections to an instance.
+    /// Drops all connections to an instance.
     pub fn forget(&mut self, instance: &Upstream) {
         self.idle.remove(instance);
     }
 
-    /// Drops those that are too old to be used again, and those to instances
-    /// that are gone.
+    /// Drops connections that are too old to be reused or whose instance is gone.
     pub fn sweep<F>(&mut self, now: Mono, is_known: F)
     where
         F: Fn(&Upstream) -> bool,
--- a/almondlock-gateway/src/request.rs
+++ b/almondlock-gateway/src/request.rs
@@ -1,5 +1,5 @@
-//! One request: attempts, one after another, until one is answered or nothing
-//! more may be tried.
+//! One caller's request: its attempts, one after another, until one is answered or no
+//! further attempt is allowed.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -31,49 +31,56 @@
     worker::Worker,
 };
 
-/// Attempts in all, also of those that provably did not run.
+/// Maximum number of attempts, including those that provably did not run.
 const MAX_ATTEMPTS: usize = 4;
-/// Callers leave a stream that pauses this long in any case.
+/// Shortest gap in a stream after which callers leave, whatever the route.
 const CALLER_PATIENCE: Duration = Duration::from_secs(2);
-/// Of a caller's patience, the part after which a silent upstream is given up,
-/// so that another one can still answer in time.
+/// Fraction of the caller's patience after which a silent upstream is given up. What is
+/// left lets another upstream answer in time.
 const GIVE_UP_FRACTION: f64 = 0.6;
-/// The last rank at an engine.
+/// The lowest rank that a request can have at an engine. Rank 0 is served first.
 pub(crate) const LAST_RANK: u32 = 9;
-/// When to come back after a refusal at the least: a few passes of an engine.
+/// Shortest `retry-after` of a refusal: a few passes of an engine.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// The part of its time after which a caller comes back at the latest. What is left
-/// has to do for the answer.
+/// Longest `retry-after`, as a fraction of the request's remaining time. The rest has to
+/// suffice for the answer.
 const MAX_RETRY_FRACTION: f64 = 1.0 / 3.0;
 
-/// A request as it is handed on.
+/// A caller's request, as it is forwarded.
 pub(crate) struct Request {
+    /// Id that the caller sent, passed on to upstreams and used in logs.
     pub(crate) id: Arc<str>,
     pub(crate) method: Method,
-    /// Path and query, as they came.
+    /// Path and query, unchanged.
     pub(crate) path_and_query: String,
+    /// The `host` header.
     pub(crate) host: String,
-    /// The headers that are handed on unchanged.
+    /// Headers that are forwarded unchanged.
     pub(crate) headers: Vec<(HeaderName, HeaderValue)>,
     pub(crate) body: ntex::util::Bytes,
     pub(crate) route: Arc<Route>,
+    /// Service of the route that this request was assigned to.
     pub(crate) service: Service,
+    /// Owner of the caller's key, if the route needs one.
     pub(crate) organisation: Option<Arc<Organisation>>,
+    /// Time at which the request reached this host.
     pub(crate) arrived: Mono,
-    /// When its time is over: the caller's, or the route's.
+    /// Deadline: the caller's or the route's, whichever is earlier.
     pub(crate) deadline: Mono,
+    /// Token counts, if the request is a prompt for an engine.
     pub(crate) demand: Option<Demand>,
-    /// The last event that the caller has.
+    /// Number of the last event that the caller already has.
     pub(crate) last_event: Option<u64>,
 }
 
 impl Request {
+    /// Returns the time until the deadline.
     pub(crate) fn time_left(&self, now: Mono) -> Duration {
         self.deadline.since(now)
     }
 
-    /// How long an upstream may be silent before another one is tried. Callers
+    /// Returns how long an upstream may be silent before another one is tried. Callers
     /// leave after a gap of a few objectives or pauses.
     pub(crate) fn silence_timeout(&self) -> Duration {
         let pause = match self.route.kind {
@@ -84,14 +91,14 @@
         gap.mul_f64(GIVE_UP_FRACTION)
     }
 
-    /// Its rank at an engine, 0 to 9: each doubling of the objective is one
-    /// place further back.
+    /// Returns the request's rank at an engine, from 0 to 9. Each doubling of the objective
+    /// moves it one rank back.
     pub(crate) fn priority(&self) -> u32 {
         let own = self.organisation.as_ref().and_then(|o| o.priority);
         self.rank(own.unwrap_or(self.route.priority))
     }
 
-    /// The rank of its kind: its own without regard to its organisation.
+    /// Returns the rank by route alone, without the organisation's priority.
     pub(crate) fn kind_rank(&self) -> u32 {
         self.rank(self.route.priority)
     }
@@ -103,13 +110,13 @@
     }
 }
 
-/// A whole answer.
+/// A complete answer of an upstream.
 pub(crate) struct Response {
     pub(crate) head: Head,
     pub(crate) body: Bytes,
 }
 
-/// How a request came out.
+/// The answer that a request received.
 pub(crate) enum Answer<D>
 where
     D: Dialect,
@@ -118,31 +125,36 @@
     Stream(Box<Stream<D>>),
 }
 
-/// A request that ends without an upstream's answer.
+/// A request that ends without an answer of an upstream.
 #[derive(Debug)]
 pub(crate) struct Refusal {
     pub(crate) code: Code,
+    /// Time after which the caller may try again. `None` if it may have run.
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// What is known of a request's attempts so far.
+/// The attempts of a request so far.
 #[derive(Default)]
 pub(crate) struct History {
+    /// Upstreams that were tried.
     pub(crate) tried: Vec<Upstream>,
-    /// Those of them that state that they did not run it.
+    /// Tried upstreams that stated that they did not run the request.
     pub(crate) refused: Vec<Upstream>,
-    // The last whole answer that told of a failure.
+    /// The last complete answer that reported a failure.
     answer: Option<Response>,
-    // Invariant: `Ran::No` as long as every attempt provably did not run.
+    /// Invariant: `None` or `Ran::No` as long as every attempt provably did not run.
     ran: Option<Ran>,
+    /// Number of attempts that may have run.
     pub(crate) runs: u32,
 }
 
 impl History {
+    /// Returns whether the request ran, as far as is known.
     pub(crate) fn ran(&self) -> Ran {
         self.ran.unwrap_or(Ran::No)
     }
 
+    /// Adds a failed attempt, and takes its answer over.
     fn record(&mut self, fault: &mut Fault) {
         self.ran = Some(failure::merge_ran(self.ran(), fault.failure));
         self.runs += u32::from(fault.failure.ran() != Ran::No);
@@ -156,7 +168,7 @@
     }
 }
 
-/// Runs a request until its answer begins.
+/// Runs a request until its answer is complete or, for a stream, has begun.
 pub(crate) async fn run<D>(
     worker: Rc<Worker<D>>,
     request: Rc<Request>,
@@ -202,8 +214,8 @@
     }
 }
 
-/// Logs a failed attempt, and passes its upstream over from now on if it is to
-/// blame.
+/// Logs a failed attempt, and avoids its upstream for a while if the failure is that
+/// upstream's.
 pub(crate) fn record_failure<D>(
     worker: &Worker<D>,
     request: &Request,
@@ -228,7 +240,7 @@
     );
 }
 
-/// Whether one more attempt is safe, of use and affordable.
+/// Returns whether another attempt is safe, useful and within the retry budget.
 fn may_try_again<D>(
     worker: &Worker<D>,
     request: &Request,
@@ -249,8 +261,8 @@
         && (is_paid(fault.failure) || worker.try_take_retry(now, &request.service))
 }
 
-/// Whether another attempt costs nothing more: nothing has reached an upstream,
-/// or it was paid for when a silent one was given up.
+/// Returns whether another attempt takes nothing from the retry budget: nothing reached an
+/// upstream, or the budget was charged when a silent upstream was given up.
 const fn is_paid(failure: Failure) -> bool {
     matches!(
         failure,
@@ -258,6 +270,7 @@
     )
 }
 
+/// Returns the last answer of an upstream if there is one, or else the code for the caller.
 fn finish<D>(
     worker: &Worker<D>,
     request: &Request,
@@ -284,9 +297,10 @@
 where
     D: Dialect,
 {
-    /// When a refused caller finds a place: when what keeps it out is read, if that
-    /// is known as `returns`, else when the first upstream takes requests and has read
-    /// what it has now. Spread, so that those refused together don't return together.
+    /// Returns when a refused caller should try again. `returns` is the time until the work
+    /// that keeps the request out has been read, if known; otherwise the first upstream
+    /// that accepts requests and has read its backlog decides. The time is randomised so
+    /// that callers refused together don't return together.
     pub(crate) fn retry_after(
         &self,
         request: &Request,
@@ -299,9 +313,11 @@
         wait.min(request.time_left(now).mul_f64(MAX_RETRY_FRACTION))
     }
 
+    /// Returns the time until the first upstream of the service accepts requests and has
+    /// read its backlog.
     fn shortest_wait(&self, request: &Request, now: Mono) -> Duration {
-        let known = self.snapshot();
-        let targets = known.instances.get(&request.service);
+        let snapshot = self.snapshot();
+        let targets = snapshot.instances.get(&request.service);
         let waits = targets.into_iter().flatten().filter_map(|target| {
             let pause = match self.backoff(now, &target.name) {
                 Some(Reason::Leaving) => return None,
@@ -315,7 +331,7 @@
     }
 }
 
-/// Reads the whole body of an answer that is no stream.
+/// Reads the complete body of an answer that is not a stream.
 async fn read_response<D>(
     worker: &Worker<D>,
     request: &Request,
@@ -332,7 +348,7 @@
             return Err(Fault::new(
                 Failure::Silent,
                 Some(&run.upstream),
-                "its body stopped",
+                "the body of the answer stopped",
             ));
         }
     };
@@ -345,8 +361,8 @@
     })
 }
 
-/// Waits for the first whole event of a stream: until then a failure can still
-/// be answered with a status, or be made good elsewhere.
+/// Waits for the first complete event of a stream. Until it arrives, a failure can still be
+/// answered with a status or retried elsewhere.
 async fn begin_stream<D>(
     worker: &Rc<Worker<D>>,
     request: &Rc<Request>,
@@ -380,7 +396,7 @@
     Ok(Stream::new(worker, request, run, splitter, first))
 }
 
-/// The first whole event of an answer.
+/// Reads the first complete event of an answer.
 pub(crate) async fn read_first_event(
     connection: &mut Connection,
     splitter: &mut Splitter,
--- a/almondlock-gateway/src/resources.rs
+++ b/almondlock-gateway/src/resources.rs
@@ -1,5 +1,5 @@
-//! What one attempt holds as long as it runs: its part of the loads that this
-//! host counts, and memory on engines.
+//! What one attempt holds while it runs: its entries in this host's load table, a slot, its
+//! organisation's claim, and memory reserved on engines.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,36 +20,40 @@
     worker::{Target, Worker},
 };
 
-/// How long an attempt that holds memory on helpers may be silent, beyond the time that its
-/// first event is expected to take.
+/// How long an attempt that holds memory on helpers may be silent beyond the time expected
+/// for its first event.
 ///
-/// **Failure.** An engine that answers a large prompt goes dark, or its answer is
-/// lost without a reset. Waited for as long as others, the attempt would go on
-/// renewing memory on engines that nobody uses any more, and keep other prompts
-/// out. Given up this early, the memory is given back within the 4 s for which it
-/// may outlive its use, as long as first events are expected within 2.2 s. Where
-/// the order that gives it back is lost too, the lease lasts on to its own end.
+/// **Failure.** The engine that answers a large prompt goes dark, or its answer is lost
+/// without a reset. If such an attempt were waited for as long as others, it would keep
+/// renewing memory on helpers that nobody uses any more, and keep other prompts out. With
+/// this limit the memory is released within the 4 s for which it may outlive its use, as
+/// long as first events are expected within 2.2 s. If the command that releases it is lost
+/// too, the memory stays reserved until the lease expires.
 const MAX_SILENCE: Duration = Duration::from_millis(1_800);
 
-/// Given back when dropped.
+/// What one attempt holds. Released when dropped.
 pub(crate) struct Resources<D>
 where
     D: Dialect,
 {
     worker: Rc<Worker<D>>,
+    /// Entries in the load table, by upstream.
     tickets: Vec<(Upstream, Ticket)>,
+    /// Memory reserved on engines.
     leases: RefCell<Option<Leases<D>>>,
-    // Its part of what its organisation has in flight.
+    /// Share of the organisation's requests in flight.
     claim: Option<Claim>,
-    // On the upstream that answers. Invariant: that one's ticket comes first.
+    /// Slot on the answering upstream. Invariant: that upstream's ticket comes first.
     slot: Option<Slot>,
+    /// Whether the request is a short prompt.
     is_short: bool,
-    // Some of the memory is on engines that only help.
+    /// Whether some of the memory is reserved on helpers.
     has_helper_memory: bool,
-    // When the first event is expected.
+    /// When the first event is expected.
     first_event_expected: Mono,
+    /// Whether the first event has arrived.
     is_prompt_read: Cell<bool>,
-    // The request's objective if it probes an ejected upstream.
+    /// Objective of the request, if it probes an ejected upstream.
     probe_objective: Option<Duration>,
 }
 
@@ -57,7 +61,7 @@
 where
     D: Dialect,
 {
-    /// Counts what the attempt asks of each upstream that takes part.
+    /// Adds the attempt to the load of each participating upstream.
     pub(crate) fn new(
         worker: &Rc<Worker<D>>,
         request: &Request,
@@ -114,13 +118,13 @@
         }
     }
 
-    /// Keeps memory that was set aside for the attempt.
+    /// Holds the memory that was reserved for the attempt.
     pub(crate) fn attach_leases(&self, leases: Leases<D>) {
         *self.leases.borrow_mut() = Some(leases);
     }
 
-    /// Gives back memory on engines that only help, though the attempt may go on. On
-    /// the engine that answers it is in use for as long as that one works.
+    /// Releases memory on helpers although the attempt may go on. Memory on the answering
+    /// engine stays in use for as long as that engine works.
     pub(crate) fn release_helper_memory(&self) {
         if !self.has_helper_memory {
             return;
@@ -128,9 +132,9 @@
         drop(self.leases.borrow_mut().take());
     }
 
-    /// How long to wait for the next bytes, of an attempt that others are waited
-    /// for as long as `usual`. A probe's first event is waited for no longer than its
-    /// objective: the upstream is expected to be silent, and another attempt follows.
+    /// Returns how long to wait for the next bytes, where `usual` is the time for other
+    /// attempts. For the first event of a probe it is at most the objective: the probed
+    /// upstream is expected to be silent, and another attempt follows.
     pub(crate) fn silence_timeout(&self, now: Mono, usual: Duration) -> Duration {
         let usual = match self.probe_objective {
             Some(objective) if !self.is_prompt_read.get() => usual.min(objective),
@@ -146,7 +150,7 @@
         usual.min(first + MAX_SILENCE)
     }
 
-    /// The prompt is read.
+    /// Records that the prompt has been read.
     pub(crate) fn mark_prompt_read(&self) {
         self.is_prompt_read.set(true);
         if let Some(claim) = &self.claim {
@@ -159,12 +163,12 @@
         self.worker.load_changed.notify_one();
     }
 
-    /// Whether it is a short prompt that takes a slot which is counted.
+    /// Returns whether this is a short prompt that holds a counted slot.
     pub(crate) const fn has_short_slot(&self) -> bool {
         self.slot.is_some() && self.is_short
     }
 
-    /// The names of the memory that was set aside, in the order of the shares.
+    /// Returns the ids of the reserved memory, in the order of the shares.
     pub(crate) fn memory_ids(&self) -> Vec<String> {
         let leases = self.leases.borrow();
         leases.as_ref().map_or_else(Vec::new, Leases::ids)
--- a/almondlock-gateway/src/response.rs
+++ b/almondlock-gateway/src/response.rs
@@ -1,4 +1,4 @@
-//! What callers get: an upstream's answer, or a refusal.
+//! Responses to callers: an upstream's answer, or a refusal.
 
 use almondlock_base::time::Mono;
 use almondlock_node::clock;
@@ -14,7 +14,7 @@
     worker::Worker,
 };
 
-/// Headers that concern one connection only, or that are written anew.
+/// Headers that concern one connection only or are written anew.
 pub(crate) const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -29,7 +29,7 @@
     "expect",
 ];
 
-/// A response with the upstream's status and headers.
+/// Starts a response with the upstream's status and headers.
 pub(crate) fn start_response(head: &Head) -> HttpResponseBuilder {
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut builder = HttpResponse::build(status);
@@ -42,37 +42,38 @@
     builder
 }
 
+/// Passes on a complete answer of an upstream.
 pub(crate) fn complete_response<D>(
     worker: &Worker<D>,
     id: &str,
-    whole: Response,
+    answer: Response,
     arrived: Mono,
 ) -> HttpResponse {
     let spent = clock::mono().since(arrived);
-    let status = whole.head.status;
+    let status = answer.head.status;
     worker
         .shared
         .metrics
         .time("whole", &format!("status=\"{status}\""), spent);
     tracing::info!(request = %id, status, outcome = "answered", spent_ms = spent.as_millis(), "ended");
-    let body = Bytes::copy_from_slice(&whole.body);
-    start_response(&whole.head).body(body)
+    let body = Bytes::copy_from_slice(&answer.body);
+    start_response(&answer.head).body(body)
 }
 
-/// The answer to a request that ends here.
+/// Answers a request that ends without an upstream's answer.
 pub(crate) fn refusal_response<D>(
     worker: &Worker<D>,
     id: &str,
-    end: &Refusal,
+    refusal: &Refusal,
     arrived: Mono,
 ) -> HttpResponse {
     let spent = clock::mono().since(arrived);
-    let code = end.code;
+    let code = refusal.code;
     worker
         .shared
         .metrics
         .count("refused", &format!("code=\"{}\"", code.number()));
-    let retry_after = end.retry_after.map_or(0, |span| span.as_millis());
+    let retry_after = refusal.retry_after.map_or(0, |span| span.as_millis());
     tracing::info!(
         request = %id, outcome = "refused", code = code.number(), name = code.name(),
         retry_after_ms = retry_after, spent_ms = spent.as_millis(),
@@ -82,7 +83,7 @@
     let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut builder = HttpResponse::build(status);
     builder.header("x-almondlock-code", code.number().to_string());
-    if let Some(span) = end.retry_after {
+    if let Some(span) = refusal.retry_after {
         builder.header("retry-after", format!("{:.3}", span.as_secs_f64()));
     }
     builder.body(code.text())
--- a/almondlock-gateway/src/server.rs
+++ b/almondlock-gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! The listeners: callers' requests, readiness, and figures.
+//! The listeners for callers' requests, readiness checks and metrics.
 
 use std::{
     future::pending,
@@ -41,40 +41,40 @@
     worker::Worker,
 };
 
-/// How often the end of answers in progress is looked for on a stop.
+/// How often a stop checks whether all answers have finished.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// How long the listeners may take to stop once nothing is under way. Requests that come
-/// meanwhile on open connections are not read, and their callers wait that long for nothing.
+/// Time allowed for the listeners to stop once no request is active. Requests that arrive
+/// in this time on open connections are not read, so their callers wait it out in vain.
 const LISTENER_STOP_TIMEOUT: Duration = Duration::from_millis(50);
-/// How often idle connections are looked through.
+/// How often idle connections and outdated limits are cleaned up.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a request's head may take to arrive. Published limits come with
-/// the configuration, later than the listener.
+/// Time allowed for the head of a request. A fixed value, because the published limits
+/// arrive with the configuration, after the listener has started.
 const HEAD_TIMEOUT: Seconds = Seconds(5);
-/// How long an idle connection of a caller is kept: longer than callers reuse
-/// one, which is most of the published limit.
+/// How long an idle connection of a caller is kept. Longer than callers reuse a connection,
+/// which is most of the published limit.
 const KEEP_ALIVE: Seconds = Seconds(20);
 
-/// What the gateway is told at its start.
+/// Settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// Where the balancer asks for readiness.
+    /// Address on which the balancer checks readiness.
     pub ready: SocketAddr,
-    /// Where figures are served.
+    /// Address on which metrics are served.
     pub metrics: Option<SocketAddr>,
-    /// Relays of other hosts' loads.
+    /// Relays that pass on other hosts' loads.
     pub relays: Vec<SocketAddr>,
-    /// The failure domain.
+    /// Failure domain of this host.
     pub domain: Domain,
-    /// Its bounds.
+    /// Limits that the gateway keeps to.
     pub bounds: Bounds,
-    /// What it decides by besides.
+    /// Optional behaviour that is enabled.
     pub features: Features,
-    /// Seeds the generator.
+    /// Seed of the random number generator. It also identifies the host to relays.
     pub seed: u64,
-    /// How long the listener stays after readiness has failed.
+    /// How long the listener stays open after readiness has failed.
     pub notice: Duration,
     /// How long answers in progress may take after that.
     pub grace: Duration,
@@ -88,7 +88,7 @@
     grace: Duration,
 }
 
-/// Binds and starts serving.
+/// Binds the listeners and starts serving.
 pub fn start<D>(config: Config, dialect: D, node: Handle) -> io::Result<Server>
 where
     D: Dialect,
@@ -114,8 +114,8 @@
 }
 
 impl Server {
-    /// Stops gracefully: readiness fails first, the listener stays until the
-    /// balancer has noticed, answers in progress finish.
+    /// Stops gracefully: readiness fails first, the listener stays open until the balancer
+    /// has noticed, and answers in progress finish.
     pub async fn stop(self) {
         let end = clock::mono() + self.notice + self.grace;
         self.shared.begin_stop(end);
@@ -123,7 +123,7 @@
         self.shared.refuses_streams.store(true, Ordering::Relaxed);
         let drained = async {
             self.wait_until_idle().await;
-            // What entered since the last look is finished too.
+            // Waits for requests that began after the last check.
             self.shared.close();
             self.wait_until_idle().await;
         };
@@ -132,18 +132,18 @@
             tracing::warn!(active, "stopping with answers in progress");
         }
         self.shared.close();
-        // The last answers leave the buffers of their connections.
+        // Lets the last answers leave the buffers of their connections.
         sleep(DRAIN_POLL).await;
         let stops = self.servers.into_iter().map(|server| server.stop(false));
         if timeout(LISTENER_STOP_TIMEOUT, join_all(stops))
             .await
             .is_err()
         {
-            tracing::warn!("listeners have not stopped in time");
+            tracing::warn!("listeners did not stop in time");
         }
     }
 
-    /// Waits until nothing is under way.
+    /// Waits until no request is active.
     async fn wait_until_idle(&self) {
         while self.shared.active() > 0 {
             sleep(DRAIN_POLL).await;
@@ -151,6 +151,7 @@
     }
 }
 
+/// Starts the listener for callers and the background tasks of its thread.
 fn start_caller_listener<D>(
     config: &Config,
     dialect: D,
@@ -165,7 +166,8 @@
     let shared = Arc::clone(shared);
     let factory = async move || {
         let rng = SmallRng::seed_from_u64(config.seed);
-        // Bounded by the requests under way: each sends once, when it ends.
+        // Unbounded, but it holds at most one message for each active attempt, sent when
+        // the attempt ends.
         let (sender, ended) = mpsc::unbounded_channel();
         let worker = Rc::new(Worker::new(
             dialect.clone(),
@@ -181,7 +183,7 @@
             places = worker.features.slot_admission,
             shares = worker.features.fair_shares,
             observed_pace = worker.features.observed_pace,
-            "gateway begins"
+            "gateway starting"
         );
         spawn_local(lease::release_ended(Rc::clone(&worker), ended));
         spawn_local(follow::run(Rc::clone(&worker)));
@@ -198,7 +200,9 @@
                 ));
             }
             Ok(_) => {}
-            Err(error) => tracing::error!(%error, "loads of other hosts stay unknown"),
+            Err(error) => {
+                tracing::error!(%error, "UDP socket not bound; loads of other hosts stay unknown")
+            }
         }
         App::new()
             .state(worker)
@@ -207,8 +211,8 @@
     let http = HttpServiceConfig::new()
         .set_client_timeout(HEAD_TIMEOUT)
         .set_keepalive(KEEP_ALIVE);
-    // One thread: the tables of loads and connections are its own, and a host
-    // of this kind has a part of one core.
+    // One thread, because the tables of loads and connections belong to a thread, and a
+    // host with this role has only a fraction of a core.
     let server = HttpServer::new(factory)
         .workers(1)
         .disable_signals()
@@ -217,15 +221,20 @@
     Ok(server.run())
 }
 
+/// Removes idle connections, limits and pauses that are out of date.
 async fn sweep_periodically<D>(worker: Rc<Worker<D>>)
 where
     D: Dialect,
 {
     loop {
         sleep(SWEEP_INTERVAL).await;
-        let known = worker.snapshot();
+        let snapshot = worker.snapshot();
         let is_known = |name: &almondlock_base::id::Upstream| {
-            known.instances.values().flatten().any(|t| t.name == *name)
+            snapshot
+                .instances
+                .values()
+                .flatten()
+                .any(|t| t.name == *name)
         };
         worker.pool.borrow_mut().sweep(clock::mono(), is_known);
         worker.sweep_limits();
@@ -234,6 +243,7 @@
     }
 }
 
+/// Starts the listener for readiness checks.
 fn start_readiness_listener(
     config: &Config,
     node: Handle,
@@ -270,7 +280,7 @@
     Ok(server.listen(listener)?.run())
 }
 
-/// Takes one request of a caller.
+/// Handles one request of a caller.
 async fn handle<D>(
     worker: State<Rc<Worker<D>>>,
     incoming: HttpRequest,
@@ -288,7 +298,7 @@
         .to_owned();
     let accepted = accept(&worker, &incoming, payload, arrived).await;
     let accepted = accepted.and_then(|request| {
-        // What is begun now might not end before the process does.
+        // Refuses requests that might not end before the process does.
         let is_stream = request.route.kind.is_stream();
         match worker.shared.may_begin(is_stream, request.deadline) {
             true => Ok(request),
@@ -305,7 +315,7 @@
         }
     };
     let mut response = match result {
-        Ok(Answer::Complete(whole)) => complete_response(&worker, &id, whole, arrived),
+        Ok(Answer::Complete(answer)) => complete_response(&worker, &id, answer, arrived),
         Ok(Answer::Stream(stream)) => {
             let mut builder = start_response(&stream.head);
             let io = incoming.io().cloned();
@@ -325,7 +335,7 @@
                 );
             builder.streaming(body.boxed_local())
         }
-        Err(end) => refusal_response(&worker, &id, &end, arrived),
+        Err(refusal) => refusal_response(&worker, &id, &refusal, arrived),
     };
     if worker.shared.is_stopping() {
         let head = response.head_mut();
@@ -334,24 +344,24 @@
     response
 }
 
-/// Ends a response in the middle of its body, by closing the connection. The
-/// HTTP library would write the error's own response into the unfinished body,
-/// which the caller could take for a part of it.
+/// Ends a response in the middle of its body by closing the connection. Otherwise the HTTP
+/// library would write the error's own response into the unfinished body, where the caller
+/// could take it for a part of the body.
 async fn abort_response<T>(io: Option<IoRef>, error: io::Error) -> Option<(io::Result<Bytes>, T)> {
     match io {
         Some(io) => {
             io.close();
             pending().await
         }
-        // Without a connection there is nobody to mislead.
+        // Without a connection there is no caller to mislead.
         None => {
-            tracing::warn!(%error, "a response without a connection broke off");
+            tracing::warn!(%error, "response failed midway and has no connection to close");
             None
         }
     }
 }
 
-/// Runs the request; ends at once when the caller leaves.
+/// Runs the request. Stops at once when the caller disconnects.
 async fn serve<D>(
     worker: &Rc<Worker<D>>,
     incoming: &HttpRequest,
@@ -360,13 +370,13 @@
 where
     D: Dialect,
 {
-    let life = request::run(Rc::clone(worker), Rc::clone(&request));
+    let run = request::run(Rc::clone(worker), Rc::clone(&request));
     let Some(io) = incoming.io() else {
-        return life.await;
+        return run.await;
     };
     tokio::select! {
         biased;
-        result = life => result,
+        result = run => result,
         () = io.on_disconnect() => {
             let spent = clock::mono().since(request.arrived);
             tracing::info!(
--- a/almondlock-gateway/src/shared.rs
+++ b/almondlock-gateway/src/shared.rs
@@ -1,5 +1,5 @@
-//! What the threads of a process share: how far a stop has come, what is under way, and when
-//! callers that are refused come back.
+//! State that the threads of a process share: the progress of a stop, the number of active
+//! requests, and when refused callers should try again.
 
 use std::{
     sync::{
@@ -12,37 +12,39 @@
 use almondlock_base::time::Mono;
 use almondlock_telemetry::figures::Figures;
 
-/// After a start, how long a process may take to learn a recent configuration when all
-/// others started with it. Replicas that it is told of may start later than it does.
+/// Time after the start within which a process may still lack a recent configuration
+/// because all other processes started with it. The replicas that it follows may start
+/// later than it does.
 const COLD_START: Duration = Duration::from_millis(1_300);
-/// Callers that were refused together come back spread over this much more.
+/// Maximum random extension of a retry time, as a fraction, so that callers refused
+/// together don't return together.
 pub(crate) const RETRY_SPREAD_FRACTION: f64 = 0.5;
-/// When to come back to another host, because this one is cut off.
+/// Retry time when another host will serve the caller, because this one is cut off.
 const RETRY_ELSEWHERE: Duration = Duration::from_millis(100);
-/// When to come back to another host, because this one stops. The others are ready, and
-/// the balancer has noticed the stop before requests are refused.
+/// Retry time when another host will serve the caller, because this one is stopping. The
+/// others are ready, and the balancer has noticed the stop before requests are refused.
 const RETRY_STOPPING: Duration = Duration::from_millis(10);
 
-/// What the threads of a process share.
+/// State that the threads of a process share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     started: Mono,
-    /// Told to stop: not ready, but requests that come are still taken.
+    /// Whether a stop has begun: the host is not ready, but still accepts requests.
     pub(crate) stopping: AtomicBool,
-    /// What the balancer was last told.
+    /// The readiness that the balancer was last told.
     pub(crate) ready: AtomicBool,
-    /// No stream is begun any more.
+    /// Whether new streams are refused.
     pub(crate) refuses_streams: AtomicBool,
-    /// Nothing is begun any more.
+    /// Whether all new requests are refused.
     refuses_all: AtomicBool,
-    /// When the stop ends at the latest, in microseconds of the clock. Zero: no stop has
-    /// begun.
+    /// Latest end of the stop, in microseconds of the clock. 0 if no stop has begun.
     stop_deadline: AtomicU64,
+    /// Number of active requests.
     active: AtomicUsize,
     pub(crate) metrics: Figures,
 }
 
-/// Counts a request as long as it is under way.
+/// Counts a request as active until it is dropped.
 pub(crate) struct Active(Arc<Shared>);
 
 impl Shared {
@@ -59,11 +61,11 @@
         }
     }
 
-    /// When a caller that is refused should come back. Shortly after a start
-    /// all hosts may have started together, and coming back early meets the
-    /// same refusal; later it is this host alone, and another one will serve.
+    /// Returns when a refused caller should try again. Shortly after a start, all hosts may
+    /// have started together, and an early retry meets the same refusal. Later only this
+    /// host is affected, and another one will serve.
     ///
-    /// `drawn` is a number from 0 to 1 that spreads returns.
+    /// `drawn` is a random number from 0 to 1.
     pub(crate) fn retry_after(&self, now: Mono, drawn: f64) -> Duration {
         let left = match self.is_stopping() {
             true => RETRY_STOPPING,
@@ -72,35 +74,35 @@
         left.mul_f64(1.0 + drawn * RETRY_SPREAD_FRACTION)
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub(crate) fn uptime(&self, now: Mono) -> Duration {
         now.since(self.started)
     }
 
-    /// How much of a cold start is left.
+    /// Returns how much of a cold start is left.
     pub(crate) fn cold_start_left(&self, now: Mono) -> Duration {
         COLD_START.saturating_sub(self.uptime(now))
     }
 
-    /// A stop has begun and ends at `end` at the latest.
+    /// Begins a stop that ends at `end` at the latest.
     pub(crate) fn begin_stop(&self, end: Mono) {
         self.stop_deadline.store(end.as_micros(), Ordering::Relaxed);
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// From now on nothing is begun.
+    /// Refuses all new requests from now on.
     pub(crate) fn close(&self) {
         self.refuses_all.store(true, Ordering::SeqCst);
     }
 
-    /// How many requests are under way. Once closed, those that are counted here are all
-    /// that there will be.
+    /// Returns the number of active requests. Once closed, no further requests can begin.
     pub(crate) fn active(&self) -> usize {
         self.active.load(Ordering::SeqCst)
     }
 
-    /// Whether a request may be begun that is over at `until`. Whoever asks is counted as
-    /// active before, so that a stop that closes meanwhile waits for it.
+    /// Returns whether a request with the deadline `until` may begin. The caller of this
+    /// function counts the request as active before, so that a stop that closes meanwhile
+    /// waits for it.
     ///
     /// **Failure.** A call that may not be repeated is handed to an upstream and cut off
     /// with the process: its caller can't know whether it ran.
@@ -115,11 +117,13 @@
         }
     }
 
+    /// Counts a request as active until the returned guard is dropped.
     pub(crate) fn count_active(self: &Arc<Shared>) -> Active {
         self.active.fetch_add(1, Ordering::SeqCst);
         Active(Arc::clone(self))
     }
 
+    /// Returns whether a stop has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
--- a/almondlock-gateway/src/startup.rs
+++ b/almondlock-gateway/src/startup.rs
@@ -1,4 +1,5 @@
-//! Holds prompts in the first moments after the host's start.
+//! Delays long prompts shortly after the host's start, while the loads of other hosts are
+//! unknown.
 
 use std::time::Duration;
 
@@ -9,8 +10,8 @@
 
 use crate::{dialect::Dialect, request::Request, worker::Worker};
 
-/// How often a prompt that waits looks whether loads are known: a part of what the shortest
-/// objectives leave.
+/// How often a waiting prompt checks whether loads are known: a fraction of the time that
+/// the shortest objectives leave.
 const POLL: Duration = Duration::from_millis(5);
 
 /// Waits until a prompt may be placed.
@@ -32,11 +33,12 @@
         tracing::info!(
             request = %request.id, waited_ms = waited.as_millis(),
             age_ms = worker.shared.uptime(now).as_millis(), hosts = worker.load.borrow().hosts(now),
-            "waited after the start"
+            "prompt delayed after the start"
         );
     }
 }
 
+/// Returns how long the prompt still has to wait, or `None` if it may be placed.
 fn time_left<D>(worker: &Worker<D>, request: &Request, now: Mono) -> Option<Duration>
 where
     D: Dialect,
--- a/almondlock-gateway/src/stream.rs
+++ b/almondlock-gateway/src/stream.rs
@@ -1,9 +1,9 @@
 //! An event stream on its way to the caller.
 //!
-//! Events are passed on as they come, whole ones only. When the upstream is
-//! lost midway and the request may be resumed, another one goes on after the
-//! last event, in the same response; else the response breaks off, in a way
-//! that can't be taken for its end.
+//! Events are passed on as they arrive, complete ones only. If the upstream is lost midway
+//! and the request may be resumed, another upstream continues after the last event, in the
+//! same response. Otherwise the response is aborted so that the caller can't take it for
+//! complete.
 
 use std::{io, rc::Rc, time::Duration};
 
@@ -24,36 +24,44 @@
     worker::Worker,
 };
 
-/// Some events of a stream.
+/// Events that are measured together, for the pace of an upstream.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sample {
-    // The number of the event before them.
+    /// Number of the event before the first one of the sample.
     from: Option<u64>,
+    /// Time spent waiting for the upstream.
     waited: Duration,
 }
 
-/// A stream under way.
+/// A stream that is being passed on.
 pub(crate) struct Stream<D>
 where
     D: Dialect,
 {
     worker: Rc<Worker<D>>,
     request: Rc<Request>,
-    /// The head of the first run, which stays the response's.
+    /// Head of the first run. It stays the head of the response.
     pub(crate) head: Head,
+    /// The current run. `None` after a failure and at the end.
     run: Option<Run<D>>,
-    // Who answers, or did last.
+    /// Upstream of the current or the last run.
     upstream: Upstream,
     splitter: Splitter,
+    /// Events that were read and not yet passed on.
     buffered: Option<Bytes>,
     pub(crate) history: History,
+    /// When the first event arrived.
     first_at: Mono,
+    /// When the latest event arrived.
     last_at: Mono,
+    /// Longest time between two arrivals.
     longest_pause: Duration,
+    /// Number of pieces passed on; one may hold several events.
     events: u64,
-    // Events since their pace was last observed. What a slow caller takes isn't part of it.
+    /// Events since their pace was last observed. Time that a slow caller takes isn't
+    /// counted.
     sample: Sample,
-    // The response has come to an end, whole or not.
+    /// Whether the response has ended, complete or aborted.
     ended: bool,
 }
 
@@ -61,6 +69,7 @@
 where
     D: Dialect,
 {
+    /// Starts passing on an answer whose first events have arrived.
     pub(crate) fn new(
         worker: &Rc<Worker<D>>,
         request: &Rc<Request>,
@@ -97,7 +106,7 @@
         }
     }
 
-    /// The next whole events; none at the end.
+    /// Returns the next complete events, or `None` at the end.
     pub(crate) async fn next(&mut self) -> Option<io::Result<Bytes>> {
         if let Some(ready) = self.buffered.take() {
             return Some(Ok(ready));
@@ -129,7 +138,8 @@
                 &fault,
                 self.history.tried.len(),
             );
-            // Its slot is handed on unless its upstream is passed over from now on.
+            // Releases the run's slot to a waiting prompt, unless its upstream is avoided
+            // from now on.
             self.run = None;
             if let Err(reason) = self.resume(&fault).await {
                 self.ended = true;
@@ -139,6 +149,7 @@
         }
     }
 
+    /// Reads the next complete events of the current run.
     async fn read_events(&mut self) -> Result<Option<Bytes>, Fault> {
         if let Some(ready) = self.buffered.take() {
             return Ok(Some(ready));
@@ -168,6 +179,7 @@
         }
     }
 
+    /// Records the arrival of events that were waited for since `begun`.
     fn record_events(&mut self, begun: Mono) {
         let now = clock::mono();
         self.longest_pause = self.longest_pause.max(now.since(self.last_at));
@@ -178,13 +190,13 @@
         }
     }
 
-    /// Observes the pace of a few events at a time.
+    /// Reports the pace of the upstream, a few events at a time.
     fn observe_pace(&mut self, waited: Duration) {
         let Some(last) = self.splitter.last_id() else {
             return;
         };
         let from = *self.sample.from.get_or_insert(last);
-        // The wait for the first one isn't part of the piece.
+        // The wait for the first event isn't part of the sample.
         if last > from {
             self.sample.waited += waited;
         }
@@ -200,7 +212,7 @@
         }
     }
 
-    /// Goes on at another upstream, after the last event.
+    /// Continues at another upstream, after the last event.
     async fn resume(&mut self, fault: &Fault) -> Result<(), &'static str> {
         let Kind::Stream {
             resumable: true, ..
@@ -215,13 +227,14 @@
         if self.history.runs >= self.request.route.attempts {
             return Err("no attempt is left");
         }
-        // A silent upstream was given up only once the next attempt was paid for.
+        // A silent upstream was given up only after the budget was charged for the next
+        // attempt.
         let paid = fault.failure == Failure::Silent;
         if !paid && !self.worker.try_take_retry(now, &self.request.service) {
             return Err("the retry budget is spent");
         }
         let Some(last) = self.splitter.last_id() else {
-            return Err("its events have no numbers");
+            return Err("the events have no numbers");
         };
         self.splitter.discard_rest();
         let run = attempt::attempt(&self.worker, &self.request, &self.history, Some(last)).await;
@@ -245,6 +258,7 @@
         Ok(())
     }
 
+    /// Ends the response after its last event.
     fn finish(&mut self) {
         self.ended = true;
         if let Some(run) = self.run.take() {
@@ -254,6 +268,7 @@
         self.log_end("answered", "whole");
     }
 
+    /// Logs the end of the stream and records its duration.
     fn log_end(&self, outcome: &str, reason: &str) {
         let now = clock::mono();
         let spent = now.since(self.request.arrived);
--- a/almondlock-gateway/src/upstream.rs
+++ b/almondlock-gateway/src/upstream.rs
@@ -1,12 +1,12 @@
 //! One HTTP/1.1 connection to an upstream.
 //!
-//! The HTTP library's own client doesn't tell whether a request was handed on
-//! before it failed, and goes on using connections on which an answer came
-//! before the request was out. Both decide here whether a request may be sent
-//! again, so messages are framed on a plain socket, with `httparse` as parser.
+//! The HTTP library's own client doesn't tell whether a request was written before it
+//! failed, and it reuses connections on which an answer arrived before the request was
+//! fully sent. Both decide here whether a request may be repeated, so messages are framed
+//! on a plain socket, with `httparse` as the parser.
 //!
-//! What an upstream sends is not trusted: an answer counts only if its head can
-//! be read and its body arrives whole by its own framing.
+//! Data from an upstream is not trusted: an answer counts only if its head can be parsed
+//! and its body is complete by its own framing.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -18,97 +18,99 @@
     net::TcpStream,
 };
 
-/// The largest head that an upstream may send, in bytes.
+/// Maximum size of an answer's head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// The most header lines of an answer.
+/// Maximum number of header lines of an answer.
 const MAX_HEADERS: usize = 64;
-/// The longest line with a chunk's size, in bytes.
+/// Maximum length of a line with a chunk's size, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// How many answers to other requests are passed over on one connection.
+/// Maximum number of answers to other requests that are skipped before a connection is
+/// given up.
 const MAX_FOREIGN_ANSWERS: u32 = 2;
-/// What is read at one time, in bytes: some dozens of events. Kept small: idle
-/// connections are many.
+/// Capacity reserved for each read, in bytes: enough for some dozens of events. Small,
+/// because there are many idle connections.
 const READ_BYTES: usize = 4 * 1024;
-/// Unacknowledged bytes end a connection after this long: a peer that lost
-/// power answers nothing, and the kernel would go on sending for minutes.
+/// Time after which unacknowledged data ends a connection. A peer that lost power answers
+/// nothing, and the kernel would go on sending for minutes.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Why an exchange failed.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// Nothing was written: the request can't have been handed on.
-    #[error("no connection: {0}")]
+    /// The connection failed before anything was written: the request can't have reached
+    /// the upstream.
+    #[error("connecting failed: {0}")]
     Connect(io::Error),
-    /// The connection failed after that.
+    /// The connection failed after something may have been written.
     #[error("the connection failed: {0}")]
     Broken(#[from] io::Error),
     /// The connection ended before the answer did.
-    #[error("no answer: it ended before {0}")]
+    #[error("the connection closed before {0}")]
     Closed(&'static str),
-    /// What came is no answer, or not a whole one.
-    #[error("no answer: {0}")]
+    /// The data received is not a valid answer.
+    #[error("invalid answer: {0}")]
     Invalid(&'static str),
 }
 
 /// The head of an answer.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// Header lines as they came.
+    /// Header lines as received.
     pub headers: Vec<(Box<str>, Bytes)>,
-    /// How the body ends.
+    /// How the end of the body is marked.
     pub framing: Framing,
-    /// Another request may follow on the connection.
+    /// Whether another request may follow on the connection.
     pub keep_alive: bool,
     /// How long the upstream keeps an idle connection, if it says so.
     pub idle_timeout: Option<Duration>,
 }
 
 impl Head {
-    /// The value of a header; the first of several.
+    /// Returns the value of a header. If there are several, the first one counts.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         let mut headers = self.headers.iter();
         let found = headers.find(|(key, _)| key.eq_ignore_ascii_case(name))?;
         Some(&found.1)
     }
 
-    /// The same as text.
+    /// Returns the value of a header as text, without surrounding white space.
     pub fn text(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok().map(str::trim)
     }
 }
 
-/// How a body ends.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// With an empty chunk.
+    /// The body ends with an empty chunk.
     Chunked,
-    /// With the connection.
+    /// The body ends with the connection.
     Close,
 }
 
-/// A connection.
+/// A connection to an upstream.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
     body: Body,
-    // The request went out whole; else the rest of it would be taken for the
-    // next one.
+    /// Whether the whole request was sent. Otherwise the rest of it would be taken for the
+    /// next request.
     flushed: bool,
-    /// Since when it is idle.
+    /// When the connection became idle.
     pub idle_since: Mono,
-    /// How long the upstream keeps it idle.
+    /// How long the upstream keeps the connection when idle, if it says so.
     pub idle_timeout: Option<Duration>,
-    /// Whether a request was answered on it before.
+    /// Whether a request was answered on the connection before.
     pub used: bool,
 }
 
-// Where the body of the present answer stands.
+// State of reading the body of the current answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Body {
     Done,
@@ -120,19 +122,19 @@
     Close,
 }
 
-/// A request as it goes out.
+/// A request as it is sent.
 #[derive(Clone, Debug)]
 pub struct Request<'a> {
-    /// Its head, with the empty line.
+    /// The head, including the empty line at its end.
     pub head: &'a [u8],
-    /// Its body.
+    /// The body.
     pub body: &'a [u8],
-    /// The header that echoes a request's id, and the id.
+    /// Name of the header in which an answer echoes the request's id, and the id.
     pub id: (&'a str, &'a [u8]),
 }
 
 impl Connection {
-    /// Connects.
+    /// Connects to an upstream within the time `allowed`.
     pub async fn open(address: SocketAddr, allowed: Duration) -> Result<Connection, Error> {
         let connecting = tokio::time::timeout(allowed, TcpStream::connect(address));
         let stream = match connecting.await {
@@ -154,8 +156,8 @@
         })
     }
 
-    /// Whether it can take another request: nothing came while it was idle,
-    /// neither bytes nor its end.
+    /// Returns whether the connection can take another request: nothing arrived while it
+    /// was idle, neither data nor its end.
     pub fn is_clean(&mut self) -> bool {
         if !self.buffer.is_empty() || self.body != Body::Done || !self.flushed {
             return false;
@@ -165,19 +167,19 @@
         matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and waits for the head of its answer. Answers that bear
-    /// another request's id are passed over: an upstream may send one too many.
+    /// Sends a request and waits for the head of its answer. Skips answers that carry the
+    /// id of another request, as an upstream may send one too many.
     pub async fn exchange(&mut self, request: &Request<'_>) -> Result<Head, Error> {
         let mut head = self.send(request).await?;
         let mut foreign = 0;
         while answers_other_request(&head, request.id) {
             foreign += 1;
             if foreign > MAX_FOREIGN_ANSWERS {
-                return Err(Error::Invalid("answers to other requests"));
+                return Err(Error::Invalid("too many answers to other requests"));
             }
             tracing::warn!(
                 expected = %String::from_utf8_lossy(request.id.1),
-                "passed over an answer to another request"
+                "skipped an answer to another request"
             );
             self.start_body(&head);
             while self.next_chunk().await?.is_some() {}
@@ -187,9 +189,9 @@
         Ok(head)
     }
 
-    /// Writes the request and reads at the same time: an upstream may answer
-    /// before it has read a long body, and one that doesn't read on would
-    /// otherwise hold this side for ever.
+    /// Writes the request and reads at the same time. An upstream may answer before it has
+    /// read a long body, and one that stops reading would otherwise block this side for
+    /// ever.
     async fn send(&mut self, request: &Request<'_>) -> Result<Head, Error> {
         self.flushed = false;
         let Connection { stream, buffer, .. } = self;
@@ -208,7 +210,7 @@
             tokio::select! {
                 result = &mut write, if written.is_none() => written = Some(result),
                 read = from.read_buf(buffer) => match (read, &written) {
-                    (Ok(0), _) => return Err(Error::Closed("its head")),
+                    (Ok(0), _) => return Err(Error::Closed("the end of the answer's head")),
                     (Ok(_), _) => {}
                     (Err(error), _) => return Err(Error::Broken(error)),
                 },
@@ -218,17 +220,19 @@
         Ok(head)
     }
 
+    /// Reads the head of another answer.
     async fn read_head(&mut self) -> Result<Head, Error> {
         loop {
             if let Some(head) = parse_head(&mut self.buffer)? {
                 return Ok(head);
             }
             if self.fill_buffer().await? == 0 {
-                return Err(Error::Closed("its head"));
+                return Err(Error::Closed("the end of the answer's head"));
             }
         }
     }
 
+    /// Prepares for reading the body that follows `head`.
     fn start_body(&mut self, head: &Head) {
         self.body = match head.framing {
             Framing::Length(0) => Body::Done,
@@ -238,7 +242,7 @@
         };
     }
 
-    /// The next bytes of the body; none at its end.
+    /// Returns the next bytes of the body, or `None` at its end.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             if let Some(bytes) = self.take_body()? {
@@ -253,25 +257,24 @@
                     self.flushed = false;
                     return Ok(None);
                 }
-                return Err(Error::Closed("its body did"));
+                return Err(Error::Closed("the end of the answer's body"));
             }
         }
     }
 
-    /// The whole body, if it is no longer than `limit`.
+    /// Reads the complete body, of at most `limit` bytes.
     pub async fn read_body(&mut self, limit: usize) -> Result<Bytes, Error> {
         let mut body = BytesMut::new();
         while let Some(bytes) = self.next_chunk().await? {
             body.extend_from_slice(&bytes);
             if body.len() > limit {
-                return Err(Error::Invalid("its body is too long"));
+                return Err(Error::Invalid("body too long"));
             }
         }
         Ok(body.freeze())
     }
 
-    /// Whether the answer was read to its end, on a connection that can be used
-    /// again.
+    /// Returns whether the answer was read to its end and the connection can be used again.
     pub fn is_reusable(&self, head: &Head) -> bool {
         self.body == Body::Done
             && self.flushed
@@ -280,20 +283,21 @@
             && head.framing != Framing::Close
     }
 
-    /// Gives back the memory that an idle connection doesn't need.
+    /// Records that the connection is idle from now on, and frees its buffer.
     pub fn mark_idle(&mut self, now: Mono) {
         self.buffer = BytesMut::new();
         self.idle_since = now;
         self.used = true;
     }
 
+    /// Reads more data into the buffer. Returns 0 at the end of the connection.
     async fn fill_buffer(&mut self) -> Result<usize, Error> {
         self.buffer.reserve(READ_BYTES);
         Ok(self.stream.read_buf(&mut self.buffer).await?)
     }
 
-    /// Takes body bytes out of the buffer. None: more must be read, or the body
-    /// has ended.
+    /// Takes bytes of the body out of the buffer. Returns `None` if more data is needed or
+    /// the body has ended.
     fn take_body(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             match self.body {
@@ -331,7 +335,7 @@
                 Body::ChunkEnd => match self.take_line()? {
                     None => return Ok(None),
                     Some(line) if line.is_empty() => self.body = Body::ChunkHead,
-                    Some(_) => return Err(Error::Invalid("a chunk is longer than it says")),
+                    Some(_) => return Err(Error::Invalid("a chunk is longer than its size")),
                 },
                 Body::Trailer => match self.take_line()? {
                     None => return Ok(None),
@@ -342,7 +346,7 @@
         }
     }
 
-    /// Up to `most` bytes of the buffer, and how many are left of `most`.
+    /// Takes up to `most` bytes out of the buffer. Returns them with the rest of `most`.
     fn take_up_to(&mut self, most: u64) -> Option<(Bytes, u64)> {
         if self.buffer.is_empty() {
             return None;
@@ -354,10 +358,11 @@
         Some((bytes, most - length as u64))
     }
 
+    /// Takes a line out of the buffer, if it is complete.
     fn take_line(&mut self) -> Result<Option<Bytes>, Error> {
         let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\r\n") else {
             if self.buffer.len() > MAX_CHUNK_LINE_BYTES {
-                return Err(Error::Invalid("a chunk's head can't be read"));
+                return Err(Error::Invalid("unreadable line with a chunk's size"));
             }
             return Ok(None);
         };
@@ -369,26 +374,26 @@
 fn parse_chunk_size(line: &[u8]) -> Result<u64, Error> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let text = std::str::from_utf8(digits).unwrap_or_default().trim();
-    u64::from_str_radix(text, 16).map_err(|_| Error::Invalid("a chunk's size can't be read"))
+    u64::from_str_radix(text, 16).map_err(|_| Error::Invalid("unreadable chunk size"))
 }
 
+/// Returns whether an answer carries the id of another request.
 fn answers_other_request(head: &Head, (name, id): (&str, &[u8])) -> bool {
     head.get(name)
         .is_some_and(|echoed| echoed.trim_ascii() != id)
 }
 
-/// Reads a head out of the buffer, if it is whole. Interim answers are passed
-/// over.
+/// Parses a head at the start of the buffer, if it is complete. Skips interim answers.
 fn parse_head(buffer: &mut BytesMut) -> Result<Option<Head>, Error> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         let parsed = response
             .parse(buffer)
-            .map_err(|_| Error::Invalid("its head can't be read"))?;
+            .map_err(|_| Error::Invalid("unreadable head"))?;
         let httparse::Status::Complete(length) = parsed else {
             if buffer.len() > MAX_HEAD_BYTES {
-                return Err(Error::Invalid("its head is too long"));
+                return Err(Error::Invalid("head too long"));
             }
             return Ok(None);
         };
@@ -408,6 +413,8 @@
     }
 }
 
+/// Determines from the headers how the body is framed and whether the connection can be
+/// kept.
 fn build_head(status: u16, version: u8, headers: Vec<(Box<str>, Bytes)>) -> Result<Head, Error> {
     let mut head = Head {
         status,
@@ -427,17 +434,17 @@
     head.framing = match (chunked, head.text("content-length")) {
         _ if status == 204 || status == 304 => Framing::Length(0),
         (true, None) => Framing::Chunked,
-        (true, Some(_)) => return Err(Error::Invalid("its body has two lengths")),
+        (true, Some(_)) => return Err(Error::Invalid("both chunked and with a content-length")),
         (false, Some(length)) => {
             let length = length.parse();
-            Framing::Length(length.map_err(|_| Error::Invalid("its length can't be read"))?)
+            Framing::Length(length.map_err(|_| Error::Invalid("unreadable content-length"))?)
         }
         (false, None) => Framing::Close,
     };
     Ok(head)
 }
 
-/// The seconds of `timeout=N`.
+/// Parses the seconds of `timeout=N`.
 fn parse_idle_timeout(value: &str) -> Option<Duration> {
     let mut parts = value.split(',');
     let seconds = parts.find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/almondlock-gateway/src/worker.rs
+++ b/almondlock-gateway/src/worker.rs
@@ -1,7 +1,7 @@
-//! What the requests of one thread share.
+//! State that the requests of one thread share.
 //!
-//! Everything here belongs to one thread and is borrowed for the length of one
-//! decision, never over an await.
+//! All of it belongs to one thread. It is borrowed for a single decision, never across an
+//! await.
 
 use std::{
     cell::RefCell,
@@ -48,96 +48,105 @@
     suspicion::Suspicion,
 };
 
-/// An upstream that failed is passed over for this long. Two heartbeats of the
-/// usual interval: by then a crashed one was replaced or has come back.
+/// Time for which a failed upstream is avoided: two heartbeats at the usual interval. By
+/// then a crashed upstream was replaced or has come back.
 const SUSPECT_TIME: Duration = Duration::from_millis(2500);
 
-/// An instance as requests see it.
+/// An upstream instance that requests may be sent to.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) name: Upstream,
     pub(crate) address: SocketAddr,
+    /// Number of requests that the instance runs at a time.
     pub(crate) slots: u32,
+    /// Whether the instance is in this host's failure domain.
     pub(crate) near: bool,
+    /// When this life of the instance began.
     pub(crate) birth: Birth,
-    /// Its cell. This host's own one is 0.
+    /// Number of the instance's cell. 0 is this host's own cell.
     pub(crate) cell: usize,
-    /// Requests a second that it bears of all hosts together, while it is cold.
+    /// Requests per second from all hosts together that the instance can take while it is
+    /// cold.
     pub(crate) cold_limit: Option<Rate>,
 }
 
-/// The configuration in force, read.
+/// The configuration in force, in the form that requests use.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshot {
     pub(crate) revision: Revision,
     pub(crate) rules: Option<Arc<Rules>>,
-    /// Instances that take new work, by service.
+    /// Instances that accept new work, by service.
     pub(crate) instances: HashMap<Service, Vec<Target>>,
 }
 
+/// State of the thread that serves requests.
 pub(crate) struct Worker<D> {
     pub(crate) dialect: D,
     pub(crate) node: Handle,
     pub(crate) shared: Arc<Shared>,
     pub(crate) domain: Domain,
-    /// The host's number, drawn at its start.
+    /// Number that identifies this host, drawn at its start.
     pub(crate) host_number: u64,
     pub(crate) bounds: Bounds,
     pub(crate) features: Features,
     pub(crate) load: RefCell<load::Table>,
-    /// What this host has under way has changed: the others are to be told.
+    /// Signals that this host's load has changed and has to be reported to the other hosts.
     pub(crate) load_changed: Notify,
     pub(crate) pool: RefCell<Pool>,
     pub(crate) rng: RefCell<SmallRng>,
-    known: RefCell<Rc<Snapshot>>,
-    /// The published versions.
+    /// The configuration as of the last revision that was taken in.
+    snapshot: RefCell<Rc<Snapshot>>,
+    /// Published versions of the configuration: the one in force and the next one.
     pub(crate) versions: RefCell<Current>,
+    /// Retry budgets.
     budgets: RefCell<HashMap<Service, Budget>>,
+    /// Failed upstreams, and until when they are avoided.
     suspects: RefCell<HashMap<Upstream, Mono>>,
+    /// Recent mean backlogs of the services' engines.
     backlogs: RefCell<HashMap<Service, Backlog>>,
-    /// The life of each upstream that the configuration in force names.
+    /// Life of each upstream that the configuration in force names.
     births: RefCell<HashMap<Upstream, Birth>>,
-    /// What upstreams have asked of this host.
+    /// Pauses and departures that upstreams announced to this host.
     pub(crate) backoffs: RefCell<backoff::Table>,
-    /// Limits that upstreams have named for all hosts.
+    /// Rate limits that upstreams named for all hosts together.
     pub(crate) limits: RefCell<throttle::Limits<Key>>,
     pub(crate) permits: Permits,
-    /// Prompts that wait for a free slot.
+    /// Short prompts that wait for a free slot.
     pub(crate) waiting_prompts: Lines,
-    /// Requests that upstreams were lost with.
+    /// Requests during which upstreams were lost.
     pub(crate) suspicion: Suspicion,
-    /// What organisations have in flight, here and at all hosts.
+    /// What organisations have in flight at this host and at all hosts.
     pub(crate) shares: Shares,
     /// How fast and how often upstreams answer.
     pub(crate) pacing: Pacing,
-    /// Headers of answers that nobody reads, as far as they were logged.
+    /// Unknown headers of answers that were already logged.
     pub(crate) logged_headers: RefCell<BTreeSet<Box<str>>>,
-    /// Where the memory of attempts goes that have ended.
+    /// Receives the leases of attempts that have ended, for release.
     pub(crate) ended_leases: UnboundedSender<Ended>,
 }
 
-/// What a gateway is bound by.
+/// Limits that the gateway keeps to.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// A configuration older than this is not acted on where keys are asked
-    /// for: one of them may have been taken away meanwhile.
+    /// Maximum age of a configuration by which keys are checked. An older one may still
+    /// list a key that was revoked meanwhile.
     pub max_config_age: Duration,
-    /// The budget of further attempts.
+    /// Limits of the retry budget.
     pub retries: budget::Config,
-    /// How long memory that is set aside on an engine may outlive its use.
+    /// How long memory reserved on an engine may outlive its use.
     pub memory_hold: Duration,
 }
 
-/// Decisions that a gateway takes only where its settings ask for them.
+/// Optional behaviour that the settings enable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Features {
-    /// How long after its start a host lets short prompts go first. Zero: not at all.
+    /// How long after its start a host lets short prompts go first. Zero disables this.
     pub settling: Duration,
-    /// Short prompts are admitted by the engines' free slots.
+    /// Admits short prompts by the engines' free slots.
     pub slot_admission: bool,
-    /// Organisations get fair shares under contention.
+    /// Gives organisations fair shares under contention.
     pub fair_shares: bool,
-    /// Upstreams are judged by what hosts observe of them.
+    /// Judges upstreams by what hosts observe of them.
     pub observed_pace: bool,
 }
 
@@ -166,7 +175,7 @@
             load_changed: Notify::new(),
             pool: RefCell::default(),
             rng: RefCell::new(rng),
-            known: RefCell::default(),
+            snapshot: RefCell::default(),
             versions: RefCell::default(),
             budgets: RefCell::default(),
             suspects: RefCell::default(),
@@ -184,18 +193,18 @@
         }
     }
 
-    /// The configuration in force. Instances are taken in when its revision has changed;
-    /// what was published is read by a task of its own.
+    /// Returns the configuration in force. The list of instances is updated when the
+    /// revision has changed; published versions are parsed by the task in `follow`.
     pub(crate) fn snapshot(&self) -> Rc<Snapshot> {
         let revision = self.node.view().revision();
-        let known = Rc::clone(&self.known.borrow());
-        match known.revision == revision && revision > Revision::ZERO {
-            true => known,
+        let current = Rc::clone(&self.snapshot.borrow());
+        match current.revision == revision && revision > Revision::ZERO {
+            true => current,
             false => self.refresh_config(),
         }
     }
 
-    /// Takes in the newest revision, and what was read of what was published.
+    /// Updates the snapshot to the newest revision and the newest parsed version.
     pub(crate) fn refresh_config(&self) -> Rc<Snapshot> {
         let config = self.node.view().get();
         self.forget_restarted(&config.instances);
@@ -208,12 +217,12 @@
             instances: self.targets(&config, rules.as_deref()),
             rules,
         });
-        *self.known.borrow_mut() = Rc::clone(&next);
+        *self.snapshot.borrow_mut() = Rc::clone(&next);
         next
     }
 
-    /// The instances that take new work, by service: those that don't leave, outside
-    /// failure domains that are evacuated.
+    /// Returns the instances that accept new work, by service: those that are not leaving,
+    /// outside evacuated failure domains.
     fn targets(&self, config: &Config, rules: Option<&Rules>) -> HashMap<Service, Vec<Target>> {
         let open = config.instances.iter().filter(|(_, instance)| {
             !instance.leaving && !config.evacuations.contains_key(&instance.domain)
@@ -244,12 +253,12 @@
         targets.collect()
     }
 
-    /// Forgets what is known of lives of upstreams that are over, since another
-    /// one has begun under the same name.
+    /// Discards what is known of earlier lives of upstreams that have started again under
+    /// the same name.
     ///
-    /// **Failure.** An upstream crashes and is back before its connections are
-    /// found broken. Requests to it then still count, and new ones go elsewhere;
-    /// or it is passed over for a failure of its earlier life.
+    /// **Failure.** An upstream crashes and is back before its connections are found
+    /// broken. Without this, requests of its earlier life still count as load and new ones
+    /// go elsewhere, or the upstream is avoided for a failure of its earlier life.
     fn forget_restarted(&self, instances: &BTreeMap<Upstream, Instance>) {
         let mut births = self.births.borrow_mut();
         for (name, instance) in instances {
@@ -271,17 +280,17 @@
             .collect();
     }
 
-    /// Which life of an upstream the configuration in force names.
+    /// Returns the life of an upstream that the configuration in force names.
     pub(crate) fn birth_of(&self, upstream: &Upstream) -> Option<Birth> {
         self.births.borrow().get(upstream).copied()
     }
 
-    /// Whether the configuration in force names an upstream.
+    /// Returns whether the configuration in force names an upstream.
     pub(crate) fn is_known(&self, upstream: &Upstream) -> bool {
         self.births.borrow().contains_key(upstream)
     }
 
-    /// The upstreams that the configuration in force names.
+    /// Returns the upstreams that the configuration in force names.
     pub(crate) fn upstreams_by_key(&self) -> HashMap<Key, Upstream> {
         let births = self.births.borrow();
         births
@@ -290,9 +299,10 @@
             .collect()
     }
 
-    /// Whether a later life of the target has begun.
+    /// Returns whether the target has started again since it was read from the
+    /// configuration.
     pub(crate) fn has_restarted(&self, target: &Target) -> bool {
-        // Takes in a configuration that has come since.
+        // Takes in a newer configuration if there is one.
         self.snapshot();
         let births = self.births.borrow();
         births
@@ -300,14 +310,15 @@
             .is_some_and(|last| *last > target.birth)
     }
 
-    /// The figures of a service's engines, if it has engines.
+    /// Returns the speed of a service's engines, if it has engines.
     pub(crate) fn engine_speed(&self, service: &Service) -> Option<Speed> {
-        let known = self.snapshot();
-        let target = known.rules.as_ref()?.service(service)?;
+        let snapshot = self.snapshot();
+        let target = snapshot.rules.as_ref()?.service(service)?;
         target.engine.clone()
     }
 
-    /// How an instance stands as a candidate.
+    /// Returns a target in the form that `pick` chooses from. Upstreams in `full` have no
+    /// memory left to reserve.
     pub(crate) fn candidate(
         &self,
         now: Mono,
@@ -330,42 +341,46 @@
         }
     }
 
+    /// Returns whether an upstream failed recently and is avoided.
     pub(crate) fn is_suspect(&self, now: Mono, name: &Upstream) -> bool {
         let suspects = self.suspects.borrow();
         suspects.get(name).is_some_and(|until| now < *until)
     }
 
-    /// An instance failed: it is passed over for a while.
+    /// Avoids an upstream that failed for a while, and drops its idle connections.
     pub(crate) fn mark_suspect(&self, now: Mono, name: &Upstream) {
         let mut suspects = self.suspects.borrow_mut();
         suspects.retain(|_, until| now < *until);
         if suspects.insert(name.clone(), now + SUSPECT_TIME).is_none() {
-            tracing::info!(upstream = %name, for_ms = SUSPECT_TIME.as_millis(), "upstream passed over");
+            tracing::info!(
+                upstream = %name, for_ms = SUSPECT_TIME.as_millis(),
+                "upstream avoided after a failure"
+            );
         }
         self.pool.borrow_mut().forget(name);
     }
 
-    /// An instance answered.
+    /// Uses an upstream again because it answered.
     pub(crate) fn mark_answering(&self, name: &Upstream) {
         if self.suspects.borrow_mut().remove(name).is_some() {
             tracing::info!(upstream = %name, "upstream answers again");
         }
     }
 
-    /// What an engine of a service has left to read, in the mean of all and of the
-    /// last moments, given what a choice among them saw.
+    /// Returns the recent mean backlog of a service's engines, updated by the backlog that
+    /// `choice` saw.
     pub(crate) fn mean_backlog(&self, now: Mono, service: &Service, choice: &Choice) -> Duration {
         let mut backlogs = self.backlogs.borrow_mut();
         let backlog = backlogs.entry(service.clone()).or_default();
         backlog.observe(now, choice.backlog)
     }
 
-    /// Counts a request towards the budget of further attempts.
+    /// Adds a request to the retry budget of its service.
     pub(crate) fn count_request(&self, now: Mono, service: &Service) {
         self.with_budget(service, |budget| budget.record_request(now));
     }
 
-    /// Takes a further attempt out of the budget.
+    /// Takes a retry from the budget. Returns `false` if none is left.
     pub(crate) fn try_take_retry(&self, now: Mono, service: &Service) -> bool {
         self.with_budget(service, |budget| budget.try_take(now))
     }
