--- a/almondlock-gateway/tests/asked_pause.rs
+++ b/almondlock-gateway/tests/asked_pause.rs
@@ -1,5 +1,5 @@
-//! An upstream that turns a request away may ask the host for a pause. It has no load, so
-//! that a host which forgets the pause sends it the more the longer it turns requests away.
+//! An upstream that refuses a request may ask the host for a pause. It has no load then, so
+//! a host that forgets the pause sends it more requests the longer it refuses them.
 
 mod fake;
 mod gateway;
@@ -14,14 +14,14 @@
 use fake::{Step, answer, serve};
 use gateway::{ask, start, status};
 
-/// How long the upstreams want nothing.
+/// Pause that the upstreams ask for.
 const PAUSE: Duration = Duration::from_secs(2);
-/// From so long after its answer an upstream is to be left alone.
+/// Time after its answer from which an upstream must be left alone.
 const NOTICE: Duration = Duration::from_millis(500);
-/// Requests that may come all the same.
+/// Number of requests that may arrive in a pause all the same.
 const ALLOWED: usize = 2;
 
-/// An upstream that turns away what comes until `busy` and asks for a pause each time.
+/// An upstream that refuses requests for the time `busy` and asks for a pause each time.
 struct Upstream {
     address: SocketAddr,
     arrivals: Arc<Mutex<Vec<Instant>>>,
@@ -42,7 +42,7 @@
         Upstream { address, arrivals }
     }
 
-    /// The most requests that came while the host was to leave it alone, of all its pauses.
+    /// Returns the largest number of requests that arrived in one of the upstream's pauses.
     fn most(&self, busy: Duration, start: Instant) -> usize {
         let arrivals = self.arrivals.lock().unwrap();
         let asked = arrivals.iter().filter(|at| **at < start + busy);
@@ -65,7 +65,7 @@
     ))
 }
 
-/// Guards against requests to an upstream that had asked this host for a pause.
+/// Guards against requests to an upstream that has asked this host for a pause.
 #[test]
 fn pause_kept() {
     let busy = Duration::from_millis(2_500);
--- a/almondlock-gateway/tests/cold_upstreams.rs
+++ b/almondlock-gateway/tests/cold_upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that have just started bear few requests of all hosts together.
+//! Upstreams that have just started can take few requests from all hosts together.
 
 mod fake;
 mod gateway;
@@ -11,16 +11,19 @@
 };
 
 use fake::{Step, serve};
-use gateway::{ask, dialect::COLD_RATE, start_beside_cold, start_evacuating, start_relay, status};
+use gateway::{
+    ask, dialect::COLD_RATE, start_evacuating, start_relay, start_with_cold_upstreams, status,
+};
 
-/// How long callers send.
+/// How long callers send requests.
 const LENGTH: Duration = Duration::from_secs(5);
-/// The most requests in one second at a cold upstream: half as many again, and five.
+/// Maximum number of requests per second at a cold upstream: half as many again as it can
+/// take, and five.
 const ALLOWED: usize = (COLD_RATE * 1.5) as usize + 5;
 
 type Arrivals = Arc<Mutex<Vec<Instant>>>;
 
-/// An upstream that counts what it gets.
+/// Starts an upstream that records its requests.
 fn upstream() -> (SocketAddr, Arrivals) {
     let arrivals = Arrivals::default();
     let seen = Arc::clone(&arrivals);
@@ -32,7 +35,7 @@
     (address, arrivals)
 }
 
-/// The most requests that came within a second.
+/// Returns the largest number of requests that arrived within a second.
 fn most(arrivals: &Arrivals) -> usize {
     let arrivals = arrivals.lock().unwrap();
     let from = |start: &Instant| {
@@ -47,8 +50,8 @@
     arrivals.lock().unwrap().len()
 }
 
-/// Callers of one host, one request after the other with a pause between; gives the
-/// statuses of their answers.
+/// Starts the callers of one host, which send one request after another with a pause
+/// between. Returns the statuses of their answers.
 fn callers(host: SocketAddr, until: Instant) -> thread::JoinHandle<Vec<u16>> {
     thread::spawn(move || {
         let mut answers = Vec::new();
@@ -60,6 +63,7 @@
     })
 }
 
+/// Calls all hosts for a while and returns the statuses of all answers.
 fn all(hosts: &[SocketAddr]) -> Vec<u16> {
     let until = Instant::now() + LENGTH;
     let callers: Vec<_> = hosts.iter().map(|host| callers(*host, until)).collect();
@@ -69,14 +73,14 @@
         .collect()
 }
 
-/// Guards against a failure domain that comes back cold and is idle to every host at once:
-/// each sends it what it bears from all of them.
+/// Guards against overload of a failure domain that comes back cold. It looks idle to every
+/// host, so each host would send it all that it can take from all hosts together.
 #[test]
 fn cold_domain() {
     let upstreams: Vec<(SocketAddr, Arrivals)> = (0..4).map(|_| upstream()).collect();
     let addresses: Vec<SocketAddr> = upstreams.iter().map(|(address, _)| *address).collect();
     let relays = [start_relay(), start_relay()];
-    let start = |_| start_beside_cold(&addresses, Some(relays), 2);
+    let start = |_| start_with_cold_upstreams(&addresses, Some(relays), 2);
     let hosts: Vec<SocketAddr> = (0..4).map(start).collect();
     let answers = all(&hosts);
     for (_, arrivals) in &upstreams[..2] {
@@ -88,20 +92,20 @@
     assert_eq!(refused.count(), 0, "others had room");
 }
 
-/// Guards against hosts that know no relay and each send a cold upstream what it bears from
-/// all of them.
+/// Guards against hosts that know no relay and each send a cold upstream all that it can
+/// take from all hosts together.
 #[test]
 fn without_relay() {
     let upstreams: Vec<(SocketAddr, Arrivals)> = (0..2).map(|_| upstream()).collect();
     let addresses: Vec<SocketAddr> = upstreams.iter().map(|(address, _)| *address).collect();
-    let start = |_| start_beside_cold(&addresses, None, 1);
+    let start = |_| start_with_cold_upstreams(&addresses, None, 1);
     let hosts: Vec<SocketAddr> = (0..3).map(start).collect();
     let answers = all(&hosts);
     assert_eq!(count(&upstreams[0].1), 0);
     assert!(answers.iter().all(|status| *status == 200), "{answers:?}");
 }
 
-/// Guards against requests that reach upstreams of a failure domain that is evacuated.
+/// Guards against requests to upstreams in an evacuated failure domain.
 #[test]
 fn evacuated_domain() {
     let upstreams: Vec<(SocketAddr, Arrivals)> = (0..3).map(|_| upstream()).collect();
--- a/almondlock-gateway/tests/failed_attempt.rs
+++ b/almondlock-gateway/tests/failed_attempt.rs
@@ -1,6 +1,5 @@
-//! A request is lost on its way, or its answer is. The caller may be told "not
-//! run" only if no attempt can have run, and what may not be repeated is sent
-//! again only then.
+//! A request or its answer is lost in transit. The caller may be told "not run" only if no
+//! attempt can have run, and only then is a request that may not be repeated sent again.
 
 use std::time::Duration;
 
@@ -45,7 +44,7 @@
     assert!(!may_retry(Kind::Unsafe, ran, 1, 9));
 }
 
-/// 408, 421, 429 and 503 promise that the request has not run.
+/// The statuses 408, 421, 429 and 503 promise that the request has not run.
 #[test]
 fn status_is_true() {
     use Failure::{Answered, Lost, Misdirected, Rejected, Silent, Unsent};
--- a/almondlock-gateway/tests/fake/mod.rs
+++ b/almondlock-gateway/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! An upstream on a loopback port that answers each connection as it is told.
+//! An upstream on a loopback port that behaves on each connection as the test defines.
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
@@ -12,25 +12,25 @@
 
 use socket2::SockRef;
 
-/// What to do on a connection, step by step.
+/// One action on a connection.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Read one request, whole.
+    /// Read a complete request.
     Read,
-    /// Read only a head.
+    /// Read only the head of a request.
     ReadHead,
-    /// Write these bytes, in which `ID` stands for the request's id.
+    /// Write this text, with `ID` replaced by the request's id.
     Write(String),
-    /// Wait.
+    /// Wait for this many milliseconds.
     Pause(u64),
-    /// Close with a reset.
+    /// Close the connection with a reset.
     Reset,
-    /// Stay open and silent.
+    /// Keep the connection open and silent.
     Hang,
 }
 
-/// Starts one that runs a list of steps for each connection, in turn. The heads
-/// of requests come out of the channel.
+/// Starts an upstream that runs one list of steps on each connection, in turn. The channel
+/// receives the heads of requests.
 pub fn start(connections: Vec<Vec<Step>>) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -43,14 +43,14 @@
             let seen = seen.clone();
             thread::spawn(move || run(stream, String::new(), steps, &seen));
         }
-        // Later connections stay in the queue and unanswered.
+        // Later connections stay in the queue, unanswered.
         thread::sleep(Duration::from_secs(30));
     });
     (address, heads)
 }
 
-/// Starts one that answers each request by what its head says, on as many
-/// connections as are opened.
+/// Starts an upstream that answers each request according to its head, on any number of
+/// connections. The channel receives the heads and bodies of requests.
 pub fn serve<F>(respond: F) -> (SocketAddr, Receiver<String>)
 where
     F: Fn(&str) -> Vec<Step> + Clone + Send + 'static,
@@ -123,14 +123,14 @@
     String::from_utf8(head).unwrap()
 }
 
-/// The value of a header in a head.
+/// Returns the value of a header in a head.
 pub fn field(head: &str, name: &str) -> Option<String> {
     let mut lines = head.lines().filter_map(|line| line.split_once(':'));
     let (_, value) = lines.find(|(key, _)| key.eq_ignore_ascii_case(name))?;
     Some(value.trim().to_owned())
 }
 
-/// A whole answer with this body.
+/// Returns a complete answer with this body.
 pub fn answer(status: &str, body: &str) -> Step {
     let length = body.len();
     Step::Write(format!(
@@ -138,20 +138,20 @@
     ))
 }
 
-/// The head of an event stream.
+/// Returns the head of an event stream.
 pub fn stream_head() -> Step {
     let head = "HTTP/1.1 200 OK\r\nx-id: ID\r\nx-seal: s\r\n\
                 content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
     Step::Write(head.to_owned())
 }
 
-/// One event in a chunk.
+/// Returns one event in a chunk of its own.
 pub fn event(number: u64) -> Step {
     let text = format!("id: {number}\ndata: x\n\n");
     Step::Write(format!("{:x}\r\n{text}\r\n", text.len()))
 }
 
-/// The end of a stream.
+/// Returns the end of a stream.
 pub fn end() -> Step {
     Step::Write("0\r\n\r\n".to_owned())
 }
--- a/almondlock-gateway/tests/fleet_limit.rs
+++ b/almondlock-gateway/tests/fleet_limit.rs
@@ -1,7 +1,7 @@
-//! An upstream in need names the requests a second that it takes from all entry hosts
-//! together. Each host alone knows only what it sends itself: without a common account
-//! the upstream gets as much from each host as it asked for from all of them, or what it
-//! would get anyway.
+//! An overloaded upstream names the requests per second that it accepts from all entry
+//! hosts together. Each host alone knows only its own requests. Without a common count,
+//! each host would send as much as the upstream allowed all of them, or as much as without
+//! a limit.
 
 mod fake;
 mod gateway;
@@ -17,28 +17,28 @@
 };
 
 use fake::{Step, serve};
-use gateway::{ask, start_beside, start_relay, status};
+use gateway::{ask, start_relay, start_with_relays, status};
 
-/// From here on after a limit was first named it is to be kept.
+/// Time after a limit was first named from which it must be kept.
 const CONTACT: Duration = Duration::from_secs(3);
-/// The span over which requests are counted.
+/// Time span over which requests are counted.
 const SPAN: Duration = Duration::from_secs(4);
-/// The objective of the requests, within which they are refused if they are.
+/// Objective of the requests. A refusal must arrive within it.
 const OBJECTIVE: Duration = Duration::from_millis(300);
-/// How soon hosts act on an answer that names another limit.
+/// Time within which hosts apply another limit that an answer names.
 const NOTICE: Duration = Duration::from_millis(500);
 
-/// The most requests of a span at a limit of so many thousandths a second: half as many
-/// again, and five.
+/// Returns the maximum number of requests in a span at a limit in thousandths per second:
+/// half as many again, and five.
 fn allowed(limit: u32) -> usize {
     let spans = limit as usize * SPAN.as_secs() as usize;
     spans * 3 / 2_000 + 5
 }
 
-/// An upstream that names a limit while it has one, and counts what it gets.
+/// An upstream that names a limit while it has one, and records its requests.
 struct Upstream {
     address: SocketAddr,
-    /// Thousandths of requests a second. 0: no limit is named.
+    /// Limit in thousandths of requests per second. 0 if there is none.
     limit: Arc<AtomicU32>,
     arrivals: Arc<Mutex<Vec<Instant>>>,
 }
@@ -68,14 +68,14 @@
         self.limit.store(limit, Ordering::Relaxed);
     }
 
-    /// Requests that came from one moment to another.
+    /// Returns the number of requests between two times.
     fn got(&self, from: Instant, to: Instant) -> usize {
         let arrivals = self.arrivals.lock().unwrap();
         let came = arrivals.iter().filter(|at| **at >= from && **at < to);
         came.count()
     }
 
-    /// The most requests that came in a span between two moments.
+    /// Returns the largest number of requests in a span between two times.
     fn most(&self, from: Instant, to: Instant) -> usize {
         let arrivals = self.arrivals.lock().unwrap();
         let within: Vec<&Instant> = arrivals.iter().filter(|at| **at >= from).collect();
@@ -90,7 +90,7 @@
     }
 }
 
-/// A link to a relay that can be cut. Serves one host.
+/// A link from one host to a relay that can be cut.
 struct Link {
     address: SocketAddr,
     is_open: Arc<AtomicBool>,
@@ -126,13 +126,14 @@
     }
 }
 
+/// Passes datagrams to `act` while the link is open.
 fn pass<F>(socket: &UdpSocket, is_open: &AtomicBool, mut act: F)
 where
     F: FnMut(&[u8], SocketAddr),
 {
     let mut buffer = vec![0; 65_536];
     loop {
-        // An error is a datagram that nobody took.
+        // An error means that a datagram was not received by anybody.
         let Ok((length, sender)) = socket.recv_from(&mut buffer) else {
             continue;
         };
@@ -142,13 +143,14 @@
     }
 }
 
-/// One answer, as its caller got it.
+/// An answer as the caller received it.
 struct Answer {
     text: String,
     took: Duration,
 }
 
 impl Answer {
+    /// Returns the seconds after which the caller should try again.
     fn returns(&self) -> f64 {
         let head = self.text.to_ascii_lowercase();
         let value = head.split("retry-after: ").nth(1);
@@ -157,7 +159,8 @@
     }
 }
 
-/// Callers of one host, one request after the other with a pause between.
+/// Starts the callers of one host, which send one request after another with a pause
+/// between.
 fn callers(host: SocketAddr, pause: Duration, until: Instant) -> JoinHandle<Vec<Answer>> {
     thread::spawn(move || {
         let mut answers = Vec::new();
@@ -176,8 +179,8 @@
     sleep(at.saturating_duration_since(Instant::now()));
 }
 
-/// Guards against hosts that each keep a limit alone, or lose it when one of them is cut
-/// off, joins or starts again, or when the limit changes or ends.
+/// Guards against hosts that each apply a limit separately, or that lose it when a host is
+/// cut off, joins or starts again, or when the limit changes or ends.
 #[test]
 fn limit_over_changes() {
     let upstreams = [2_000, 0, 0].map(Upstream::start);
@@ -191,17 +194,29 @@
     let end = at(17.0);
     let stop = Duration::from_secs(6);
     let mut all = vec![
-        callers(start_beside(&addresses, relays, None), pause, end),
-        callers(start_beside(&addresses, relays, None), pause, end),
-        callers(start_beside(&addresses, cut, None), pause, end),
-        callers(start_beside(&addresses, relays, Some(stop)), pause, at(5.5)),
+        callers(start_with_relays(&addresses, relays, None), pause, end),
+        callers(start_with_relays(&addresses, relays, None), pause, end),
+        callers(start_with_relays(&addresses, cut, None), pause, end),
+        callers(
+            start_with_relays(&addresses, relays, Some(stop)),
+            pause,
+            at(5.5),
+        ),
     ];
     sleep_until(at(4.0));
     links.iter().for_each(Link::cut);
     sleep_until(at(5.0));
-    all.push(callers(start_beside(&addresses, relays, None), pause, end));
+    all.push(callers(
+        start_with_relays(&addresses, relays, None),
+        pause,
+        end,
+    ));
     sleep_until(at(6.5));
-    all.push(callers(start_beside(&addresses, relays, None), pause, end));
+    all.push(callers(
+        start_with_relays(&addresses, relays, None),
+        pause,
+        end,
+    ));
     sleep_until(at(9.5));
     upstreams[0].name(1_000);
     sleep_until(at(14.5));
@@ -224,7 +239,7 @@
 }
 
 /// Guards against requests that wait, or are sent all the same, when every upstream of
-/// their service is at its limit.
+/// their service has reached its limit.
 #[test]
 fn limit_everywhere() {
     let upstreams = [2_000, 2_000, 1_000].map(Upstream::start);
@@ -234,7 +249,7 @@
     let end = start + Duration::from_secs(10);
     let pause = Duration::from_millis(50);
     let hosts: Vec<SocketAddr> = (0..3)
-        .map(|_| start_beside(&addresses, relays, None))
+        .map(|_| start_with_relays(&addresses, relays, None))
         .collect();
     let all: Vec<JoinHandle<Vec<Answer>>> = hosts
         .iter()
--- a/almondlock-gateway/tests/forwarded_requests.rs
+++ b/almondlock-gateway/tests/forwarded_requests.rs
@@ -1,6 +1,6 @@
-//! Upstreams fail before, while and after they run a request. Callers get one
-//! whole answer, or a failure that tells the truth, and what may not be
-//! repeated reaches an upstream once.
+//! Upstreams fail before, while and after they run a request. Callers must receive one
+//! complete answer or a failure that is true, and a request that may not be repeated must
+//! reach an upstream once.
 
 mod fake;
 mod gateway;
@@ -13,11 +13,12 @@
 use fake::{Step, answer, end, event, field, start, stream_head};
 use gateway::{ask, status};
 
-/// Requests that reached an upstream.
+/// Returns the heads of the requests that reached an upstream.
 fn reached(heads: &Receiver<String>) -> Vec<String> {
     heads.try_iter().collect()
 }
 
+/// Returns an answer with the statement that the request did not run.
 fn not_run() -> Step {
     let head = "HTTP/1.1 503 Service Unavailable\r\nx-id: ID\r\nx-not-run: 1\r\n\
                 content-length: 0\r\n\r\n";
@@ -41,7 +42,7 @@
     assert!((1_000..=1_500).contains(&left));
 }
 
-/// The connection is reset after the request was sent: it may have run.
+/// The connection is reset after the request was sent, so it may have run.
 #[test]
 fn lost_unsafe() {
     let reset = vec![Step::Read, Step::Reset];
@@ -58,13 +59,13 @@
     let reset = vec![Step::Read, Step::Reset];
     let (one, _heads) = start(vec![reset]);
     let (two, _more) = start(vec![vec![Step::Read, answer("200 OK", "yes")]]);
-    // Either may be asked first; the one that resets is asked at most once.
+    // Either upstream may be chosen first; the one that resets is tried at most once.
     let (response, _) = ask(gateway::start(&[one, two]), "/safe/");
     assert_eq!(status(&response), 200);
 }
 
-/// Every upstream states that it did not run the request: the refusal may say
-/// so too, with when to come back.
+/// Every upstream states that it did not run the request, so the refusal may say so too and
+/// name a time to try again.
 #[test]
 fn rejected_everywhere() {
     let (one, _heads) = start(vec![vec![Step::Read, not_run()]]);
@@ -74,7 +75,8 @@
     assert!(!response.contains("x-seal"));
 }
 
-/// A failure of the upstream's own says nothing of running; as 503 it would.
+/// An upstream's failure doesn't tell whether the request ran, but a 503 to the caller
+/// would.
 #[test]
 fn promise_not_made() {
     let (one, _heads) = start(vec![vec![Step::Read, answer("503 Busy", "")]]);
@@ -109,8 +111,8 @@
     assert_eq!(status(&response), 404);
 }
 
-/// The upstream is lost midway and nobody can go on. The caller must see that
-/// the answer is not whole: no last chunk, and no other response in the body.
+/// The upstream is lost midway and nobody can continue. The caller must see that the answer
+/// is incomplete: no last chunk, and no other response in the body.
 #[test]
 fn broken_off() {
     let steps = vec![
@@ -129,8 +131,8 @@
     assert_eq!(response.matches("HTTP/1.1").count(), 1);
 }
 
-/// The same where another run may go on: after the last whole event, in the
-/// same response.
+/// The upstream is lost midway and another run may continue after the last complete event,
+/// in the same response.
 #[test]
 fn resumed() {
     let half = Step::Write("7\r\nid: 2\nd\r\n".to_owned());
@@ -143,7 +145,7 @@
         Step::Reset,
     ];
     let second = vec![Step::Read, stream_head(), event(2), event(3), end()];
-    // One upstream, two connections, so that the order is known.
+    // One upstream with two connections, so that their order is fixed.
     let (one, heads) = start(vec![first, second]);
     let (response, _) = ask(gateway::start(&[one]), "/stream/");
     let ids: Vec<&str> = response
@@ -157,7 +159,7 @@
     assert_eq!(field(&heads[1], "last-event-id").unwrap(), "1");
 }
 
-/// A run that goes on at the wrong event would double or drop one.
+/// A run that continues at the wrong event would repeat or lose one.
 #[test]
 fn resumed_elsewhere() {
     let first = vec![
@@ -176,7 +178,7 @@
     assert!(!response.ends_with("0\r\n\r\n"));
 }
 
-/// The upstream's own failure is delivered when nothing better came of it.
+/// The upstream's own failure is passed on if no better answer follows.
 #[test]
 fn failure_delivered() {
     let (one, _heads) = start(vec![
@@ -188,8 +190,8 @@
     assert!(response.contains("x-seal: s") && response.ends_with("why"));
 }
 
-/// The upstream tells of a failure and stops in the middle of its body. The
-/// caller must have its answer when the route's time is over.
+/// The upstream reports a failure and stops in the middle of its body. The caller must be
+/// answered when the route's time is over.
 #[test]
 fn half_failure() {
     let half = "HTTP/1.1 500 Failed\r\nx-id: ID\r\ncontent-length: 9\r\n\r\nhalf".to_owned();
@@ -198,8 +200,8 @@
     assert_eq!(status(&response), 504);
 }
 
-/// All processes were lost. A caller is back before the gateway has a
-/// configuration: it waits for the moment that this takes, and is answered.
+/// All processes were lost, and a caller is back before the gateway has a configuration.
+/// The request waits for the moment that this takes, and is answered.
 #[test]
 fn cold_start() {
     let (one, _heads) = start(vec![vec![Step::Read, answer("200 OK", "yes")]]);
@@ -208,8 +210,8 @@
     assert_eq!(status(&response), 200, "{response}");
 }
 
-/// No configuration comes: the caller is refused well before its time is over,
-/// with when to come back.
+/// No configuration arrives. The caller is refused well before its deadline and told when
+/// to try again.
 #[test]
 fn never_configured() {
     let asked = Instant::now();
--- a/almondlock-gateway/tests/gateway/dialect.rs
+++ b/almondlock-gateway/tests/gateway/dialect.rs
@@ -1,4 +1,4 @@
-//! What differs from platform to platform, as plain as can be.
+//! A minimal dialect for tests.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,7 +11,7 @@
 use almondlock_policy::{engine::Speed, throttle::Rate};
 use ntex::http::header::HeaderName;
 
-/// Requests a second that a cold upstream of the service `s` bears.
+/// Requests per second that a cold upstream of the service `s` can take.
 pub const COLD_RATE: f64 = 4.0;
 
 const KINDS: [(&str, Kind); 7] = [
@@ -52,7 +52,7 @@
 #[derive(Clone)]
 pub struct Plain {
     names: Names,
-    // Organisations have a key each, which is their name.
+    // Names of the organisations. Each name is also the organisation's key.
     organisations: &'static [&'static str],
 }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The same, where requests need the key `large` or `small`.
+    /// Like [`Plain::new`], but requests need the key `large` or `small`.
     pub fn with_organisations() -> Plain {
         Plain {
             organisations: &["large", "small"],
@@ -167,7 +167,7 @@
     }
 }
 
-/// An engine that holds 1,000 tokens and reads five in a millisecond.
+/// Returns the figures of an engine that holds 1,000 tokens and reads five per millisecond.
 fn small_engine() -> Speed {
     Speed {
         slots: 8,
--- a/almondlock-gateway/tests/gateway/mod.rs
+++ b/almondlock-gateway/tests/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway on loopback ports, in front of upstreams that do as they are told.
+//! A gateway on loopback ports, in front of upstreams whose behaviour the test defines.
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
@@ -34,59 +34,60 @@
 
 use self::dialect::Plain;
 
-/// For how long memory may outlive its use, unless a test says otherwise.
+/// Default time for which memory may outlive its use.
 const MEMORY_HOLD: Duration = Duration::from_millis(400);
 
-/// Tokens of the usual prompt: more than one engine holds.
+/// Tokens of the default prompt: more than one engine holds.
 const PROMPT: u64 = 1_500;
 
-/// How a gateway is started.
+/// Options for starting a gateway.
 struct Setup {
+    /// Service of all upstreams: `s`, or `e` for engines.
     service: &'static str,
-    /// It gets its configuration only after this time.
-    cold: Duration,
-    /// All upstreams are known to have started again this long after that.
-    reborn: Option<Duration>,
-    /// For how long memory may outlive its use.
+    /// How long the gateway has to wait for its configuration.
+    delay: Duration,
+    /// How long after that the configuration says that all upstreams have started again.
+    restart: Option<Duration>,
+    /// How long memory may outlive its use.
     hold: Duration,
-    /// It is told to stop this long after its start.
+    /// How long after its start the gateway is told to stop.
     stop: Option<Duration>,
-    /// How long it may then take.
+    /// How long the stop may take.
     grace: Duration,
-    /// The process ends once it has stopped.
-    ends: bool,
-    /// Where hosts' loads are added up.
+    /// Whether the process ends once the gateway has stopped.
+    exits: bool,
+    /// Relays that add up the hosts' loads.
     relays: Option<[SocketAddr; 2]>,
-    /// So many of the first upstreams are cold.
+    /// Number of upstreams that are cold, counted from the first one.
     cold_upstreams: usize,
-    /// The first upstream stands alone in the host's failure domain, which is evacuated this
-    /// long after the start.
+    /// How long after the start the host's failure domain is evacuated. Only the first
+    /// upstream is in that domain.
     evacuate: Option<Duration>,
-    /// Requests need a key of one of two organisations.
-    organised: bool,
-    /// Organisations get fair shares.
-    shares: bool,
-    /// Short prompts are admitted by the engines' free slots.
-    places: bool,
-    /// It judges upstreams by what hosts observe of them.
-    judges: bool,
+    /// Whether requests need the key of one of two organisations.
+    needs_keys: bool,
+    /// Whether organisations get fair shares.
+    fair_shares: bool,
+    /// Whether short prompts are admitted by the engines' free slots.
+    slot_admission: bool,
+    /// Whether upstreams are judged by what hosts observe of them.
+    observes_pace: bool,
 }
 
 const SETUP: Setup = Setup {
     service: "s",
-    cold: Duration::ZERO,
-    reborn: None,
+    delay: Duration::ZERO,
+    restart: None,
     hold: MEMORY_HOLD,
     stop: None,
     grace: Duration::ZERO,
-    ends: false,
+    exits: false,
     relays: None,
     cold_upstreams: 0,
     evacuate: None,
-    organised: false,
-    shares: false,
-    places: false,
-    judges: false,
+    needs_keys: false,
+    fair_shares: false,
+    slot_admission: false,
+    observes_pace: false,
 };
 
 const ENGINES: Setup = Setup {
@@ -94,34 +95,35 @@
     ..SETUP
 };
 
-/// Starts a gateway in front of these upstreams; gives its address.
+/// Starts a gateway in front of `upstreams` and returns its address.
 pub fn start(upstreams: &[SocketAddr]) -> SocketAddr {
     start_for(SETUP, upstreams)
 }
 
-/// The same, but the gateway gets its configuration only after a while.
+/// Like [`start`], but the gateway gets its configuration only after a while.
 pub fn start_cold(upstreams: &[SocketAddr], after: Duration) -> SocketAddr {
-    let cold = after;
-    start_for(Setup { cold, ..SETUP }, upstreams)
+    let delay = after;
+    start_for(Setup { delay, ..SETUP }, upstreams)
 }
 
-/// The same in front of engines.
+/// Like [`start`], in front of engines.
 pub fn start_engines(upstreams: &[SocketAddr]) -> SocketAddr {
     start_for(ENGINES, upstreams)
 }
 
-/// The same, where memory may outlive its use for so long.
-pub fn start_engines_holding(upstreams: &[SocketAddr], hold: Duration) -> SocketAddr {
+/// Like [`start_engines`], with the time for which memory may outlive its use.
+pub fn start_engines_with_hold(upstreams: &[SocketAddr], hold: Duration) -> SocketAddr {
     start_for(Setup { hold, ..ENGINES }, upstreams)
 }
 
-/// The same, but after a while all engines are known to have started again.
-pub fn start_engines_reborn(upstreams: &[SocketAddr], after: Duration) -> SocketAddr {
-    let reborn = Some(after);
-    start_for(Setup { reborn, ..ENGINES }, upstreams)
+/// Like [`start_engines`], but after a while the configuration says that all engines have
+/// started again.
+pub fn start_engines_restarting(upstreams: &[SocketAddr], after: Duration) -> SocketAddr {
+    let restart = Some(after);
+    start_for(Setup { restart, ..ENGINES }, upstreams)
 }
 
-/// The same, but after a while it is told to stop, and may take so long for it.
+/// Like [`start_engines`], but after a while the gateway is told to stop within `grace`.
 pub fn start_engines_stopping(
     upstreams: &[SocketAddr],
     after: Duration,
@@ -136,22 +138,22 @@
     start_for(setup, upstreams)
 }
 
-/// The same as [`start`], but after a while it is told to stop, and may take so long for it.
-/// Then the process ends.
-pub fn start_ending(upstreams: &[SocketAddr], after: Duration, grace: Duration) -> SocketAddr {
+/// Like [`start`], but after a while the gateway is told to stop within `grace`. Then the
+/// process ends.
+pub fn start_until_exit(upstreams: &[SocketAddr], after: Duration, grace: Duration) -> SocketAddr {
     let stop = Some(after);
     let setup = Setup {
         stop,
         grace,
-        ends: true,
+        exits: true,
         ..SETUP
     };
     start_for(setup, upstreams)
 }
 
-/// The same as [`start`], as one host of several that share these relays. Stops after a
-/// while, if that is given.
-pub fn start_beside(
+/// Like [`start`], as one of several hosts that share these relays. Stops after a while, if
+/// `stop` is given.
+pub fn start_with_relays(
     upstreams: &[SocketAddr],
     relays: [SocketAddr; 2],
     stop: Option<Duration>,
@@ -164,8 +166,8 @@
     start_for(setup, upstreams)
 }
 
-/// The same, where so many of the first upstreams are cold.
-pub fn start_beside_cold(
+/// Like [`start`], with some cold upstreams, and with relays if they are given.
+pub fn start_with_cold_upstreams(
     upstreams: &[SocketAddr],
     relays: Option<[SocketAddr; 2]>,
     cold_upstreams: usize,
@@ -178,9 +180,9 @@
     start_for(setup, upstreams)
 }
 
-/// The same in front of engines whose slots are accounted for. Stops after a while, if that
-/// is given.
-pub fn start_admitting(
+/// Like [`start_engines`], with admission by free slots. Stops after a while, if `stop` is
+/// given.
+pub fn start_engines_with_admission(
     upstreams: &[SocketAddr],
     relays: Option<[SocketAddr; 2]>,
     stop: Option<Duration>,
@@ -189,51 +191,50 @@
         relays,
         stop,
         grace: Duration::from_secs(4),
-        places: true,
+        slot_admission: true,
         ..ENGINES
     };
     start_for(setup, upstreams)
 }
 
-/// The same as [`start`], where the first upstream's failure domain is evacuated after a
-/// while.
+/// Like [`start`], but the first upstream's failure domain is evacuated after a while.
 pub fn start_evacuating(upstreams: &[SocketAddr], after: Duration) -> SocketAddr {
     let evacuate = Some(after);
     start_for(Setup { evacuate, ..SETUP }, upstreams)
 }
 
-/// The same as [`start_engines`], for two organisations, as one host of several that share
-/// these relays.
+/// Like [`start_engines`], for two organisations, as one of several hosts that share these
+/// relays.
 pub fn start_engines_shared(
     upstreams: &[SocketAddr],
     relays: [SocketAddr; 2],
-    shares: bool,
+    fair_shares: bool,
 ) -> SocketAddr {
     let setup = Setup {
         relays: Some(relays),
-        organised: true,
-        shares,
+        needs_keys: true,
+        fair_shares,
         ..ENGINES
     };
     start_for(setup, upstreams)
 }
 
-/// The same as [`start`], as one host of several if there are relays, that may judge upstreams
-/// by what hosts observe of them.
-pub fn start_judging(
+/// Like [`start`], as one of several hosts if relays are given. With `observes_pace`, upstreams
+/// are judged by what hosts observe of them.
+pub fn start_observing_pace(
     upstreams: &[SocketAddr],
     relays: Option<[SocketAddr; 2]>,
-    judges: bool,
+    observes_pace: bool,
 ) -> SocketAddr {
     let setup = Setup {
         relays,
-        judges,
+        observes_pace,
         ..SETUP
     };
     start_for(setup, upstreams)
 }
 
-/// Starts a relay; gives its address.
+/// Starts a relay and returns its address.
 pub fn start_relay() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
@@ -266,7 +267,7 @@
                 ..config::Config::default()
             };
             let view = View::new();
-            if setup.cold.is_zero() {
+            if setup.delay.is_zero() {
                 view.replace(config.clone());
             }
             let parts = Parts {
@@ -276,16 +277,16 @@
             let node = Node::start(node(), view, parts).await.unwrap();
             let handle = node.handle().clone();
             let settings = settings(listen, ready, &setup);
-            let dialect = match setup.organised {
+            let dialect = match setup.needs_keys {
                 true => Plain::with_organisations(),
                 false => Plain::new(),
             };
             let server = server::start(settings, dialect, handle).unwrap();
             started.send(()).unwrap();
-            ntex::time::sleep(setup.cold).await;
+            ntex::time::sleep(setup.delay).await;
             node.handle().view().replace(config.clone());
-            if let Some(reborn) = setup.reborn {
-                ntex::time::sleep(reborn).await;
+            if let Some(restart) = setup.restart {
+                ntex::time::sleep(restart).await;
                 config.revision = Revision(2);
                 for instance in config.instances.values_mut() {
                     instance.birth = Birth(1);
@@ -305,7 +306,7 @@
             if let Some(stop) = setup.stop {
                 ntex::time::sleep(stop).await;
                 server.stop().await;
-                if setup.ends {
+                if setup.exits {
                     std::process::exit(0);
                 }
             }
@@ -364,9 +365,9 @@
             memory_hold: setup.hold,
         },
         features: Features {
-            fair_shares: setup.shares,
-            slot_admission: setup.places,
-            observed_pace: setup.judges,
+            fair_shares: setup.fair_shares,
+            slot_admission: setup.slot_admission,
+            observed_pace: setup.observes_pace,
             ..Features::default()
         },
         seed: next_host(),
@@ -375,14 +376,14 @@
     }
 }
 
-/// Hosts that share relays are told apart by their number.
+/// Returns a new host number. Hosts that share relays need different ones.
 fn next_host() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// Tests draw addresses at the same time, so none is drawn twice, and from below
-/// the range that the system hands out.
+/// Returns an unused address. Tests run at the same time, so no port is returned twice, and
+/// ports lie below the range that the system hands out.
 fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let start = 10_000 + (std::process::id() % 200) as u16 * 50;
@@ -394,18 +395,18 @@
     }
 }
 
-/// Sends a request and reads until the connection ends or nothing comes for a
-/// while. Gives all bytes, and whether the connection ended.
+/// Sends a request and reads until the response is complete, the connection ends, or
+/// nothing arrives for a while. Returns all bytes, and whether the connection ended.
 pub fn ask(gateway: SocketAddr, path: &str) -> (String, bool) {
     ask_within(gateway, path, 1_500)
 }
 
-/// The same, with so many milliseconds until its deadline.
+/// Like [`ask`], with a deadline in milliseconds.
 pub fn ask_within(gateway: SocketAddr, path: &str, deadline: u64) -> (String, bool) {
     ask_for(gateway, path, deadline, PROMPT)
 }
 
-/// The same with a prompt of so many tokens.
+/// Like [`ask_within`], with a prompt of this many tokens.
 pub fn ask_for(gateway: SocketAddr, path: &str, deadline: u64, prompt: u64) -> (String, bool) {
     let mut stream = TcpStream::connect(gateway).unwrap();
     write_for(&mut stream, path, deadline, prompt);
@@ -429,8 +430,8 @@
     }
 }
 
-/// Sends a request and leaves after a while.
-pub fn leave(gateway: SocketAddr, path: &str, after: Duration) {
+/// Sends a request and disconnects after a while.
+pub fn ask_and_disconnect(gateway: SocketAddr, path: &str, after: Duration) {
     let _stream = send(gateway, path, 5_000);
     thread::sleep(after);
 }
@@ -454,8 +455,8 @@
     stream.write_all(request.as_bytes()).unwrap();
 }
 
-/// Sends a short prompt to an engine with an organisation's key. The caller leaves when the
-/// connection is dropped.
+/// Sends a short prompt to an engine with an organisation's key. The caller disconnects
+/// when the connection is dropped.
 pub fn send_as(gateway: SocketAddr, key: &str) -> TcpStream {
     let mut stream = TcpStream::connect(gateway).unwrap();
     let request = format!(
@@ -466,11 +467,11 @@
     stream
 }
 
-/// Reads what comes on a connection until its end, or until nothing comes for so long.
+/// Reads from a connection until its end, or until nothing arrives for `patience`.
 pub fn read(stream: &mut TcpStream, patience: Duration) -> String {
     stream.set_read_timeout(Some(patience)).unwrap();
     let mut bytes = Vec::new();
-    // An error ends it as well: what has come is judged.
+    // After an error, the bytes received so far are returned.
     let _ = stream.read_to_end(&mut bytes);
     String::from_utf8_lossy(&bytes).into_owned()
 }
@@ -486,7 +487,7 @@
     length.is_some_and(|length| length.trim().parse() == Ok(body.len()))
 }
 
-/// The status of a response.
+/// Returns the status of a response, or 0 if there is none.
 pub fn status(response: &str) -> u16 {
     let code = response.split(' ').nth(1);
     code.and_then(|code| code.parse().ok()).unwrap_or(0)
--- a/almondlock-gateway/tests/leaving_upstream.rs
+++ b/almondlock-gateway/tests/leaving_upstream.rs
@@ -1,5 +1,5 @@
-//! An upstream that leaves says so in its answers, before the host hears of it from the
-//! replicas, or when the host is cut off from them.
+//! An upstream that is leaving says so in its answers. The host may learn this from the
+//! replicas only later, or not at all if it is cut off from them.
 
 mod fake;
 mod gateway;
@@ -16,7 +16,7 @@
     )
 }
 
-/// Guards against requests to an upstream after its answer has told that it leaves.
+/// Guards against requests to an upstream whose answer has said that it is leaving.
 #[test]
 fn leaving_avoided() {
     let (one, leaves) = serve(|_| vec![leaving()]);
--- a/almondlock-gateway/tests/operations_page.rs
+++ b/almondlock-gateway/tests/operations_page.rs
@@ -1,5 +1,5 @@
-//! The operators' page names log lines, their fields and metrics; each must exist in
-//! the code.
+//! The operators' page names log messages, their fields and metrics. Each of them must
+//! exist in the code.
 
 use std::{fs, path::Path};
 
--- a/almondlock-gateway/tests/outlier_ejection.rs
+++ b/almondlock-gateway/tests/outlier_ejection.rs
@@ -11,7 +11,7 @@
 };
 
 use fake::{Step, answer, serve};
-use gateway::{ask, start_judging, start_relay, status};
+use gateway::{ask, start_observing_pace, start_relay, status};
 use yare::parameterized;
 
 const PAUSE: Duration = Duration::from_millis(20);
@@ -65,7 +65,7 @@
 fn failing_upstream(step: Step, is_passed_over: bool) {
     let reached = [false, true].map(|judges| {
         let (upstreams, heads) = upstreams(step.clone());
-        let gateway = start_judging(&upstreams, None, judges);
+        let gateway = start_observing_pace(&upstreams, None, judges);
         ask_often(gateway, "/safe/", 60);
         heads.try_iter().count();
         ask_often(gateway, "/safe/", 60);
@@ -85,7 +85,7 @@
 #[test]
 fn once_elsewhere() {
     let (upstreams, heads) = upstreams(error());
-    let gateway = start_judging(&upstreams, None, true);
+    let gateway = start_observing_pace(&upstreams, None, true);
     ask_often(gateway, "/safe/", 60);
     heads.try_iter().count();
     let statuses = ask_often(gateway, "/unsafe/", 40);
@@ -99,7 +99,7 @@
 #[test]
 fn single_attempt() {
     let (upstreams, heads) = upstreams(error());
-    let gateway = start_judging(&upstreams, None, true);
+    let gateway = start_observing_pace(&upstreams, None, true);
     let begun = Instant::now();
     ask_often(gateway, "/safe/", 60);
     heads.try_iter().count();
@@ -120,7 +120,7 @@
         };
         let (first, heads) = late(210);
         let others = [0; 5].map(|_| late(30).0);
-        let gateway = start_judging(&[&[first][..], &others].concat(), None, judges);
+        let gateway = start_observing_pace(&[&[first][..], &others].concat(), None, judges);
         ask_often(gateway, "/safe/", 80);
         heads.try_iter().count();
         ask_often(gateway, "/safe/", 120);
@@ -135,7 +135,7 @@
 fn learned_from_others() {
     let relays = [start_relay(), start_relay()];
     let (upstreams, heads) = upstreams(error());
-    let start = || start_judging(&upstreams, Some(relays), true);
+    let start = || start_observing_pace(&upstreams, Some(relays), true);
     let hosts = [start(), start(), start()];
     sleep(Duration::from_millis(500));
     // Upstreams are drawn: until each of two hosts has met the failing one, and then the others
@@ -166,7 +166,7 @@
     let relays = [0; 2].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
     let addresses = [0, 1].map(|i| relays[i].local_addr().unwrap());
     let (upstreams, heads) = upstreams(error());
-    let gateway = start_judging(&upstreams, Some(addresses), judges);
+    let gateway = start_observing_pace(&upstreams, Some(addresses), judges);
     ask_often(gateway, "/safe/", 10);
     // Upstreams are drawn: until the failing one was.
     while heads.try_iter().count() == 0 {
--- a/almondlock-gateway/tests/pausing_engines.rs
+++ b/almondlock-gateway/tests/pausing_engines.rs
@@ -1,5 +1,5 @@
-//! Engines that ask for a pause, in all that a host sends to engines: whole prompts, parts of
-//! them, and orders for memory.
+//! Engines ask for a pause. It must be kept by all that a host sends to engines: whole
+//! prompts, parts of prompts, and commands that reserve memory.
 
 mod fake;
 mod gateway;
@@ -14,14 +14,14 @@
 use fake::{Step, end, event, field, serve, stream_head};
 use gateway::{ask_for, start_engines, status};
 
-/// A prompt that one engine holds.
+/// Tokens of a prompt that one engine can hold.
 const SHORT: u64 = 100;
-/// A prompt that takes two engines.
+/// Tokens of a prompt that needs two engines.
 const LONG: u64 = 1_500;
 const DEADLINE: u64 = 9_000;
 
-/// An engine that answers orders after so many milliseconds. `turns_away` tells which prompts
-/// it turns away, with a pause of 2 s.
+/// Starts an engine that answers commands after `order_ms`. `turns_away` decides which
+/// prompts it refuses, with a pause of 2 s.
 fn engine<F>(order_ms: u64, turns_away: F) -> (SocketAddr, Receiver<String>)
 where
     F: Fn(u64) -> bool + Clone + Send + 'static,
@@ -72,7 +72,8 @@
     }
 }
 
-/// Guards against parts of prompts and orders for memory that reach an engine within a pause.
+/// Guards against parts of prompts and memory commands that reach an engine during its
+/// pause.
 #[test]
 fn parts_elsewhere() {
     let (pausing, heads) = serve(|_| vec![turned_away()]);
@@ -95,7 +96,7 @@
     }
 }
 
-/// Guards against a request that is sent because its engine was chosen before that asked for
+/// Guards against a request that is sent to an engine which was chosen before it asked for
 /// a pause.
 #[test]
 fn placed_before() {
--- a/almondlock-gateway/tests/pending_versions.rs
+++ b/almondlock-gateway/tests/pending_versions.rs
@@ -1,5 +1,5 @@
-//! Versions are published while requests are served. Reading one takes longer than a
-//! request may wait, so requests are served by the version in force meanwhile.
+//! Versions are published while requests are served. Parsing a version takes longer than a
+//! request may wait, so the version in force serves requests meanwhile.
 
 mod fake;
 mod versions;
@@ -12,16 +12,17 @@
 
 use versions::{Gateway, document};
 
-/// The longest that a request may take beside reading: slices are 20 ms, and the machine
-/// that runs the tests is busy.
+/// Maximum duration of a request while a version is parsed. Slices take 20 ms, and the
+/// machine that runs the tests may be busy.
 const QUICK: Duration = Duration::from_millis(250);
 
+/// Starts a gateway whose first version has these pieces.
 fn start(first: &[&str]) -> Gateway {
     let (upstream, _) = fake::serve(|_| vec![fake::answer("200 OK", "hi")]);
     Gateway::start(upstream, document(1, first))
 }
 
-/// The status of a response, and how long it took.
+/// Sends a request and returns its status and duration.
 fn ask(gateway: &Gateway, path: &str, key: &str) -> (u16, Duration) {
     let begin = Instant::now();
     let mut stream = TcpStream::connect(gateway.address).unwrap();
@@ -37,7 +38,7 @@
     (status.unwrap_or(0), begin.elapsed())
 }
 
-/// Asks until the status is this one; gives how long that took.
+/// Repeats a request until it has this status, and returns how long that took.
 fn until(gateway: &Gateway, (path, key): (&str, &str), status: u16) -> Duration {
     let begin = Instant::now();
     while ask(gateway, path, key).0 != status {
@@ -47,11 +48,12 @@
     begin.elapsed()
 }
 
-/// Routes that take 2 ms each to read.
+/// Returns routes that take 2 ms each to parse.
 fn slow(count: usize, name: &str) -> Vec<String> {
     (0..count).map(|n| format!("r {name}-{n} s 2")).collect()
 }
 
+/// Joins the pieces of a version.
 fn with<'a>(first: &[&'a str], slow: &'a [String], last: &[&'a str]) -> Vec<&'a str> {
     let slow = slow.iter().map(String::as_str);
     first
@@ -62,7 +64,7 @@
         .collect()
 }
 
-/// Guards against requests that wait until a version is read.
+/// Guards against requests that wait until a version is parsed.
 #[test]
 fn served_meanwhile() {
     let gateway = start(&["s s", "r old s 0"]);
@@ -82,8 +84,8 @@
     assert_eq!(gateway.dialect.times("r old s 0"), 1, "it was kept");
 }
 
-/// Guards against reading that stands still while requests keep coming: the version has to
-/// be in force within 2,500 ms.
+/// Guards against parsing that stalls while requests keep arriving: the version must be in
+/// force within 2,500 ms.
 #[test]
 fn read_under_load() {
     let gateway = start(&["s s", "r old s 0"]);
@@ -101,14 +103,14 @@
     assert!(took.unwrap() < Duration::from_millis(2_500), "{took:?}");
 }
 
-/// Guards against reading versions that others have overtaken.
+/// Guards against parsing versions that a newer one has replaced.
 #[test]
 fn newest_only() {
     let gateway = start(&["s s", "r old s 0"]);
     assert_eq!(ask(&gateway, "/old/", "").0, 200);
     let many = slow(200, "slow");
     gateway.publish(document(2, &with(&["s s"], &many, &["r old s 0"])));
-    // The second one is being read.
+    // Waits until the second version is being parsed.
     while gateway.dialect.times("r slow-0 s 2") == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -121,8 +123,8 @@
     assert_eq!(ask(&gateway, "/slow-0/", "").0, 404, "a route that is gone");
 }
 
-/// Guards against a series of versions of which none comes into force, since each takes the
-/// place of the one before while that is read.
+/// Guards against a series of versions of which none comes into force, since each one
+/// replaces the version that is still being parsed.
 #[test]
 fn quick_series() {
     let gateway = start(&["s s", "r old s 0"]);
@@ -148,8 +150,8 @@
     until(&gateway, ("/in-12/", ""), 200);
 }
 
-/// Guards against a key that is honoured after a version that lacks it was seen, or gives it
-/// to another organisation.
+/// Guards against a key that is still accepted after a version was seen that lacks the key
+/// or gives it to another organisation.
 #[test]
 fn revoked_first() {
     let keys = ["k one key-1", "k two key-2", "k three key-3"];
@@ -165,15 +167,16 @@
     let given_on = ask(&gateway, "/old/", "key-2").0;
     assert_eq!(ask(&gateway, "/old/", "key-3").0, 200);
     assert_ne!(ask(&gateway, "/slow-399/", "key-3").0, 200, "already read");
-    // The key of another organisation will be honoured as that one's.
+    // The key that now belongs to another organisation is accepted once the version is in
+    // force.
     assert_eq!((refused, given_on), (401, 503));
     until(&gateway, ("/slow-399/", "key-3"), 200);
     assert_eq!(ask(&gateway, "/old/", "key-1").0, 401);
     assert_eq!(ask(&gateway, "/old/", "key-2").0, 200);
 }
 
-/// Guards against a final refusal, 404 or 401, of what the version that is being read has:
-/// another host serves it already.
+/// Guards against a final refusal, 404 or 401, for a route or key in a version that is
+/// still being parsed: another host may serve it already.
 #[test]
 fn not_in_force_yet() {
     let gateway = start(&["s s", "r old s 0", "k one key-1"]);
@@ -193,8 +196,8 @@
     assert_eq!(ask(&gateway, "/other/", "key-2").0, 404);
 }
 
-/// Guards against a host without a configuration after it saw one that it can't read. The
-/// keys that this one lacks are revoked all the same.
+/// Guards against a host that loses its configuration after it saw one that it can't parse.
+/// The keys that the unreadable version lacks are revoked all the same.
 #[test]
 fn unreadable_stays_out() {
     let gateway = start(&["s s", "r old s 0", "k one key-1", "k two key-2"]);
@@ -209,8 +212,8 @@
     assert_eq!(ask(&gateway, "/old/", "key-1").0, 404);
 }
 
-/// Guards against a key that a version revokes and that is honoured again because the next
-/// version's keys can't be read: neither version comes into force here.
+/// Guards against a revoked key that is accepted again because the next version's keys
+/// can't be parsed. Neither version comes into force here.
 #[test]
 fn unreadable_keys() {
     let gateway = start(&["s s", "r old s 0", "k one key-1", "k two key-2"]);
@@ -228,7 +231,8 @@
     until(&gateway, ("/new/", "key-1"), 200);
 }
 
-/// Guards against a stop that waits for a version, or puts half of one in force.
+/// Guards against a stop that waits for a version to be parsed, or that puts half of one
+/// into force.
 #[test]
 fn stopped_midway() {
     let gateway = start(&["s s", "r old s 0", "k one key-1", "k two key-2"]);
--- a/almondlock-gateway/tests/read_calls.rs
+++ b/almondlock-gateway/tests/read_calls.rs
@@ -1,6 +1,6 @@
-//! Callers go on with calls that may not be repeated on connections that they opened before
-//! a host was told to stop. A call that the host has handed to an upstream is answered whole;
-//! one that comes too late for that is refused as not run.
+//! Callers send calls that may not be repeated on connections that they opened before the
+//! host was told to stop. A call that the host has passed to an upstream must be answered
+//! completely; a call that comes too late for that must be refused as not run.
 
 mod fake;
 mod gateway;
@@ -17,19 +17,21 @@
 };
 
 use fake::{Step, answer, field, serve};
-use gateway::{read, start_ending, status};
+use gateway::{read, start_until_exit, status};
 use yare::parameterized;
 
+/// Time from the start of a host to its stop.
 const STOP: Duration = Duration::from_millis(200);
-/// Stops in one case, since a call meets the end of a stop by chance.
+/// Number of hosts in one case, since it takes chance for a call to meet the end of a stop.
 const HOSTS: usize = 6;
 
-/// Tells a process that it is a host: its upstream, and how long its stop may take.
+/// Environment variable that makes the process a host. It holds the address of the upstream
+/// and the duration of the stop in milliseconds.
 const HOST: &str = "READ_CALLS_HOST";
-/// What a host's process writes before its address.
+/// Text that a host's process prints before its address.
 const LISTENS: &str = "listens on ";
 
-/// Starts a process of this program that is a host and ends with its stop.
+/// Starts a process of this program that is a host and ends when the host has stopped.
 fn start_process(upstream: SocketAddr, grace: u64) -> (Child, SocketAddr) {
     let mut child = Command::new(env::current_exe().unwrap())
         .args(["--exact", "host_process", "--nocapture"])
@@ -47,7 +49,7 @@
     (child, address.unwrap())
 }
 
-/// No test of its own: a host, if this process is told to be one.
+/// Not a test: runs a host if the environment asks for it.
 #[test]
 fn host_process() {
     let Ok(told) = env::var(HOST) else {
@@ -55,18 +57,18 @@
     };
     let (upstream, grace) = told.split_once(' ').unwrap();
     let grace = Duration::from_millis(grace.parse().unwrap());
-    let gateway = start_ending(&[upstream.parse().unwrap()], STOP, grace);
+    let gateway = start_until_exit(&[upstream.parse().unwrap()], STOP, grace);
     println!("{LISTENS}{gateway}");
     thread::sleep(STOP + grace + Duration::from_secs(5));
 }
 
-/// An upstream whose answers take 120 ms.
+/// Starts an upstream that takes 120 ms for an answer.
 fn upstream() -> (SocketAddr, Receiver<String>) {
     serve(|_| vec![Step::Pause(120), answer("200 OK", "done")])
 }
 
-/// Calls one after the other, with a pause between, until the connection ends. Gives the
-/// ids that were answered whole.
+/// Sends one call after another, with a pause between, until the connection ends. Returns
+/// the ids of the calls that were answered completely.
 fn call(gateway: SocketAddr, caller: usize, pause: Duration) -> Vec<String> {
     let mut answered = Vec::new();
     let mut stream = TcpStream::connect(gateway).unwrap();
@@ -106,7 +108,8 @@
     answered
 }
 
-/// Guards against a host that ends while a call which it has read is at an upstream.
+/// Guards against a host that ends while an upstream still runs a call that the host has
+/// read.
 #[parameterized(
     few = { 2, 15, 2_000 },
     steady = { 24, 1, 1_000 },
@@ -138,8 +141,8 @@
     }
 }
 
-/// Guards against a host that takes calls at the very end of its stop, which it can't
-/// finish: they are refused at once, and their callers are told when to come back.
+/// Guards against a host that accepts calls at the very end of its stop, which it can't
+/// finish. They must be refused at once with a time to try again.
 #[test]
 fn refused_at_the_end() {
     let (address, _seen) = serve(|_| vec![Step::Pause(1_900), answer("200 OK", "done")]);
--- a/almondlock-gateway/tests/retry_budget.rs
+++ b/almondlock-gateway/tests/retry_budget.rs
@@ -1,6 +1,6 @@
-//! Half of the upstreams fail. Each entry host would send every failed request
-//! once more, all of them together, and the other half would fail as well: so
-//! further attempts are bounded in any window, however it is laid.
+//! Half of the upstreams fail. If each entry host retried every failed request, all hosts
+//! together would make the other half fail too. So retries are limited in any window,
+//! wherever it begins.
 
 use std::time::Duration;
 
--- a/almondlock-gateway/tests/set_aside.rs
+++ b/almondlock-gateway/tests/set_aside.rs
@@ -1,6 +1,6 @@
-//! A prompt comes that is larger than one engine's memory. Memory is set aside first,
-//! on the engine that answers and on another one; whatever comes of the request, it
-//! is given back. Left behind, it would keep other prompts out.
+//! A prompt is larger than one engine's memory, so memory is reserved first on the
+//! answering engine and on a helper. Whatever becomes of the request, the memory must be
+//! released. Left reserved, it would keep other prompts out.
 
 mod fake;
 mod gateway;
@@ -17,12 +17,12 @@
 
 use fake::{Step, end, event, field, serve, stream_head};
 use gateway::{
-    ask, ask_for, ask_within, leave, start_engines, start_engines_holding, start_engines_reborn,
-    status,
+    ask, ask_and_disconnect, ask_for, ask_within, start_engines, start_engines_restarting,
+    start_engines_with_hold, status,
 };
 
-/// Answers orders with a status, and requests with a stream of two events that
-/// pauses between them.
+/// Starts an engine that answers commands with the status `order`, and requests with a
+/// stream of two events and a pause between.
 fn engine(order: &'static str, pause: u64) -> (std::net::SocketAddr, Receiver<String>) {
     let asked =
         |head: &str| ["/engine/", "/slow/"].map(|path| head.starts_with(&format!("POST {path}")));
@@ -34,12 +34,12 @@
     })
 }
 
-/// The answer to an order that was carried out.
+/// Returns the answer to a command that was carried out.
 fn ok() -> Step {
     Step::Write("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".into())
 }
 
-/// What reached two engines, in the order in which each of them saw it.
+/// Waits, and returns what reached the engines, in the order in which each engine saw it.
 fn seen(engines: &[Receiver<String>], wait: Duration) -> Vec<Vec<String>> {
     sleep(wait);
     engines
@@ -48,14 +48,14 @@
         .collect()
 }
 
+/// Returns the number of requests to a path.
 fn count(seen: &[Vec<String>], path: &str) -> usize {
     let all = seen.iter().flatten();
     all.filter(|head| head.starts_with(&format!("POST {path} ")))
         .count()
 }
 
-/// The memory is there before the request, which names it, and is given back
-/// after it.
+/// The memory is reserved before the request, which names it, and released after it.
 #[test]
 fn before_and_after() {
     let (one, heads_one) = engine("200 OK", 0);
@@ -71,7 +71,7 @@
         assert!(heads[heads.len() - 1].starts_with("POST /release "));
         assert!(heads[heads.len() - 1].ends_with(&memory(heads)));
     }
-    // The engine that answers stands first, for its own memory.
+    // The answering engine is listed first, with its own reservation.
     let helpers = field(&first[1], "x-helpers").unwrap();
     let (own, other) = helpers.split_once(',').unwrap();
     assert!(own.ends_with(&format!("={}", memory(first))), "{helpers}");
@@ -81,7 +81,8 @@
     );
 }
 
-/// What one engine refuses, another one is asked for, before anything is sent.
+/// If one engine refuses to reserve memory, another one is asked before the request is
+/// sent.
 #[test]
 fn other_has_room() {
     let (full, heads_full) = engine("409 Conflict", 0);
@@ -95,7 +96,7 @@
     assert_eq!(count(&seen, "/engine/"), 0, "{seen:?}");
 }
 
-/// The stream lasts longer than the memory is held for: it is renewed.
+/// The stream lasts longer than a lease, so the lease is renewed.
 #[test]
 fn long_stream() {
     let (one, heads_one) = engine("200 OK", 600);
@@ -107,23 +108,23 @@
     assert_eq!(count(&seen, "/release"), 2);
 }
 
-/// The engine that holds the memory crashes and starts again, while the stream
-/// goes on. Renewed there, the memory would be set aside anew, for nobody.
+/// The engine that holds the memory crashes and starts again while the stream goes on. A
+/// renewal would reserve new memory there that nobody uses.
 #[test]
 fn holder_starts_again() {
     let (one, heads_one) = engine("200 OK", 1_200);
     let (two, heads_two) = engine("200 OK", 1_200);
-    let gateway = start_engines_reborn(&[one, two], Duration::from_millis(200));
+    let gateway = start_engines_restarting(&[one, two], Duration::from_millis(200));
     let caller = spawn(move || ask(gateway, "/engine/"));
     let before = seen(&[heads_one, heads_two], Duration::from_millis(1_000));
     let (response, _) = caller.join().unwrap();
     assert_eq!(status(&response), 200);
-    // On each engine the first order, and one renewal at 135 ms.
+    // Each engine gets the first command and one renewal at 135 ms.
     assert!((2..=4).contains(&count(&before, "/reserve")), "{before:?}");
 }
 
-/// No engine has memory to give: the caller is refused at once, with when to
-/// come back, and nothing has run.
+/// No engine has memory to reserve. The caller is refused at once with a time to try again,
+/// and nothing has run.
 #[test]
 fn none_to_give() {
     let (one, heads_one) = engine("409 Conflict", 0);
@@ -137,8 +138,8 @@
     assert_eq!(count(&seen, "/engine/"), 0);
 }
 
-/// An order has no answer, and may be carried out seconds later: the memory is
-/// given back again and again until it can't be any more.
+/// A command is not answered and may be carried out seconds later. The release is repeated
+/// until that can no longer happen.
 #[test]
 fn unanswered_order() {
     let silent = || {
@@ -160,8 +161,8 @@
     );
 }
 
-/// The engine that answers goes dark after it took the request, long before the
-/// caller's deadline. Memory held for it elsewhere must not be renewed until then.
+/// The answering engine goes dark after it received the request, long before the caller's
+/// deadline. Memory on the helper must not be renewed all that time.
 #[test]
 fn dark_writer() {
     let dark = || {
@@ -177,19 +178,19 @@
     let caller = spawn(move || ask_within(gateway, "/engine/", 8_000));
     let seen = seen(&[heads_one, heads_two], Duration::from_millis(2_600));
     assert!(count(&seen, "/release") >= 1, "{seen:?}");
-    // Nobody knows whether it ran.
+    // Nobody knows whether the request ran.
     let (response, _) = caller.join().unwrap();
     assert!(matches!(status(&response), 502 | 504), "{response}");
 }
 
-/// The engine that answers holds all of the memory itself, and its stream pauses for
-/// two seconds. Nobody else is kept waiting by that memory, so the stream is waited for
-/// as long as others, and not given up for one that begins anew.
+/// The answering engine holds all of the memory itself, and its stream pauses for two
+/// seconds. This memory keeps nobody else waiting, so the stream is waited for as long as
+/// any other, and not given up for one that starts again.
 #[test]
 fn pausing_writer() {
     let (one, heads_one) = engine("200 OK", 2_100);
     let (two, heads_two) = engine("200 OK", 2_100);
-    let gateway = start_engines_holding(&[one, two], Duration::from_secs(4));
+    let gateway = start_engines_with_hold(&[one, two], Duration::from_secs(4));
     let (response, _) = ask_for(gateway, "/slow/", 8_000, 700);
     assert!(response.ends_with("0\r\n\r\n"), "{response}");
     let seen = seen(&[heads_one, heads_two], Duration::from_millis(300));
@@ -197,9 +198,9 @@
     assert_eq!(count(&seen, "/release"), 1, "{seen:?}");
 }
 
-/// Engines take the memory's orders and answer none that gives it back. It is
-/// given back until it must have ended by itself: the engines may be answering
-/// again by then, and others find them full until they do.
+/// Engines don't answer the commands that release memory. The release is repeated until the
+/// lease must have expired: the engines may answer again before, and until then other hosts
+/// find them full.
 #[test]
 fn unanswered_release() {
     let deaf = || {
@@ -210,15 +211,15 @@
         })
     };
     let ((one, heads_one), (two, heads_two)) = (deaf(), deaf());
-    let gateway = start_engines_holding(&[one, two], Duration::from_secs(4));
+    let gateway = start_engines_with_hold(&[one, two], Duration::from_secs(4));
     let (response, _) = ask(gateway, "/engine/");
     assert_eq!(status(&response), 200);
     let seen = seen(&[heads_one, heads_two], Duration::from_millis(3_200));
     assert!(count(&seen, "/release") >= 5, "{seen:?}");
 }
 
-/// The caller leaves while memory is being set aside for it. The order is carried
-/// out all the same, and nobody would use the memory: it is given back.
+/// The caller disconnects while memory is being reserved. The command is carried out all
+/// the same, so the memory must be released.
 #[test]
 fn caller_leaves() {
     let slow = || {
@@ -229,15 +230,14 @@
     };
     let ((one, heads_one), (two, heads_two)) = (slow(), slow());
     let gateway = start_engines(&[one, two]);
-    leave(gateway, "/engine/", Duration::from_millis(100));
+    ask_and_disconnect(gateway, "/engine/", Duration::from_millis(100));
     let seen = seen(&[heads_one, heads_two], Duration::from_millis(900));
     assert_eq!(count(&seen, "/reserve"), 2, "{seen:?}");
     assert!(count(&seen, "/release") >= 2, "{seen:?}");
 }
 
-/// A renewal is under way, and will be carried out seconds later, when the stream
-/// ends. It sets the memory aside anew after that was given back, so it is given
-/// back again.
+/// A renewal is in progress when the stream ends, and is carried out seconds later. It
+/// reserves the memory again after its release, so it must be released once more.
 #[test]
 fn overtaken_renewal() {
     let slow_renewal = || {
--- a/almondlock-gateway/tests/shared_engines.rs
+++ b/almondlock-gateway/tests/shared_engines.rs
@@ -1,6 +1,7 @@
-//! An organisation has all slots of the engines, and another one waits. Through a gateway and
-//! relays on loopback ports: the next request of the first one is ranked behind others, only
-//! where the settings ask for it, and otherwise nothing changes, on the wire neither.
+//! One organisation uses all slots of the engines, and another one waits. Run through a
+//! gateway and relays on loopback ports. The next request of the first organisation must be
+//! ranked behind others, but only if the settings enable fair shares. Otherwise nothing
+//! changes, not even in what hosts send.
 
 mod fake;
 mod gateway;
@@ -16,14 +17,14 @@
 use gateway::{send_as, start_engines_shared, start_relay};
 use yare::parameterized;
 
-/// Slots of the one engine.
+/// Number of slots of the engine.
 const SLOTS: usize = 8;
-/// Several periods of hosts and relays.
+/// Time within which relays and hosts know each other's counts: several of their periods.
 const KNOWN: Duration = Duration::from_millis(1_000);
-/// The first byte of a host's report by organisation.
+/// First byte of a host's report of counts by organisation.
 const REPORT: u8 = 10;
 
-/// An engine whose streams go on for long. Those of `small` don't begin.
+/// Starts an engine whose streams last. Those of `small` never begin.
 fn engine() -> (SocketAddr, Receiver<String>) {
     serve(|head| match field(head, "x-organisation").as_deref() {
         Some("small") => vec![Step::Hang],
@@ -31,7 +32,7 @@
     })
 }
 
-/// The rank that the next request comes with.
+/// Returns the rank that the next request carries.
 fn rank(heads: &Receiver<String>) -> u32 {
     let head = heads.recv_timeout(Duration::from_secs(2)).unwrap();
     field(&head, "x-priority").unwrap().parse().unwrap()
@@ -48,8 +49,8 @@
     for _ in &callers {
         assert_eq!(rank_of(&heads, "large"), 1);
     }
-    // Counts are told five times a second and hold for half a second; a busy machine may be
-    // late with them once.
+    // Counts are reported five times a second and stay valid for half a second. On a busy
+    // machine one report may be late.
     let mut ranks = (0..6).map(|_| {
         callers.push(send_as(gateway, "small"));
         assert_eq!(rank_of(&heads, "small"), 1);
@@ -63,7 +64,7 @@
     }
 }
 
-/// The rank of the next request of an organisation.
+/// Returns the rank of the next request of an organisation.
 fn rank_of(heads: &Receiver<String>, organisation: &str) -> u32 {
     loop {
         let head = heads.recv_timeout(Duration::from_secs(2)).unwrap();
@@ -73,7 +74,7 @@
     }
 }
 
-/// Relays don't answer: all organisations are within.
+/// Relays don't answer, so no organisation counts as over its share.
 #[test]
 fn no_relays() {
     let (engine, heads) = engine();
@@ -89,7 +90,8 @@
     }
 }
 
-/// A relay of an earlier version would log each report as unreadable.
+/// Hosts must not send reports unless shares are enabled: a relay of an earlier version
+/// would log each report as unreadable.
 #[parameterized(
     with = { true },
     without = { false },
@@ -111,7 +113,7 @@
         }
     }
     assert!(all > 0);
-    // One each 200 ms.
+    // One report every 200 ms.
     let bounds = if shares { 2..=6 } else { 0..=0 };
     assert!(bounds.contains(&reports), "{reports} of {all}");
 }
--- a/almondlock-gateway/tests/spread_memory.rs
+++ b/almondlock-gateway/tests/spread_memory.rs
@@ -1,6 +1,5 @@
-//! Prompts come that are larger than one engine's memory, or than what is left
-//! of it. Memory on other engines is set aside for the rest: on all that take
-//! part or on none.
+//! Prompts are larger than one engine's memory, or than what is left of it. The rest is
+//! reserved on other engines: on all participants or on none.
 
 mod engines;
 
@@ -15,7 +14,7 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use yare::parameterized;
 
-/// Engines with this much memory in use.
+/// Returns engines with this much memory in use.
 fn engines(used: &[u64]) -> Vec<Candidate> {
     let candidate = |memory: &u64| {
         engine(Total {
@@ -36,15 +35,16 @@
     pick::engine(&speed(), demand, candidates, &mut rng)
 }
 
-/// The place of the engine that answers.
+/// Index of the answering engine.
 const OWN: usize = 99;
 
+/// Returns the tokens of all shares.
 fn held(shares: &[Share]) -> u64 {
     shares.iter().map(|share| share.tokens).sum()
 }
 
-/// Another prompt like it wouldn't fit beside it, and may be sent by another host at the
-/// same moment: the memory is set aside there all the same.
+/// Another prompt of the same size would not fit beside this one, and another host may send
+/// one at the same moment. So the memory is reserved although one engine is enough.
 #[test]
 fn fits_alone() {
     let shares = memory::distribute(300_000, (OWN, 420_000), &[(0, 420_000)]).unwrap();
@@ -55,14 +55,14 @@
     assert_eq!(share.tokens, memory::padded(300_000));
 }
 
-/// There is room for several like it: nothing is asked for.
+/// There is room for several prompts of this size, so nothing is reserved.
 #[test]
 fn fits_twice() {
     let shares = memory::distribute(200_000, (OWN, 420_000), &[(0, 420_000)]);
     assert_eq!(shares, Some(vec![]));
 }
 
-/// Even parts on as few engines as can hold them.
+/// The fewest engines that can hold the prompt take even parts.
 #[parameterized(
     two = { 600_000, 1 },
     three = { 1_000_000, 2 },
@@ -79,7 +79,7 @@
     assert_eq!(held(&shares), memory::padded(needed));
 }
 
-/// Nobody is asked for more than it has.
+/// No engine is asked for more than it has.
 #[test]
 fn uneven_room() {
     let others = [(3, 50_000), (4, 300_000), (5, 100_000)];
@@ -99,8 +99,7 @@
     assert_eq!(memory::distribute(900_000, own, &[(1, 400_000)]), None);
 }
 
-/// The engine that answers leads those that hold a share; the others are helpers, and
-/// it isn't one of them.
+/// The answering engine is the first holder of a share and not one of the helpers.
 #[test]
 fn answering_leads() {
     let choice = choose(700_000, &engines(&[0; 14])).unwrap();
@@ -112,9 +111,9 @@
     assert!(choice.helpers.len() < READERS);
 }
 
-/// Streams of middling prompts gather on engines for short ones until their memory is
-/// promised. The next prompt would wait there until one of them ends, a second or
-/// more, and so would whatever comes behind it: it goes where there is room.
+/// Streams of medium prompts gather on engines for short ones until the memory there is
+/// taken. The next prompt and those behind it would wait a second or more until a stream
+/// ends, so it must go where there is room.
 #[parameterized(
     usual = { 45_000 },
     large = { 60_000 },
@@ -135,7 +134,7 @@
     assert_eq!(choice.shares[0].place, 1);
 }
 
-/// The engines that would read the prompt soonest are full: others come in.
+/// The engines that would read the prompt soonest are full, so others take part.
 #[test]
 fn room_elsewhere() {
     let mut used = [420_000; 14];
@@ -154,7 +153,7 @@
     assert_eq!(choose(300_000, &said), Err(Lack::Memory));
 }
 
-/// Without an answer nobody knows: the order may be carried out later.
+/// Without an answer, the command may still be carried out later.
 #[parameterized(
     done = { 200, Outcome::Done },
     begun = { 202, Outcome::Done },
@@ -166,10 +165,9 @@
     assert_eq!(Outcome::from_status(status), outcome);
 }
 
-/// A renewal reaches the engine in the moment in which the attempt ends, and the
-/// order that gives the memory back is lost. The memory must still end by itself
-/// within the time for which it may outlive its use, with the longest that an order
-/// takes (0.4 s) to spare.
+/// A renewal reaches the engine just as the attempt ends, and the command that releases the
+/// memory is lost. The lease must still expire within the time for which memory may outlive
+/// its use, less the longest duration of a command (0.4 s).
 #[parameterized(
     usual = { 4_000 },
     short = { 2_000 },
@@ -180,6 +178,6 @@
     let order = Duration::from_millis(400);
     let hold = memory::lease_duration(bound);
     assert!(hold + order <= bound, "{hold:?}");
-    // And one lost renewal can be repeated.
+    // One lost renewal can be repeated.
     assert!(hold.mul_f64(memory::RENEWAL_FRACTION) * 2 < hold);
 }
--- a/almondlock-gateway/tests/stopping_host.rs
+++ b/almondlock-gateway/tests/stopping_host.rs
@@ -1,7 +1,7 @@
-//! An entry host is told to stop while callers keep using connections that they opened
-//! before. A stream that is begun in the last seconds would be cut off with the process,
-//! so it is refused at once. Other hosts are ready: its caller is told to go there now,
-//! since each tenth of a second that it waits is a third of a short request's objective.
+//! An entry host is told to stop while callers keep using open connections. A stream that
+//! begins in the last seconds would be cut off with the process, so it is refused at once.
+//! Other hosts are ready, so the caller is told to go there now: each tenth of a second of
+//! waiting is a third of a short request's objective.
 
 mod fake;
 mod gateway;
@@ -18,10 +18,10 @@
 const STOP: Duration = Duration::from_millis(300);
 const GRACE: Duration = Duration::from_millis(2_000);
 
-/// The deadline of the request that keeps the host busy until its end.
+/// Deadline of the request that keeps the host busy until the end of its stop.
 const BUSY: u64 = 9_000;
 
-/// An engine whose answers take 300 ms, or the busy request's most of the stop.
+/// Starts an engine whose answers take 300 ms, or most of the stop for the busy request.
 fn engine() -> SocketAddr {
     let answers = serve(|head| {
         let deadline = field(head, "x-deadline").and_then(|text| text.parse().ok());
@@ -45,8 +45,8 @@
     answers.0
 }
 
-/// Opens a connection before the stop and uses it so long after it; gives the answer
-/// and the time that it took.
+/// Opens a connection before the stop and uses it `after` its begin. Returns the answer and
+/// how long it took.
 fn ask_after_stop(after: Duration) -> (String, Duration) {
     let engines: Vec<SocketAddr> = (0..4).map(|_| engine()).collect();
     let gateway = start_engines_stopping(&engines, STOP, GRACE);
@@ -60,7 +60,8 @@
     (answer, asked.elapsed())
 }
 
-/// Refused at once, with when to come back, on a connection that closes.
+/// The late request is refused at once, with a time to try again, on a connection that
+/// closes.
 #[test]
 fn refused_late() {
     let (answer, took) = ask_after_stop(Duration::from_millis(600));
--- a/almondlock-gateway/tests/upstream_answers.rs
+++ b/almondlock-gateway/tests/upstream_answers.rs
@@ -1,5 +1,5 @@
-//! Upstreams send what is no answer, or another request's, or half of one. The
-//! caller must never get it as its own whole answer.
+//! Upstreams send invalid answers, answers to other requests, or incomplete ones. The
+//! caller must never receive one of these as its own complete answer.
 
 mod fake;
 
@@ -88,7 +88,7 @@
     assert!(matches!(outcome(steps), Err(Error::Broken(_))));
 }
 
-/// Nothing listens: the request was certainly not handed on.
+/// Nothing listens, so the request was certainly not sent.
 #[test]
 fn nobody_there() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -98,8 +98,8 @@
     assert!(matches!(refused, Err(Error::Connect(_))));
 }
 
-/// An answer comes before the request was read. What is left of the request
-/// would be taken for the next one, so the connection isn't used again.
+/// An answer arrives before the request was read. The rest of the request would be taken
+/// for the next one, so the connection must not be used again.
 #[test]
 fn early_answer() {
     let steps = vec![Step::ReadHead, answer("413 Too Large", ""), Step::Hang];
@@ -113,7 +113,7 @@
     });
 }
 
-/// Bytes after an answer belong to no request.
+/// Bytes after an answer belong to no request, so the connection must not be used again.
 #[test]
 fn bytes_too_many() {
     let more = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_owned();
--- a/almondlock-gateway/tests/versions/mod.rs
+++ b/almondlock-gateway/tests/versions/mod.rs
@@ -47,7 +47,7 @@
     idle_time: Duration::from_secs(15),
 };
 
-/// Remembers which pieces it has read.
+/// A dialect that records which pieces it has parsed.
 #[derive(Clone)]
 pub struct Lines {
     names: Names,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// How often a piece was read.
+    /// Returns how often a piece was parsed.
     pub fn times(&self, piece: &str) -> usize {
         let read = self.read.lock().unwrap();
         read.iter().filter(|other| *other == piece).count()
@@ -166,7 +166,7 @@
     }
 }
 
-/// A version of these pieces.
+/// Returns a version that consists of these pieces.
 pub fn document(version: u64, pieces: &[&str]) -> Document {
     let first = format!("v {version}");
     let all = [first.as_str()].into_iter().chain(pieces.iter().copied());
@@ -184,7 +184,7 @@
 }
 
 impl Gateway {
-    /// Starts one in front of an upstream of the service `s`, with its first version.
+    /// Starts a gateway with its first version, in front of an upstream of the service `s`.
     pub fn start(upstream: SocketAddr, first: Document) -> Gateway {
         let (listen, ready) = (free_address(), free_address());
         let (started, running) = mpsc::channel();
@@ -242,7 +242,7 @@
         assert!(config.revision > Revision::ZERO && self.view.replace(config));
     }
 
-    /// Stops it; gives how long that took.
+    /// Stops the gateway and returns how long that took.
     pub fn stop(&self) -> Duration {
         self.stop.blocking_send(()).unwrap();
         let stopped = self.stopped.lock().unwrap();
@@ -288,8 +288,8 @@
     }
 }
 
-/// Tests draw addresses at the same time, so none is drawn twice, and from below
-/// the range that the system hands out.
+/// Returns an unused address. Tests run at the same time, so no port is returned twice, and
+/// ports lie below the range that the system hands out.
 fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let start = 10_000 + (std::process::id() % 200) as u16 * 50;
--- a/almondlock-gateway/tests/waiting_prompts.rs
+++ b/almondlock-gateway/tests/waiting_prompts.rs
@@ -1,6 +1,6 @@
-//! Short prompts come to engines whose slots are all in use. Each test guards against one
-//! way in which a prompt that waits at the host could be lost, held for nothing, or sent
-//! for nobody.
+//! Short prompts arrive while all slots of the engines are in use. Each test guards against
+//! one way in which a prompt that waits at the host could be lost, held for nothing, or
+//! sent for nobody.
 
 mod fake;
 mod gateway;
@@ -14,18 +14,18 @@
 };
 
 use fake::{Step, end, event, field, serve, stream_head};
-use gateway::{read, start_admitting, start_relay, status};
+use gateway::{read, start_engines_with_admission, start_relay, status};
 use yare::parameterized;
 
-/// The slots of the engine.
+/// Number of slots of an engine.
 const SLOTS: usize = 8;
 /// Milliseconds between events.
 const PAUSE: u64 = 50;
-/// Hosts hear of relays meanwhile.
+/// Time within which hosts have heard from relays.
 const SETTLED: Duration = Duration::from_millis(1_000);
 
-/// An engine whose streams take this long, with an event every 50 ms: one that is silent
-/// for longer is given up.
+/// Starts an engine whose streams last this long, with an event every 50 ms, since a silent
+/// engine would be given up.
 fn engine(millis: u64) -> (SocketAddr, Receiver<String>) {
     serve(move |_| {
         let events = (2..=millis / PAUSE + 1).flat_map(|n| [Step::Pause(PAUSE), event(n)]);
@@ -34,7 +34,8 @@
     })
 }
 
-/// The same, but each stream ends after 900 ms with this, and its head has one more line.
+/// Starts an engine whose streams end after 900 ms with `last`, and whose answers have the
+/// additional header `line`.
 fn engine_ending(line: &str, last: Step) -> (SocketAddr, Receiver<String>) {
     let head = match stream_head() {
         Step::Write(head) => Step::Write(head.replacen("x-id", &format!("{line}x-id"), 1)),
@@ -59,7 +60,7 @@
     stream
 }
 
-/// Sends one prompt for each slot, and waits until the engine has them.
+/// Sends one prompt for each slot, and waits until the engine has received them.
 fn fill(gateway: SocketAddr, heads: &Receiver<String>) -> Vec<TcpStream> {
     let streams = (0..SLOTS).map(|_| {
         let stream = send(gateway);
@@ -69,8 +70,8 @@
     streams.collect()
 }
 
-/// Sends prompts until the first engine has so many, and the second one has no slot left.
-/// None if the first streams may have ended meanwhile.
+/// Sends prompts until the first engine has `least` of them and the second one has no slot
+/// left. Returns `None` if the first streams may have ended meanwhile.
 fn fill_both(
     gateway: SocketAddr,
     least: usize,
@@ -98,11 +99,12 @@
     Some([start_relay(), start_relay()])
 }
 
-/// Guards against a prompt that queues at the engine, or waits on when a slot is free.
+/// Guards against a prompt that queues at the engine, or that keeps waiting when a slot is
+/// free.
 #[test]
 fn slot_handed_on() {
     let (engine, heads) = engine(250);
-    let gateway = start_admitting(&[engine], relays(), None);
+    let gateway = start_engines_with_admission(&[engine], relays(), None);
     sleep(SETTLED);
     let began = Instant::now();
     let _streams = fill(gateway, &heads);
@@ -114,11 +116,11 @@
     assert_eq!(status(&read(&mut next, Duration::from_secs(1))), 200);
 }
 
-/// Guards against a prompt that is sent for a caller who has left.
+/// Guards against a prompt that is sent although its caller has left.
 #[test]
 fn caller_left() {
     let (engine, heads) = engine(600);
-    let gateway = start_admitting(&[engine], relays(), None);
+    let gateway = start_engines_with_admission(&[engine], relays(), None);
     sleep(SETTLED);
     let _streams = fill(gateway, &heads);
     drop(send(gateway));
@@ -126,22 +128,22 @@
     assert!(next.is_err());
 }
 
-/// Guards against prompts that are held because nothing is known of other hosts.
+/// Guards against prompts that are held although nothing is known of other hosts.
 #[test]
 fn no_relay() {
     let (engine, heads) = engine(2_000);
-    let gateway = start_admitting(&[engine], None, None);
+    let gateway = start_engines_with_admission(&[engine], None, None);
     let _streams = fill(gateway, &heads);
     let _next = send(gateway);
     heads.recv_timeout(Duration::from_millis(500)).unwrap();
 }
 
-/// Guards against a prompt that waits on while its host stops.
+/// Guards against a prompt that keeps waiting while its host stops.
 #[test]
 fn host_stops() {
     let stop = SETTLED + Duration::from_millis(500);
     let (engine, heads) = engine(2_500);
-    let gateway = start_admitting(&[engine], relays(), Some(stop));
+    let gateway = start_engines_with_admission(&[engine], relays(), Some(stop));
     sleep(SETTLED);
     let _streams = fill(gateway, &heads);
     let mut next = send(gateway);
@@ -151,11 +153,11 @@
     assert_eq!(status(&read(&mut next, Duration::from_secs(1))), 200);
 }
 
-/// Guards against a prompt that waits for ever because slots never are seen free.
+/// Guards against a prompt that waits for ever because no slot is ever seen free.
 #[test]
 fn bounded_wait() {
     let (engine, heads) = engine(4_000);
-    let gateway = start_admitting(&[engine], relays(), None);
+    let gateway = start_engines_with_admission(&[engine], relays(), None);
     sleep(SETTLED);
     let _streams = fill(gateway, &heads);
     let _next = send(gateway);
@@ -163,12 +165,12 @@
     heads.recv_timeout(Duration::from_millis(1_000)).unwrap();
 }
 
-/// Guards against a line without bound: those that find it full are told at once when to
-/// come back, and have not run.
+/// Guards against an unbounded queue. Prompts that find it full must be refused at once, as
+/// not run and with a time to try again.
 #[test]
 fn full_line() {
     let (engine, heads) = engine(4_000);
-    let gateway = start_admitting(&[engine], relays(), None);
+    let gateway = start_engines_with_admission(&[engine], relays(), None);
     sleep(SETTLED);
     let _streams = fill(gateway, &heads);
     let others: Vec<TcpStream> = (0..100).map(|_| send(gateway)).collect();
@@ -187,28 +189,29 @@
     assert!(heads.try_recv().is_err());
 }
 
-/// Guards against a slot that is handed on though its engine takes nothing more: the prompt
-/// would queue at an engine that has none free.
+/// Guards against a slot that is given to the next prompt although its engine accepts no
+/// more: the prompt would queue at an engine without a free slot.
 #[parameterized(
     lost = { "", Step::Write("no chunk\r\n".into()), SLOTS },
     leaving = { "x-leaving: 1\r\n", end(), 1 },
 )]
 fn closed_engine(line: &str, last: Step, least: usize) {
-    // On a busy machine the engines may not be full in time.
+    // On a busy machine the engines may not be full in time, so the test is repeated.
     let mut tries = (0..8).map(|_| sent_beyond(line, last.clone(), least));
     assert_eq!(tries.find_map(|sent| sent), Some(0));
 }
 
-/// How many new prompts reach engines without a free slot when the first one's streams end.
-/// None if the engines weren't full by then.
+/// Returns the number of new prompts that reach engines without a free slot when the first
+/// engine's streams end, or `None` if the engines weren't full by then.
 fn sent_beyond(line: &str, last: Step, least: usize) -> Option<usize> {
     let (first, first_heads) = engine_ending(line, last);
     let (second, second_heads) = engine(4_000);
-    let gateway = start_admitting(&[first, second], relays(), None);
+    let gateway = start_engines_with_admission(&[first, second], relays(), None);
     sleep(SETTLED);
     let began = Instant::now();
     let _streams = fill_both(gateway, least, [&first_heads, &second_heads])?;
-    // Shortly before the first engine's streams end, so that the prompts are still in time.
+    // Shortly before the first engine's streams end, so that the prompts still meet their
+    // objective.
     sleep(Duration::from_millis(800).saturating_sub(began.elapsed()));
     let _next: Vec<TcpStream> = (0..4).map(|_| send(gateway)).collect();
     sleep(Duration::from_millis(1_500).saturating_sub(began.elapsed()));
--- a/almondlock-gateway/tests/whole_events.rs
+++ b/almondlock-gateway/tests/whole_events.rs
@@ -1,5 +1,5 @@
-//! A server stops in the middle of an event. Had the caller got the first half
-//! of it, the run that goes on after the last event would double or tear it.
+//! A server stops in the middle of an event. If the caller had received the first half of
+//! it, the run that continues after the last event would repeat or break that event.
 
 use almondlock_gateway::event::Splitter;
 
