--- a/almondlock-daemon/src/roles/entry.rs
+++ b/almondlock-daemon/src/roles/entry.rs
@@ -7,7 +7,7 @@
     shared,
 };
 use almondlock_node::Handle;
-use almondlock_policy::choice::Home;
+use almondlock_policy::choice::Origin;
 use almondlock_settings::{Entry, Settings};
 use almondlock_telemetry::metrics::Metrics;
 use anyhow::{Context, Result};
@@ -42,7 +42,7 @@
         header_timeout: role.header_timeout,
         workers: cores.min(WORKERS_LIMIT),
         replicas,
-        home: Home {
+        home: Origin {
             host: host.name.clone(),
             domain: host.domain.clone(),
             region: host.region.clone(),
--- a/almondlock-entry/src/gang.rs
+++ b/almondlock-entry/src/gang.rs
@@ -99,9 +99,9 @@
     let members = names.into_iter().filter_map(|upstream| {
         let capacity = view.upstreams.get(&upstream)?.capacity;
         let known = worker.shared.with_pool(pool, |table| {
-            let free = table.free(&upstream).unwrap_or(capacity);
+            let free = table.free_memory(&upstream).unwrap_or(capacity);
             let avoided = table.is_avoided(&upstream, now);
-            table.takes_work(&upstream).then_some((free, avoided))
+            table.may_take_work(&upstream).then_some((free, avoided))
         });
         let (free, avoided) = known.flatten()?;
         if view.is_drained(&upstream) {
@@ -169,7 +169,7 @@
         let now = clock::mono();
         self.shared.with_pool(pool, |table| {
             if let Some(index) = table.find(upstream) {
-                table.failed(index, now);
+                table.record_failure(index, now);
             }
         });
     }
--- a/almondlock-entry/src/life.rs
+++ b/almondlock-entry/src/life.rs
@@ -10,7 +10,7 @@
     id::{Incarnation, Upstream},
 };
 use almondlock_node::{clock, links::Links, replicas::Replicas};
-use almondlock_policy::choice::{Ask, Index, Picker, Probing, Report};
+use almondlock_policy::choice::{Index, Picker, Query, Report, Sampling};
 use almondlock_telemetry::{metrics::Length, trace::Context};
 use almondlock_wire::attempt::{Load, Outcome};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -170,7 +170,7 @@
         let view = self.shared.handle.view().get();
         let found = self.shared.with_pool(pool, |table| {
             let index = table.find(&held.last)?;
-            table.sent(index, held.rest);
+            table.record_sent(index, held.rest);
             Some(index)
         });
         let gone = || Failure::new(Code::NoUpstream).retry_after(NO_UPSTREAM_RETRY);
@@ -223,7 +223,7 @@
             parent = %request.context.span(),
         )
         .entered();
-        let ask = Ask {
+        let ask = Query {
             prompt: request.prompt,
             output: request.output,
             prefix: &request.prefix,
@@ -238,10 +238,10 @@
         };
         for pool in pools {
             let picked = self.shared.with_pool(&pool, |table| {
-                let picked = self.with_rng(|rng| Probing.pick(table, &ask, now, rng));
+                let picked = self.with_rng(|rng| Sampling.pick(table, &ask, now, rng));
                 picked.and_then(|index| {
                     let name = table.name(index)?.clone();
-                    table.sent(index, request.prompt);
+                    table.record_sent(index, request.prompt);
                     Some((index, name))
                 })
             });
@@ -321,7 +321,7 @@
         in_flight: load.running.saturating_add(load.queued),
         wait: load.wait,
         backlog: load.backlog,
-        free: load.free,
-        speed: load.speed,
+        free_memory: load.free,
+        prefill_speed: load.speed,
     }
 }
--- a/almondlock-entry/src/probe.rs
+++ b/almondlock-entry/src/probe.rs
@@ -74,7 +74,9 @@
             turn = (turn + 1) % pools.len();
             let pool = &pools[turn];
             let now = clock::mono();
-            let stale = worker.shared.with_pool(pool, |table| table.stale(AGE, now));
+            let stale = worker
+                .shared
+                .with_pool(pool, |table| table.next_stale(AGE, now));
             match stale.flatten() {
                 Some(index) if purse.pay() => {
                     without = 0;
@@ -94,7 +96,7 @@
         let now = clock::mono();
         worker
             .shared
-            .with_pool(pool, |table| table.failed(index, now));
+            .with_pool(pool, |table| table.record_failure(index, now));
     }
 }
 
@@ -123,11 +125,11 @@
     let load = read_load(answer.get_load()?);
     let now = clock::mono();
     shared.with_pool(pool, |table| {
-        table.report(index, report(&load), now);
+        table.record_report(index, report(&load), now);
         // Drained or down: passed over, and probed again, since it may be back
         // at any moment. Only the configuration says that it is to stay away.
         if load.leaving {
-            table.failed(index, now);
+            table.record_failure(index, now);
         }
     });
     Ok(())
--- a/almondlock-entry/src/send.rs
+++ b/almondlock-entry/src/send.rs
@@ -4,7 +4,7 @@
 
 use almondlock_base::{Code, Ran, time::Mono};
 use almondlock_node::clock;
-use almondlock_policy::choice::Ask;
+use almondlock_policy::choice::Query;
 use almondlock_telemetry::metrics::Length;
 use almondlock_wire::{
     answer::Usage,
@@ -169,24 +169,24 @@
         let answered = course.begun;
         self.shared.with_pool(&place.pool, |table| {
             if answered {
-                let ask = Ask {
+                let ask = Query {
                     prompt: request.prompt,
                     output: request.output,
                     prefix: &request.prefix,
                     excluded: &[],
                 };
-                table.answered(place.index, &ask);
+                table.record_first_token(place.index, &ask);
             }
-            table.ended(place.index, request.prompt, answered);
+            table.record_end(place.index, request.prompt, answered);
             if outcome.load.capacity.0 > 0 {
-                table.report(place.index, report(&outcome.load), now);
+                table.record_report(place.index, report(&outcome.load), now);
             }
             let unusable = matches!(
                 outcome.code,
                 Some(Code::NoUpstream | Code::UpstreamLost | Code::StaleIncarnation)
             );
             if unusable || outcome.died || outcome.load.leaving {
-                table.failed(place.index, now);
+                table.record_failure(place.index, now);
             }
         });
     }
--- a/almondlock-entry/src/server.rs
+++ b/almondlock-entry/src/server.rs
@@ -12,7 +12,7 @@
 };
 
 use almondlock_node::{Handle, links::Links, replicas::Replicas};
-use almondlock_policy::choice::Home;
+use almondlock_policy::choice::Origin;
 use almondlock_telemetry::metrics::Metrics;
 use ntex::{
     SharedCfg,
@@ -48,7 +48,7 @@
     /// The control replicas' inner addresses.
     pub replicas: Vec<SocketAddr>,
     /// Where this host stands.
-    pub home: Home,
+    pub home: Origin,
     /// Seeds the workers' generators.
     pub seed: u64,
     /// How long the listener stays after readiness has failed, so that the
--- a/almondlock-entry/src/shared.rs
+++ b/almondlock-entry/src/shared.rs
@@ -21,7 +21,7 @@
 };
 use almondlock_node::Handle;
 use almondlock_policy::{
-    choice::{self, Home, Site},
+    choice::{self, Locality, Origin},
     length::Estimator,
     limit::{self, Limiter},
     poison::{self, Watch},
@@ -158,7 +158,7 @@
     pub handle: Handle,
     /// Where metrics go.
     pub metrics: Metrics,
-    home: Home,
+    home: Origin,
     directory: RwLock<Arc<Directory>>,
     limits: Mutex<Limiter>,
     pools: Mutex<HashMap<Pool, choice::Table>>,
@@ -190,7 +190,7 @@
 
 impl Shared {
     /// Empty tables; they fill from the node's view.
-    pub fn new(config: Config, handle: Handle, home: Home, metrics: Metrics) -> Arc<Shared> {
+    pub fn new(config: Config, handle: Handle, home: Origin, metrics: Metrics) -> Arc<Shared> {
         Arc::new(Shared {
             retries: Mutex::new(retry::Policy::new(config.retry)),
             lengths: Mutex::default(),
@@ -260,7 +260,7 @@
                 .or_insert_with(|| choice::Table::new(self.config.choice, self.home.clone()));
             for name in members {
                 if let Some(registration) = view.upstreams.get(name) {
-                    let site = Site {
+                    let site = Locality {
                         domain: registration.domain.clone(),
                         region: registration.region.clone(),
                     };
@@ -347,7 +347,7 @@
 
     /// The estimated length of a model's prompt of so many bytes.
     pub fn estimate(&self, model: &Model, bytes: usize) -> Tokens {
-        lock(&self.lengths).tokens(model, bytes as u64)
+        lock(&self.lengths).estimate_tokens(model, bytes as u64)
     }
 
     /// Learns from a prompt that an engine counted.
--- a/almondlock-entry/tests/fleet/mod.rs
+++ b/almondlock-entry/tests/fleet/mod.rs
@@ -21,7 +21,7 @@
     shared,
 };
 use almondlock_node::{Config, Node, Parts, Sidecars, clock, links::Links, replicas::Replicas};
-use almondlock_policy::{choice::Home, queue};
+use almondlock_policy::{choice::Origin, queue};
 use almondlock_sidecar::announce::{Announcement, Registry, Site};
 use almondlock_spread::view::View;
 use almondlock_standin::engine::{self, Engine};
@@ -180,7 +180,7 @@
             metrics: almondlock_telemetry::metrics::Metrics::none(),
             workers: 1,
             replicas: vec![self.source.address()],
-            home: Home {
+            home: Origin {
                 host: Host::new(name).unwrap(),
                 domain: Domain::new("a").unwrap(),
                 region: Region::new("r").unwrap(),
--- a/almondlock-entry/tests/giant_prompt.rs
+++ b/almondlock-entry/tests/giant_prompt.rs
@@ -111,7 +111,7 @@
                 shared.with_pool(&pool, |table| {
                     for name in table.names() {
                         let index = table.find(&name).unwrap();
-                        table.failed(index, clock::mono());
+                        table.record_failure(index, clock::mono());
                     }
                 });
             }
--- a/almondlock-gateway/examples/pace_cost.rs
+++ b/almondlock-gateway/examples/pace_cost.rs
@@ -14,7 +14,7 @@
     exchange::{Message, Observed, Pace, Paces},
     load::Key,
 };
-use almondlock_policy::pace::{Account, Sample, Table};
+use almondlock_policy::outlier::{Detector, Sample, Summary};
 use almondlock_state::instance::Birth;
 use rand::{SeedableRng, rngs::SmallRng};
 
@@ -33,22 +33,22 @@
 fn measure(hosts: u16, upstreams: usize) -> Result<(), Box<dyn std::error::Error>> {
     let members = (0..upstreams).map(name).collect::<Result<Vec<_>, _>>()?;
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut table = Table::default();
+    let mut table = Detector::default();
     let start = Mono::from_millis(10_000);
-    let account = Account {
+    let account = Summary {
         hosts: 4,
         answers: 4,
-        samples: 40,
-        at: start,
-        ..Account::default()
+        time_weight: 40,
+        newest: start,
+        ..Summary::default()
     };
     let heard = members.iter().map(|name| (name.clone(), account));
-    table.hear(start, heard.collect::<HashMap<_, _>>());
+    table.replace_reported(start, heard.collect::<HashMap<_, _>>());
     let begun = Instant::now();
     for round in 0..ROUNDS {
         let sample = Sample::Time(1.0 + f64::from(round % 5) * 0.05);
         for name in members.iter().step_by(8) {
-            table.tell(start, name, sample);
+            table.observe(start, name, sample);
         }
     }
     let told = ROUNDS * u32::try_from(upstreams.div_ceil(8))?;
--- a/almondlock-gateway/examples/share_cost.rs
+++ b/almondlock-gateway/examples/share_cost.rs
@@ -20,7 +20,7 @@
     },
     share::{Known, Ledger},
 };
-use almondlock_policy::share::{Capacity, Count};
+use almondlock_policy::share::{Capacity, Usage};
 
 const HOSTS: u8 = 31;
 const ORGANISATIONS: [u32; 3] = [24, 200, 1_500];
@@ -99,7 +99,7 @@
 /// What a host reports that has all organisations' requests.
 fn busy(host: u8, names: &[Arc<str>]) -> Envelope {
     let counts = (0_u32..).zip(names).map(|(n, name)| {
-        let count = Count {
+        let count = Usage {
             slots: 1 + 40 / (n + 1),
             unread: 1 + n % 3,
             reading: 40 * (1 + n % 5),
--- a/almondlock-gateway/src/exchange/observed.rs
+++ b/almondlock-gateway/src/exchange/observed.rs
@@ -8,7 +8,7 @@
 };
 
 use almondlock_base::time::Mono;
-use almondlock_policy::pace::{Account, WINDOW};
+use almondlock_policy::outlier::{Summary, WINDOW};
 use almondlock_state::instance::Birth;
 use serde::{Deserialize, Serialize};
 
@@ -62,7 +62,7 @@
 
 impl Pace {
     /// As it is told now.
-    pub fn of(now: Mono, key: Key, birth: Birth, account: &Account) -> Pace {
+    pub fn of(now: Mono, key: Key, birth: Birth, account: &Summary) -> Pace {
         let count = |count: u32| u8::try_from(count).unwrap_or(u8::MAX);
         let step = account.slowness.max(1e-3).log2() * STEPS + STEP_OF_ONE;
         Pace {
@@ -71,24 +71,24 @@
             hosts: count(account.hosts),
             answers: count(account.answers),
             failures: count(account.failures),
-            witnessed: count(account.witnessed),
-            samples: count(account.samples),
+            witnessed: count(account.capped_failures),
+            samples: count(account.time_weight),
             // A float beyond the range saturates.
             slowness: step.round() as u8,
-            age_ms: u16::try_from(millis(now.since(account.at))).unwrap_or(u16::MAX),
+            age_ms: u16::try_from(millis(now.since(account.newest))).unwrap_or(u16::MAX),
         }
     }
 
     /// As it was told now, by the clock of whoever heard it.
-    pub fn account(&self, now: Mono) -> Account {
-        Account {
+    pub fn account(&self, now: Mono) -> Summary {
+        Summary {
             hosts: self.hosts.into(),
             answers: self.answers.into(),
             failures: self.failures.into(),
-            witnessed: self.witnessed.into(),
-            samples: self.samples.into(),
+            capped_failures: self.witnessed.into(),
+            time_weight: self.samples.into(),
             slowness: ((f64::from(self.slowness) - STEP_OF_ONE) / STEPS).exp2(),
-            at: now - Duration::from_millis(self.age_ms.into()),
+            newest: now - Duration::from_millis(self.age_ms.into()),
         }
     }
 }
@@ -148,22 +148,22 @@
     /// All hosts' reports as one. Of several lives of an upstream the one that most hosts
     /// know.
     fn pooled(&self, now: Mono) -> Vec<Pace> {
-        let mut lives: BTreeMap<(Key, Birth), Vec<Account>> = BTreeMap::new();
+        let mut lives: BTreeMap<(Key, Birth), Vec<Summary>> = BTreeMap::new();
         for told in self.hosts.values() {
             for pace in &told.report.paces {
-                let account = Account {
+                let account = Summary {
                     hosts: 1,
                     ..pace.account(told.at)
                 };
-                if now.since(account.at) < WINDOW {
+                if now.since(account.newest) < WINDOW {
                     let accounts = lives.entry((pace.key, pace.birth)).or_default();
                     accounts.push(account);
                 }
             }
         }
-        let mut known: BTreeMap<Key, (Birth, Account)> = BTreeMap::new();
+        let mut known: BTreeMap<Key, (Birth, Summary)> = BTreeMap::new();
         for ((key, birth), accounts) in lives {
-            let account = Account::pool(&accounts);
+            let account = Summary::pool(&accounts);
             let last = known.get(&key);
             if last.is_none_or(|(_, last)| last.hosts <= account.hosts) {
                 known.insert(key, (birth, account));
--- a/almondlock-gateway/src/exchange/shares.rs
+++ b/almondlock-gateway/src/exchange/shares.rs
@@ -16,7 +16,7 @@
 };
 
 use almondlock_base::time::Mono;
-use almondlock_policy::share::{Count, Rest};
+use almondlock_policy::share::{Unlisted, Usage};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use super::message::millis;
@@ -104,26 +104,26 @@
 pub struct Counts {
     /// Those with the most in flight, the first one with the most of all. Invariant: at
     /// most [`LISTED`], none empty.
-    pub listed: Vec<(Tag, Count)>,
+    pub listed: Vec<(Tag, Usage)>,
     /// The others, by service.
-    pub rests: Vec<(Key, Rest)>,
+    pub rests: Vec<(Key, Unlisted)>,
 }
 
 impl Counts {
     /// Lists the largest, and adds the others to the rests.
-    pub fn new(all: BTreeMap<Tag, Count>, mut rests: BTreeMap<Key, Rest>) -> Counts {
-        let mut listed: Vec<(Tag, Count)> = all
+    pub fn new(all: BTreeMap<Tag, Usage>, mut rests: BTreeMap<Key, Unlisted>) -> Counts {
+        let mut listed: Vec<(Tag, Usage)> = all
             .into_iter()
             .filter(|(_, count)| !count.is_empty())
             .collect();
-        listed.sort_by_key(|(_, count)| Reverse(count.weight()));
+        listed.sort_by_key(|(_, count)| Reverse(count.sort_key()));
         for (tag, count) in listed.drain(LISTED.min(listed.len())..) {
             let rest = rests.entry(tag.service).or_default();
             rest.organisations = rest.organisations.saturating_add(1);
             rest.count.add(&count);
         }
-        let mut rests: Vec<(Key, Rest)> = rests.into_iter().collect();
-        rests.sort_by_key(|(_, rest)| Reverse(rest.count.weight()));
+        let mut rests: Vec<(Key, Unlisted)> = rests.into_iter().collect();
+        rests.sort_by_key(|(_, rest)| Reverse(rest.count.sort_key()));
         rests.truncate(SERVICES);
         Counts { listed, rests }
     }
@@ -134,7 +134,7 @@
     }
 
     /// What organisations have at one service, and the rest.
-    pub fn at(&self, service: Key) -> (Vec<(Key, Count)>, Rest) {
+    pub fn at(&self, service: Key) -> (Vec<(Key, Usage)>, Unlisted) {
         let listed = self.listed.iter().filter(|(tag, _)| tag.service == service);
         let listed = listed.map(|(tag, count)| (tag.organisation, *count));
         let rest = self.rests.iter().find(|(key, _)| *key == service);
@@ -203,8 +203,8 @@
 
     fn totals(&mut self, now: Mono) -> Totals {
         self.told.retain(|_, (at, _)| now.since(*at) < FRESH);
-        let mut all: BTreeMap<Tag, Count> = BTreeMap::new();
-        let mut rests: BTreeMap<Key, Rest> = BTreeMap::new();
+        let mut all: BTreeMap<Tag, Usage> = BTreeMap::new();
+        let mut rests: BTreeMap<Key, Unlisted> = BTreeMap::new();
         let mut oldest = Duration::ZERO;
         for (at, report) in self.told.values() {
             oldest = oldest.max(now.since(*at));
--- a/almondlock-gateway/src/pace.rs
+++ b/almondlock-gateway/src/pace.rs
@@ -1,5 +1,5 @@
 //! Upstreams judged by how fast and how often they answer, over all hosts: what this host
-//! observes, and what it does about it ([`almondlock_policy::pace`] decides).
+//! observes, and what it does about it ([`almondlock_policy::outlier`] decides).
 //!
 //! Nothing here acts unless the settings ask for it ([`crate::worker::Features`]).
 
@@ -14,7 +14,7 @@
     time::Mono,
 };
 use almondlock_node::clock;
-use almondlock_policy::pace::{Account, Change, Sample, Table};
+use almondlock_policy::outlier::{Change, Detector, Sample, Summary};
 
 use crate::{
     attempt::Broken,
@@ -52,7 +52,7 @@
 /// What this host knows of the upstreams' pace.
 #[derive(Debug, Default)]
 pub(crate) struct Pacing {
-    table: RefCell<Table<Upstream>>,
+    table: RefCell<Detector<Upstream>>,
     /// When each service is judged next.
     due: RefCell<HashMap<Service, Mono>>,
     /// Seconds that plain answers took lately.
@@ -81,7 +81,7 @@
 
     /// A timer of this host fired so much too late.
     pub(crate) fn late(&self, now: Mono, by: Duration) {
-        self.table.borrow_mut().doubt.late(now, by);
+        self.table.borrow_mut().stall.note_delay(now, by);
     }
 
     /// The median time of a service's plain answers, with one more taken in.
@@ -183,9 +183,9 @@
         let finding = &change.finding;
         tracing::info!(
             upstream = %change.key, %service, change = kind, rate = finding.rate,
-            slowness = finding.slowness, failures = finding.share,
+            slowness = finding.slowness, failures = finding.failure_share,
             observations = finding.observations, source = finding.source.as_str(),
-            age_ms = now.since(finding.at).as_millis(), "pace judged anew"
+            age_ms = now.since(finding.newest).as_millis(), "pace judged anew"
         );
     }
 
@@ -211,7 +211,7 @@
         let rules = known.rules.as_ref()?;
         let speed = rules.service(&request.service)?.engine.as_ref();
         let engine = speed.zip(request.demand);
-        if engine.is_some_and(|(speed, demand)| speed.reading(demand.prompt) > pick::SHORT) {
+        if engine.is_some_and(|(speed, demand)| speed.reading_time(demand.prompt) > pick::SHORT) {
             return None;
         }
         let hosts = self.load.borrow().hosts(now) + 1;
@@ -223,7 +223,7 @@
             candidate.ejected
                 && !candidate.suspect
                 && !candidate.full
-                && table.probe(now, &target.name, hosts, &mut *rng)
+                && table.try_probe(now, &target.name, hosts, &mut *rng)
         })?;
         let candidate = Candidate {
             ejected: false,
@@ -263,13 +263,13 @@
             _ => None,
         };
         let mut table = self.pacing.table.borrow_mut();
-        table.tell(now, upstream, Sample::Answer);
+        table.observe(now, upstream, Sample::Answer);
         let mut is_passed = true;
         if let Some(Sample::Time(multiple)) = time {
             is_passed = multiple < PASSES;
-            table.tell(now, upstream, Sample::Time(multiple));
+            table.observe(now, upstream, Sample::Time(multiple));
         }
-        let is_probe = table.probed(upstream, sent.at, is_passed);
+        let is_probe = table.record_probe(upstream, sent.at, is_passed);
         self.count_probe(is_probe, if is_passed { "passed" } else { "slow" });
     }
 
@@ -289,12 +289,12 @@
             return;
         };
         let total = self.load.borrow().total(now, upstream);
-        let pass = speed.writing(total.streams, total.memory);
+        let pass = speed.pass_time(total.streams, total.memory);
         let events = u32::try_from(events).unwrap_or(u32::MAX);
         let expected = pass.saturating_mul(events) + total.backlog();
         let sample = Sample::time(waited, expected, EVENTS_SLACK);
         let mut table = self.pacing.table.borrow_mut();
-        table.tell(now, upstream, sample);
+        table.observe(now, upstream, sample);
     }
 
     /// An attempt failed that was begun at this time.
@@ -308,7 +308,7 @@
         let mut table = self.pacing.table.borrow_mut();
         let sample = match broken.failure {
             Failure::Limited | Failure::Misdirected => return,
-            Failure::Silent if !is_silent || table.doubt.is_late(now) => return,
+            Failure::Silent if !is_silent || table.stall.is_stalled(now) => return,
             // It asks for a pause: it says itself that it is busy.
             Failure::Rejected if broken.elsewhere || self.backoff(now, upstream).is_some() => {
                 return;
@@ -321,9 +321,9 @@
                 Sample::Failure
             }
         };
-        table.tell(now, upstream, sample);
+        table.observe(now, upstream, sample);
         let is_passed = sample == Sample::Answer;
-        let is_probe = table.probed(upstream, begun, is_passed);
+        let is_probe = table.record_probe(upstream, begun, is_passed);
         self.count_probe(is_probe, if is_passed { "passed" } else { "failed" });
         if is_probe {
             tracing::info!(request = %request.id, %upstream, is_passed, "probe ended");
@@ -357,8 +357,11 @@
             let is_alive = self.known_birth(name) == Some(pace.birth);
             is_alive.then(|| (name.clone(), pace.account(now)))
         });
-        let accounts: HashMap<Upstream, Account> = accounts.collect();
-        self.pacing.table.borrow_mut().hear(now, accounts);
+        let accounts: HashMap<Upstream, Summary> = accounts.collect();
+        self.pacing
+            .table
+            .borrow_mut()
+            .replace_reported(now, accounts);
         // Also without requests: what others observed is news for three seconds only.
         for service in self.known().instances.keys() {
             self.review_pace(now, service);
--- a/almondlock-gateway/src/pick/field.rs
+++ b/almondlock-gateway/src/pick/field.rs
@@ -61,7 +61,7 @@
         let mut costs: Vec<(f64, usize)> = own.collect();
         let least = costs.iter().map(|(cost, _)| *cost).fold(f64::MAX, f64::min);
         costs.extend(other.filter(|(cost, _)| *cost < least));
-        let part = self.speed.reading(self.demand.prompt);
+        let part = self.speed.reading_time(self.demand.prompt);
         let (cost, first) = fill::draw(&costs, self.unseen(groups.short, part), rng)?;
         Some(Choice {
             expected: self.expected(cost, part),
@@ -90,7 +90,7 @@
         if !is_room {
             costs.extend(open.map(|i| (self.cost(*i), *i)));
         }
-        let part = self.speed.part(self.demand.prompt, READERS);
+        let part = self.speed.part_reading_time(self.demand.prompt, READERS);
         let (_, first) = fill::draw(&costs, self.unseen(groups.short, part), rng)?;
         let own = memory::own_share(first, self.free(first), needed);
         let others = groups.all.iter().filter(|i| **i != first);
@@ -98,7 +98,7 @@
             .map(|i| (self.cost(*i) + rng.random::<f64>() * LOT, *i))
             .collect();
         order.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-        let part = |count: usize| self.speed.part(self.demand.prompt, count);
+        let part = |count: usize| self.speed.part_reading_time(self.demand.prompt, count);
         let most = (order.len() + 1).min(READERS);
         let count = (1..=most)
             .find(|count| part(*count) <= SHORT_PART)
@@ -120,7 +120,7 @@
     fn unseen(&self, engines: &[usize], part: Duration) -> f64 {
         let waiting = engines.iter().map(|i| self.candidates[*i].total.waiting);
         let waiting: u32 = waiting.sum();
-        let wait = PASSES * self.speed.writing(1, self.demand.prompt).as_secs_f64();
+        let wait = PASSES * self.speed.pass_time(1, self.demand.prompt).as_secs_f64();
         let others = f64::from(waiting) * AGE.as_secs_f64() / wait.max(AGE.as_secs_f64());
         part.as_secs_f64() * (1.0 + others)
     }
@@ -167,12 +167,12 @@
     /// well.
     fn own_work(&self) -> f64 {
         let (speed, prompt) = (self.speed, self.demand.prompt);
-        let whole = speed.reading(prompt);
+        let whole = speed.reading_time(prompt);
         let part = match whole <= SHORT {
             true => whole,
-            false => speed.part(prompt, READERS),
+            false => speed.part_reading_time(prompt, READERS),
         };
-        (part + speed.writing(1, prompt)).as_secs_f64()
+        (part + speed.pass_time(1, prompt)).as_secs_f64()
     }
 
     /// The same where the prompt's memory is needed there too.
@@ -183,7 +183,7 @@
     }
 
     pub(super) fn expected(&self, wait: f64, part: Duration) -> Duration {
-        let pass = self.speed.writing(1, self.demand.prompt);
+        let pass = self.speed.pass_time(1, self.demand.prompt);
         Duration::from_secs_f64(wait.max(0.0)) + part + pass
     }
 }
@@ -204,7 +204,7 @@
     let total = &candidate.total;
     let mut cost = total.backlog();
     if total.streams > 0 {
-        cost += speed.writing(total.streams, total.memory) / 2;
+        cost += speed.pass_time(total.streams, total.memory) / 2;
     }
     if total.requests() >= candidate.slots {
         cost += OVERFLOW * (total.requests() - candidate.slots + 1);
--- a/almondlock-gateway/src/pick/long.rs
+++ b/almondlock-gateway/src/pick/long.rs
@@ -84,7 +84,9 @@
     }
 
     fn placed(&self, first: usize, shares: Vec<Share>, members: &[(f64, usize)]) -> Choice {
-        let part = self.speed.part(self.demand.prompt, members.len());
+        let part = self
+            .speed
+            .part_reading_time(self.demand.prompt, members.len());
         let waits = members.iter().map(|(_, i)| self.cost(*i));
         let slowest = waits.fold(0.0, f64::max);
         let helpers = members.iter().map(|(_, i)| *i).filter(|i| *i != first);
@@ -118,7 +120,7 @@
         R: RngCore,
     {
         let most = (readers + 1).min(READERS);
-        if self.speed.part(self.demand.prompt, most) > WRITER_PART {
+        if self.speed.part_reading_time(self.demand.prompt, most) > WRITER_PART {
             return None;
         }
         let has_room = |i: usize| self.has_place(i) && self.free(i) > self.demand.output;
@@ -135,12 +137,16 @@
     /// writer: as many as bring the first event soonest.
     fn count(&self, order: &[(f64, usize)], writer: Option<(f64, usize)>) -> usize {
         let own = usize::from(writer.is_some());
-        let most = parts(self.speed.reading(self.demand.prompt));
+        let most = parts(self.speed.reading_time(self.demand.prompt));
         let most = most.min(order.len() + own).max(1);
         let end = |count: usize| {
             let last = count.checked_sub(own + 1).map_or(0.0, |last| order[last].0);
             let begin = writer.map_or(last, |(cost, _)| cost.max(last));
-            begin + self.speed.part(self.demand.prompt, count).as_secs_f64()
+            begin
+                + self
+                    .speed
+                    .part_reading_time(self.demand.prompt, count)
+                    .as_secs_f64()
         };
         (1..=most)
             .min_by(|a, b| end(*a).total_cmp(&end(*b)))
@@ -178,7 +184,7 @@
     /// the parts of several prompts stop the same few streams, and not all of them.
     fn harm(&self, i: usize) -> f64 {
         let total = &self.candidates[i].total;
-        let large = self.speed.part(self.demand.prompt, READERS) > LARGE;
+        let large = self.speed.part_reading_time(self.demand.prompt, READERS) > LARGE;
         match (total.short, total.long()) {
             (0, 1..) if large => HARM_LONG.as_secs_f64(),
             (0, _) => 0.0,
--- a/almondlock-gateway/src/pick/mod.rs
+++ b/almondlock-gateway/src/pick/mod.rs
@@ -231,12 +231,14 @@
     let own = cells.next().ok_or(Lack::Upstream)?;
     let others: Vec<Vec<usize>> = cells.collect();
     let own = field.place(&own, rng);
-    let others = cell::drawn(others.len(), rng)
+    let others = cell::sample_others(others.len(), rng)
         .into_iter()
         .filter_map(|i| field.place(&others[i], rng).ok());
     let other = others.min_by_key(|choice| choice.expected);
     match (own, other) {
-        (Ok(own), Some(other)) if other.expected + cell::AWAY < own.expected => Ok(other),
+        (Ok(own), Some(other)) if other.expected + cell::OVERFLOW_MARGIN < own.expected => {
+            Ok(other)
+        }
         (Err(_), Some(other)) => Ok(other),
         (own, _) => own,
     }
@@ -251,8 +253,8 @@
         let (speed, prompt) = (self.speed, self.demand.prompt);
         let engines = &arranged(engines, self.candidates);
         let groups = Groups::of(speed, engines, self.candidates);
-        let thin = speed.part(prompt, engines.len().min(READERS)) <= SHORT_PART;
-        let is_short = speed.reading(prompt) <= SHORT;
+        let thin = speed.part_reading_time(prompt, engines.len().min(READERS)) <= SHORT_PART;
+        let is_short = speed.reading_time(prompt) <= SHORT;
         let choice = match (is_short, thin && !groups.long.is_empty()) {
             (true, _) => self.short(&groups, rng).ok_or(Lack::Upstream),
             (false, true) => self.middling(&groups, rng).ok_or(Lack::Upstream),
@@ -274,7 +276,7 @@
 where
     R: RngCore,
 {
-    let whole = speed.reading(demand.prompt);
+    let whole = speed.reading_time(demand.prompt);
     let open = open(candidates)?;
     let first = least(candidates, &open, rng, |candidate| {
         let full = if candidate.full { f64::MAX } else { 0.0 };
@@ -284,7 +286,7 @@
     if candidates[first].full {
         return Err(Lack::Memory);
     }
-    let expected = whole + speed.writing(1, demand.prompt);
+    let expected = whole + speed.pass_time(1, demand.prompt);
     let rate = match candidates[first].ejected {
         true => 1.0,
         false => candidates[first].rate,
--- a/almondlock-gateway/src/pick/slots.rs
+++ b/almondlock-gateway/src/pick/slots.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use almondlock_policy::{engine::Speed, places};
+use almondlock_policy::{engine::Speed, slots};
 use rand::{Rng, RngCore};
 
 use super::{Candidate, Choice, Demand, field::Field};
@@ -16,12 +16,12 @@
 pub fn slots(
     candidates: &[Candidate],
     objective: Duration,
-) -> impl Iterator<Item = places::Engine> + use<'_> {
+) -> impl Iterator<Item = slots::Engine> + use<'_> {
     let open = |candidate: &&Candidate| !candidate.is_avoided() && candidate.may_answer();
     let healthy = candidates.iter().filter(open);
     healthy.map(move |candidate| {
         let total = &candidate.total;
-        places::Engine {
+        slots::Engine {
             slots: candidate.slots,
             streams: total.streams,
             waiting: total.waiting,
@@ -37,10 +37,10 @@
 
 /// How long a stream keeps its slot on an engine that writes so many others.
 pub fn hold(speed: &Speed, demand: Demand, streams: u32) -> Duration {
-    let pass = speed.writing(streams, demand.prompt * u64::from(streams.max(1)));
+    let pass = speed.pass_time(streams, demand.prompt * u64::from(streams.max(1)));
     // Outputs are far below the precision of an `f64`.
-    let passes = (demand.output as f64 / speed.stride.max(1.0)).ceil();
-    speed.reading(demand.prompt) + pass.mul_f64(passes)
+    let passes = (demand.output as f64 / speed.steps_per_pass.max(1.0)).ceil();
+    speed.reading_time(demand.prompt) + pass.mul_f64(passes)
 }
 
 /// Who answers a short prompt while slots are scarce: an engine drawn with the probability
--- a/almondlock-gateway/src/placement.rs
+++ b/almondlock-gateway/src/placement.rs
@@ -7,8 +7,8 @@
 use almondlock_node::clock;
 use almondlock_policy::{
     admission,
-    places::Verdict,
     share::{Resource, Standing},
+    slots::Verdict,
 };
 
 use crate::{
@@ -146,7 +146,9 @@
             Verdict::Wait(ticket) => {
                 return Ok(Placed::Waits(Waiter::new(worker, request, ticket)));
             }
-            Verdict::Refuse { returns } => {
+            Verdict::Refuse {
+                retry_after: returns,
+            } => {
                 return Err(Broken {
                     returns: Some(returns),
                     ..Broken::new(Failure::Unsent, None, "too many wait for a slot")
@@ -235,7 +237,7 @@
         taken: (choice.helpers.len() + 1) as f64 / targets.len().max(1) as f64,
     };
     let standing = worker.standing(now, request);
-    let alone = choice.part + speed.writing(1, demand.prompt);
+    let alone = choice.part + speed.pass_time(1, demand.prompt);
     let returns = admission::refusal_of(speed, &case, standing, alone)?;
     if standing != Standing::Within && admission::refusal(speed, &case).is_none() {
         worker.note_deprioritised(request, now, "refused");
--- a/almondlock-gateway/src/share/known.rs
+++ b/almondlock-gateway/src/share/known.rs
@@ -7,7 +7,7 @@
 };
 
 use almondlock_base::time::Mono;
-use almondlock_policy::share::{Capacity, Excess, Ruling};
+use almondlock_policy::share::{Assessment, Capacity, Excess};
 
 use crate::{
     exchange::shares::{FRESH, Tag, Totals},
@@ -28,7 +28,7 @@
     at: Mono,
     age: Duration,
     // By service, those that are over.
-    rulings: HashMap<Key, Ruling<Key>>,
+    rulings: HashMap<Key, Assessment<Key>>,
     // Organisations in the order of what they have in flight.
     largest: Vec<Tag>,
 }
@@ -54,7 +54,7 @@
         let services: BTreeSet<Key> = counts.listed.iter().map(|(tag, _)| tag.service).collect();
         let rulings = services.into_iter().map(|service| {
             let (listed, rest) = counts.at(service);
-            (service, Ruling::new(capacity(service), &listed, rest))
+            (service, Assessment::new(capacity(service), &listed, rest))
         });
         let heard = Heard {
             at: now,
--- a/almondlock-gateway/src/share/ledger.rs
+++ b/almondlock-gateway/src/share/ledger.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use almondlock_policy::share::Count;
+use almondlock_policy::share::Usage;
 
 use crate::{
     exchange::shares::{Counts, Tag},
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 struct Entry {
     name: Arc<str>,
-    count: Count,
+    count: Usage,
 }
 
 /// One request's part of the counts, until it is dropped.
@@ -34,35 +34,35 @@
     ledger: Ledger,
     tag: Tag,
     name: Arc<str>,
-    count: Cell<Count>,
+    count: Cell<Usage>,
 }
 
 impl Ledger {
     /// A request was sent to an engine. Its prompt takes `reading` of all engines together.
     pub fn send(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
-        let count = Count {
+        let count = Usage {
             slots: 1,
             unread: 1,
             reading: millis(reading),
-            ..Count::default()
+            ..Usage::default()
         };
         self.claim(service, organisation, count)
     }
 
     /// A request waits for a slot at this host, or will return to one.
     pub fn wait_slot(&self, service: &str, organisation: &Arc<str>) -> Claim {
-        let count = Count {
+        let count = Usage {
             queued: 1,
-            ..Count::default()
+            ..Usage::default()
         };
         self.claim(service, organisation, count)
     }
 
     /// The same of a prompt that waits until engines have the time to read it.
     pub fn wait_reading(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
-        let count = Count {
+        let count = Usage {
             queued_reading: millis(reading),
-            ..Count::default()
+            ..Usage::default()
         };
         self.claim(service, organisation, count)
     }
@@ -82,7 +82,7 @@
         found.map(|(_, entry)| Arc::clone(&entry.name))
     }
 
-    fn claim(&self, service: &str, organisation: &Arc<str>, count: Count) -> Claim {
+    fn claim(&self, service: &str, organisation: &Arc<str>, count: Usage) -> Claim {
         let claim = Claim {
             ledger: self.clone(),
             tag: Tag::of(service, organisation),
@@ -98,17 +98,17 @@
     /// The first event has come.
     pub fn read(&self) {
         let count = self.count.get();
-        self.set(Count {
+        self.set(Usage {
             slots: count.slots,
-            ..Count::default()
+            ..Usage::default()
         });
     }
 
-    fn set(&self, count: Count) {
+    fn set(&self, count: Usage) {
         let mut counts = self.ledger.counts.borrow_mut();
         let entry = counts.entry(self.tag).or_insert_with(|| Entry {
             name: Arc::clone(&self.name),
-            count: Count::default(),
+            count: Usage::default(),
         });
         entry.count.subtract(&self.count.replace(count));
         entry.count.add(&count);
@@ -120,7 +120,7 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        self.set(Count::default());
+        self.set(Usage::default());
     }
 }
 
--- a/almondlock-gateway/src/slots.rs
+++ b/almondlock-gateway/src/slots.rs
@@ -1,6 +1,6 @@
 //! Short prompts that wait at the host for a free slot of an engine.
 //!
-//! [`almondlock_policy::places`] decides; here it is told of the engines, and those that it
+//! [`almondlock_policy::slots`] decides; here it is told of the engines, and those that it
 //! grants a slot are woken. A prompt that waits holds no connection and no engine memory.
 
 use std::{
@@ -17,8 +17,8 @@
 use almondlock_node::clock;
 use almondlock_policy::{
     engine::Speed,
-    places::{AGE, Case, Commitment, Desk, Ticket, Verdict},
     share::{Resource, Standing},
+    slots::{Allocator, Commitment, Prompt, STATE_AGE, Ticket, Verdict},
 };
 use tokio::{sync::oneshot, time::sleep};
 
@@ -36,7 +36,7 @@
 
 /// The age of the account from which all engines are looked at for it while prompts wait.
 /// Placements usually do so more often.
-const REFRESH: Duration = AGE.saturating_mul(2);
+const REFRESH: Duration = STATE_AGE.saturating_mul(2);
 
 /// Passes of an engine from a slot to the first event at most: the one that runs, and its
 /// own.
@@ -52,7 +52,7 @@
 /// The waiting prompts of one service.
 #[derive(Debug, Default)]
 struct Line {
-    desk: Desk,
+    desk: Allocator,
     waiters: BTreeMap<Ticket, oneshot::Sender<Grant>>,
     looked: Mono,
     /// The objective of the prompts that ask.
@@ -170,9 +170,9 @@
         let unused = self.granted.try_recv();
         self.worker.lines.with(&self.service, |line| {
             line.waiters.remove(&self.ticket);
-            line.desk.leave(self.ticket);
+            line.desk.cancel(self.ticket);
             if let Ok(grant) = unused
-                && let Some(next) = line.desk.pass_on(clock::mono())
+                && let Some(next) = line.desk.grant_next(clock::mono())
             {
                 line.wake(next, grant);
             }
@@ -203,7 +203,7 @@
         let hold = pick::hold(speed, demand, speed.slots);
         let is_scarce = self.lines.with(&request.service, |line| {
             let rows = pick::slots(candidates, request.route.objective);
-            line.desk.see(now, rows, hold, hosts);
+            line.desk.update(now, rows, hold, hosts);
             line.objective = request.route.objective;
             line.desk.is_scarce()
         });
@@ -224,37 +224,40 @@
         if !may_wait {
             return Verdict::Send;
         }
-        let case = Case {
+        let case = Prompt {
             arrived: request.arrived,
             until: request.until,
             objective: request.route.objective,
-            expected: speed.reading(demand.prompt)
-                + speed.writing(speed.slots, demand.prompt * u64::from(speed.slots)) * PASSES,
+            expected: speed.reading_time(demand.prompt)
+                + speed.pass_time(speed.slots, demand.prompt * u64::from(speed.slots)) * PASSES,
             priority: request.priority(),
             standing: self.standing(now, request),
         };
         let first = has_slot(choice.first);
         let rng = &mut *self.rng.borrow_mut();
         self.lines.with(&request.service, |line| {
-            let verdict = line.desk.ask(now, &case, first, rng);
+            let verdict = line.desk.decide(now, &case, first, rng);
             let outcome = match verdict {
                 Verdict::Send => "sent",
                 Verdict::Wait(_) => "waited",
                 Verdict::Refuse { .. } => "refused",
             };
             self.shared.metrics.count("slots", outcome);
-            if let Verdict::Refuse { returns } = verdict {
+            if let Verdict::Refuse {
+                retry_after: returns,
+            } = verdict
+            {
                 self.note_refused(request, Resource::Slots, now, Some(returns));
             }
             if case.standing != Standing::Within && matches!(verdict, Verdict::Wait(_)) {
                 self.note_deprioritised(request, now, "queued behind");
             }
             if verdict != Verdict::Send {
-                let account = line.desk.account();
+                let account = line.desk.occupancy();
                 tracing::info!(
                     request = %request.id, outcome, slots = account.slots, free = account.free,
-                    used = account.used, queued = account.over, hosts,
-                    waiting = line.desk.waiting(), per_second = line.desk.rate(now, case.objective),
+                    used = account.in_use, queued = account.queued, hosts,
+                    waiting = line.desk.waiting(), per_second = line.desk.slot_rate(now, case.objective),
                     age_ms = age.map(|age| age.as_millis()), "no free slot"
                 );
             }
@@ -284,7 +287,7 @@
         let service = request.service.clone();
         let commitment = self
             .lines
-            .with(&service, |line| line.desk.begin(now + hold));
+            .with(&service, |line| line.desk.commit(now + hold));
         Some(Slot {
             service,
             commitment,
@@ -301,7 +304,7 @@
         let is_open = total.requests() < slot.slots && !is_closed;
         self.lines.with(&slot.service, |line| {
             let has_slot = is_open && !pick::is_backlogged(&total, line.objective);
-            if let Some(next) = line.desk.end(now, slot.commitment, has_slot) {
+            if let Some(next) = line.desk.release(now, slot.commitment, has_slot) {
                 let upstream = Some(upstream.clone());
                 line.wake(next, Grant { upstream });
             }
@@ -323,8 +326,8 @@
         if self.shared.is_stopping() || !self.load.borrow().is_informed(now) {
             return self.release(service);
         }
-        let account = self.lines.with(service, |line| *line.desk.account());
-        if now.since(account.at) >= REFRESH {
+        let account = self.lines.with(service, |line| *line.desk.occupancy());
+        if now.since(account.seen_at) >= REFRESH {
             let known = self.known();
             let targets = known.instances.get(service).into_iter().flatten();
             let open = targets.filter(|target| self.backoff(now, &target.name).is_none());
@@ -333,7 +336,8 @@
                 .collect();
             let rows = pick::slots(&candidates, objective);
             self.lines.with(service, |line| {
-                line.desk.see(now, rows, account.hold, account.hosts);
+                line.desk
+                    .update(now, rows, account.hold_time, account.other_hosts);
             });
         }
         let rng = &mut *self.rng.borrow_mut();
@@ -346,7 +350,7 @@
     /// Wakes all that wait.
     fn release(&self, service: &Service) {
         self.lines.with(service, |line| {
-            let all = line.desk.release();
+            let all = line.desk.drain();
             line.wake_all(all);
         });
     }
--- a/almondlock-gateway/src/standing.rs
+++ b/almondlock-gateway/src/standing.rs
@@ -9,7 +9,7 @@
 };
 
 use almondlock_base::{id::Service, time::Mono};
-use almondlock_policy::share::{Capacity, Resource, Standing, rank};
+use almondlock_policy::share::{Capacity, Resource, Standing, demoted_rank};
 
 use crate::{
     dialect::Dialect,
@@ -48,7 +48,7 @@
     pub(crate) fn standing(&self, now: Mono, request: &Request) -> Standing {
         self.finding(now, request)
             .map_or(Standing::Within, |finding| Standing::Over {
-                by: finding.excess.by(),
+                by: finding.excess.ratio(),
             })
     }
 
@@ -69,7 +69,7 @@
         if self.finding(now, request).is_none() {
             return own;
         }
-        let behind = rank(own, kind, kinds, LAST);
+        let behind = demoted_rank(own, kind, kinds, LAST);
         if behind != own {
             self.note_deprioritised(request, now, "ranked behind");
         }
@@ -122,7 +122,7 @@
         let known = self.known();
         let service = known.rules.as_ref()?.service(&request.service)?;
         let speed = service.engine.as_ref()?;
-        Some(speed.reading(request.demand?.prompt))
+        Some(speed.reading_time(request.demand?.prompt))
     }
 
     /// Logs and counts a request that others are served before, since its organisation is
@@ -143,7 +143,7 @@
         tracing::info!(
             request = %request.id, organisation = %organisation.name, action,
             resource = excess.resource.as_str(), used = excess.used, share = excess.share,
-            age_ms = finding.age.as_millis(), behind = %self.behind(excess.behind), suppressed,
+            age_ms = finding.age.as_millis(), behind = %self.behind(excess.least_served), suppressed,
             "deprioritised"
         );
     }
--- a/almondlock-gateway/src/startup.rs
+++ b/almondlock-gateway/src/startup.rs
@@ -4,7 +4,7 @@
 
 use almondlock_base::time::Mono;
 use almondlock_node::clock;
-use almondlock_policy::startup::{Case, hold};
+use almondlock_policy::startup::{Prompt, hold_time};
 use tokio::time::sleep;
 
 use crate::{dialect::Dialect, life::Request, worker::Worker};
@@ -48,12 +48,12 @@
     }
     let demand = request.demand?;
     let speed = worker.speed(&request.service)?;
-    let case = Case {
-        age,
-        spent: now.since(request.arrived),
+    let case = Prompt {
+        host_age: age,
+        waited: now.since(request.arrived),
         objective: request.route.objective,
-        reading: speed.reading(demand.prompt),
+        reading_time: speed.reading_time(demand.prompt),
         knows_loads: worker.load.borrow().hosts(now) > 0,
     };
-    hold(settling, &case)
+    hold_time(settling, &case)
 }
--- a/almondlock-gateway/tests/burst/mod.rs
+++ b/almondlock-gateway/tests/burst/mod.rs
@@ -12,8 +12,8 @@
 };
 use almondlock_policy::{
     engine::Speed,
-    places::{Case, Commitment, Desk, Ticket, Verdict},
     share::Standing,
+    slots::{self, Allocator, Commitment, Ticket, Verdict},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -91,7 +91,7 @@
     engines: Vec<Engine>,
     counts: Vec<Vec<Count>>,
     past: VecDeque<Vec<Vec<Count>>>,
-    desks: Vec<Desk>,
+    desks: Vec<Allocator>,
     lines: Vec<BTreeMap<Ticket, usize>>,
     granted: Vec<(usize, Option<usize>)>,
     returning: Vec<(u64, usize)>,
@@ -144,7 +144,7 @@
                 .collect(),
             past: VecDeque::from(vec![counts.clone(); AGE]),
             counts,
-            desks: (0..hosts).map(|_| Desk::default()).collect(),
+            desks: (0..hosts).map(|_| Allocator::default()).collect(),
             lines: vec![BTreeMap::new(); hosts],
             granted: Vec::new(),
             returning: Vec::new(),
@@ -154,13 +154,13 @@
             speed: Speed {
                 slots: SLOTS,
                 memory: 382_500,
-                step: 0.925,
-                step_per_stream: 0.00483,
-                step_per_context: 0.00254,
-                read: 256.0,
-                pairs: 0.0917,
-                chunk: 2048.0,
-                stride: 52.0,
+                step_ms: 0.925,
+                step_ms_per_stream: 0.00483,
+                step_ms_per_context: 0.00254,
+                tokens_per_ms: 256.0,
+                ms_per_megapair: 0.0917,
+                chunk_tokens: 2048.0,
+                steps_per_pass: 52.0,
             },
             places: setup.places,
         }
@@ -225,7 +225,7 @@
                 self.counts[host][e].streams -= 1;
                 let at = Mono::from_millis(now);
                 let has_slot = self.known(host, e).requests() < SLOTS;
-                let next = commitment.and_then(|held| self.desks[host].end(at, held, has_slot));
+                let next = commitment.and_then(|held| self.desks[host].release(at, held, has_slot));
                 if let Some(next) = next {
                     let id = self.lines[host].remove(&next).unwrap();
                     self.granted.push((id, Some(e)));
@@ -256,7 +256,7 @@
             if self.desks[host].waiting() == 0 || !(self.now as usize + host).is_multiple_of(20) {
                 continue;
             }
-            let age = self.at().since(self.desks[host].account().at);
+            let age = self.at().since(self.desks[host].occupancy().seen_at);
             if age >= Duration::from_millis(2 * AGE as u64) {
                 let candidates = self.candidates(host);
                 self.see(host, &candidates);
@@ -273,7 +273,7 @@
         let hold = Duration::from_millis(HOLD);
         let rows = pick::slots(candidates, objective);
         let hosts = self.desks.len() - 1;
-        self.desks[host].see(Mono::from_millis(self.now), rows, hold, hosts);
+        self.desks[host].update(Mono::from_millis(self.now), rows, hold, hosts);
     }
 
     /// What a host knows of an engine.
@@ -333,7 +333,7 @@
                 Some(Some(e)) if has_slot(e) => first = e,
                 Some(_) => {}
                 None => {
-                    let case = Case {
+                    let case = slots::Prompt {
                         arrived: self.at(),
                         until: Mono::from_millis(self.prompts[id].first_arrival + DEADLINE),
                         objective,
@@ -342,21 +342,23 @@
                         standing: Standing::Within,
                     };
                     let now = self.at();
-                    match self.desks[host].ask(now, &case, has_slot(first), &mut self.rng) {
+                    match self.desks[host].decide(now, &case, has_slot(first), &mut self.rng) {
                         Verdict::Send => {}
                         Verdict::Wait(ticket) => {
                             self.waited += 1;
                             self.lines[host].insert(ticket, id);
                             return;
                         }
-                        Verdict::Refuse { returns } => {
+                        Verdict::Refuse {
+                            retry_after: returns,
+                        } => {
                             return self.refuse(id, returns);
                         }
                     }
                 }
             }
             let until = Mono::from_millis(self.now + HOLD);
-            self.prompts[id].commitment = Some(self.desks[host].begin(until));
+            self.prompts[id].commitment = Some(self.desks[host].commit(until));
         }
         self.counts[host][first].waiting += 1;
         self.engines[first].queue.push_back(id);
--- a/almondlock-gateway/tests/engine_choice.rs
+++ b/almondlock-gateway/tests/engine_choice.rs
@@ -52,12 +52,12 @@
 #[test]
 fn reading_time() {
     let speed = speed();
-    let millis = |tokens| speed.reading(tokens).as_millis();
+    let millis = |tokens| speed.reading_time(tokens).as_millis();
     // Tokens, and pairs of a token and any earlier one, by their own rates.
     assert_eq!(millis(5_000), 20);
     assert_eq!(millis(45_000), 268);
     assert_eq!(millis(210_000), 2_842);
-    assert_eq!(speed.part(210_000, 10).as_millis(), 284);
+    assert_eq!(speed.part_reading_time(210_000, 10).as_millis(), 284);
 }
 
 #[test]
--- a/almondlock-gateway/tests/fleet/mod.rs
+++ b/almondlock-gateway/tests/fleet/mod.rs
@@ -19,7 +19,7 @@
     exchange::{Observed, Pace, Paces},
     load::Key,
 };
-use almondlock_policy::pace::{Change, Sample, Table};
+use almondlock_policy::outlier::{Change, Detector, Sample};
 use almondlock_state::instance::Birth;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -71,7 +71,7 @@
 pub struct Fleet {
     setup: Setup,
     rng: SmallRng,
-    hosts: Vec<Table<usize>>,
+    hosts: Vec<Detector<usize>>,
     // Requests of a host under way at an upstream.
     loads: HashMap<(usize, usize), u32>,
     relay: Paces,
@@ -99,7 +99,7 @@
 
 impl Fleet {
     pub fn new(setup: Setup) -> Fleet {
-        let hosts = (0..setup.hosts).map(|_| Table::default());
+        let hosts = (0..setup.hosts).map(|_| Detector::default());
         Fleet {
             rng: SmallRng::seed_from_u64(setup.seed),
             hosts: hosts.collect(),
@@ -169,8 +169,8 @@
             } => {
                 self.outcome.failures += 1;
                 self.end(host, upstream);
-                self.hosts[host].tell(mono(now), &upstream, Sample::Failure);
-                self.hosts[host].probed(&upstream, mono(sent), false);
+                self.hosts[host].observe(mono(now), &upstream, Sample::Failure);
+                self.hosts[host].record_probe(&upstream, mono(sent), false);
                 if !is_last {
                     self.send(now, host, arrived, Some(upstream));
                 }
@@ -184,7 +184,7 @@
                 let expected = Duration::from_secs_f64(EVENTS);
                 let observed = Duration::from_millis(now - since);
                 let sample = Sample::time(observed, expected, EVENTS_SLACK);
-                self.hosts[host].tell(mono(now), &upstream, sample);
+                self.hosts[host].observe(mono(now), &upstream, sample);
                 match left {
                     1 => self.end(host, upstream),
                     _ => self.piece(now, host, upstream, left - 1),
@@ -211,9 +211,9 @@
             return;
         };
         let table = &mut self.hosts[host];
-        table.tell(mono(now), &upstream, Sample::Answer);
-        table.tell(mono(now), &upstream, sample);
-        table.probed(&upstream, mono(sent), multiple < 2.0);
+        table.observe(mono(now), &upstream, Sample::Answer);
+        table.observe(mono(now), &upstream, sample);
+        table.record_probe(&upstream, mono(sent), multiple < 2.0);
     }
 
     fn piece(&mut self, now: u64, host: usize, upstream: usize, left: u32) {
@@ -286,7 +286,7 @@
         let table = &mut self.hosts[host];
         let (all, hosts) = (self.setup.upstreams, self.setup.hosts);
         if self.setup.is_judging && tried.is_none() && table.has_ejected() {
-            let due = (0..all).find(|key| table.probe(mono(now), key, hosts, &mut self.rng));
+            let due = (0..all).find(|key| table.try_probe(mono(now), key, hosts, &mut self.rng));
             if let Some(due) = due {
                 self.outcome.probes += 1;
                 return (due, true);
@@ -372,7 +372,7 @@
             let accounts = paces
                 .iter()
                 .map(|pace| (names[&pace.key], pace.account(mono(at))));
-            host.hear(mono(at), accounts.collect());
+            host.replace_reported(mono(at), accounts.collect());
         }
     }
 }
--- a/almondlock-gateway/tests/gateway/dialect.rs
+++ b/almondlock-gateway/tests/gateway/dialect.rs
@@ -172,12 +172,12 @@
     Speed {
         slots: 8,
         memory: 1_000,
-        step: 1.0,
-        step_per_stream: 0.0,
-        step_per_context: 0.0,
-        read: 5.0,
-        pairs: 0.0,
-        chunk: 2048.0,
-        stride: 1.0,
+        step_ms: 1.0,
+        step_ms_per_stream: 0.0,
+        step_ms_per_context: 0.0,
+        tokens_per_ms: 5.0,
+        ms_per_megapair: 0.0,
+        chunk_tokens: 2048.0,
+        steps_per_pass: 1.0,
     }
 }
--- a/almondlock-gateway/tests/greedy_long.rs
+++ b/almondlock-gateway/tests/greedy_long.rs
@@ -58,13 +58,13 @@
     Speed {
         slots: 12,
         memory: 382_500,
-        step: 0.925,
-        step_per_stream: 0.00483,
-        step_per_context: 0.00254,
-        read: 256.0,
-        pairs: 0.0917,
-        chunk: 2048.0,
-        stride: 52.0,
+        step_ms: 0.925,
+        step_ms_per_stream: 0.00483,
+        step_ms_per_context: 0.00254,
+        tokens_per_ms: 256.0,
+        ms_per_megapair: 0.0917,
+        chunk_tokens: 2048.0,
+        steps_per_pass: 52.0,
     }
 }
 
@@ -90,7 +90,10 @@
         shares: bool,
     ) -> Option<Duration> {
         let speed = speed();
-        let (part, pass) = (speed.part(PROMPT, READERS), speed.writing(1, PROMPT));
+        let (part, pass) = (
+            speed.part_reading_time(PROMPT, READERS),
+            speed.pass_time(1, PROMPT),
+        );
         let left: Duration = self.free.iter().map(|free| free.since(now)).sum();
         let mut order: Vec<usize> = (0..ENGINES).collect();
         order.sort_by_key(|engine| self.free[*engine]);
@@ -108,11 +111,11 @@
         let name = &self.fleet.names[attempt.organisation];
         let standing = match host.finding(now, name).filter(|_| shares) {
             Some(finding) => Standing::Over {
-                by: finding.excess.by(),
+                by: finding.excess.ratio(),
             },
             None => Standing::Within,
         };
-        let reading = speed.reading(PROMPT);
+        let reading = speed.reading_time(PROMPT);
         if let Some(returns) = refusal_of(&speed, &case, standing, part + pass) {
             let usual = refusal_of(&speed, &case, Standing::Within, part + pass);
             self.refused_early += u32::from(usual.is_none());
@@ -141,7 +144,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     // Apart, so that the same requests come with shares and without.
     let mut arrivals = SmallRng::seed_from_u64(seed + 1_000);
-    let sustained = ENGINES as f64 / speed().reading(PROMPT).as_secs_f64();
+    let sustained = ENGINES as f64 / speed().reading_time(PROMPT).as_secs_f64();
     let rates = rates(sustained * load, greedy);
     let start = Mono::from_millis(1_000);
     let mut now = start;
--- a/almondlock-gateway/tests/greedy_organisation.rs
+++ b/almondlock-gateway/tests/greedy_organisation.rs
@@ -9,7 +9,7 @@
 
 use almondlock_base::time::Mono;
 use almondlock_gateway::share::Claim;
-use almondlock_policy::share::{Capacity, rank};
+use almondlock_policy::share::{Capacity, demoted_rank};
 use organisations::{
     Fleet, HOSTS, ORGANISATIONS, Outcome, SERVICE, mean, rates, served, worst_tenth,
 };
@@ -85,7 +85,7 @@
         let name = &self.fleet.names[organisation];
         let is_over = shares && host.finding(now, name).is_some();
         let rank = match is_over {
-            true => rank(SHORT, SHORT, KINDS, 9),
+            true => demoted_rank(SHORT, SHORT, KINDS, 9),
             false => SHORT,
         };
         self.deprioritised += u32::from(is_over);
--- a/almondlock-gateway/tests/share_counts.rs
+++ b/almondlock-gateway/tests/share_counts.rs
@@ -19,7 +19,7 @@
     rules::{Limits, Organisation, Rules},
     share::{Known, Ledger, Notices, OTHERS},
 };
-use almondlock_policy::share::{Capacity, Count, Rest, rank};
+use almondlock_policy::share::{Capacity, Unlisted, Usage, demoted_rank};
 use yare::parameterized;
 
 const START: Mono = Mono::from_millis(10_000);
@@ -39,10 +39,10 @@
 
 fn counts(all: &[(&str, u32, u32)]) -> Counts {
     let all = all.iter().map(|(name, slots, unread)| {
-        let count = Count {
+        let count = Usage {
             slots: *slots,
             unread: *unread,
-            ..Count::default()
+            ..Usage::default()
         };
         (Tag::of("e", name), count)
     });
@@ -231,7 +231,7 @@
     let mut tally = Tally::default();
     let many = |host: u32| {
         let all = (0..1_500_u32).map(|n| {
-            let count = Count {
+            let count = Usage {
                 slots: 1 + n % 300,
                 unread: 1 + (n + host) % 50,
                 reading: 300 * (1 + n % 40),
@@ -272,7 +272,7 @@
         ledger.wait_reading("e", &name, READING),
     ];
     let (slots, unread, reading, waiting, queued_reading) = (1, 1, 30, 1, 30);
-    let all = Count {
+    let all = Usage {
         slots,
         unread,
         reading,
@@ -282,9 +282,9 @@
     assert_eq!(ledger.counts().listed, [(tag, all)]);
     sent.read();
     drop(queued);
-    let writing = Count {
+    let writing = Usage {
         slots: 1,
-        ..Count::default()
+        ..Usage::default()
     };
     assert_eq!(ledger.counts().listed, [(tag, writing)]);
     assert_eq!(ledger.name(tag.organisation), Some(name));
@@ -296,11 +296,11 @@
 #[test]
 fn rests_are_summed() {
     let mut tally = Tally::default();
-    let rest = Rest {
+    let rest = Unlisted {
         organisations: 40,
-        count: Count {
+        count: Usage {
             slots: 50,
-            ..Count::default()
+            ..Usage::default()
         },
     };
     for host in 1..=2 {
@@ -323,7 +323,7 @@
     last = { 9, 6, 0b100_1010, 9 },
 )]
 fn ranks(own: u32, kind: u32, kinds: u16, expected: u32) {
-    assert_eq!(rank(own, kind, kinds, 9), expected);
+    assert_eq!(demoted_rank(own, kind, kinds, 9), expected);
 }
 
 /// Each request of 1,500 organisations is put behind others: lines stay few, and metrics name
--- a/almondlock-gateway/tests/told_paces.rs
+++ b/almondlock-gateway/tests/told_paces.rs
@@ -6,7 +6,7 @@
 
 use almondlock_base::time::Mono;
 use almondlock_gateway::exchange::{Message, Observed, PACES, Pace, Paces};
-use almondlock_policy::pace::Account;
+use almondlock_policy::outlier::Summary;
 use almondlock_state::instance::Birth;
 use fleet::{address, key, lie};
 use yare::parameterized;
@@ -149,18 +149,18 @@
 #[test]
 fn rounded() {
     for slowness in [0.5, 1.0, 1.3, 7.0, 30.0] {
-        let account = Account {
+        let account = Summary {
             hosts: 3,
             answers: 300,
             failures: 2,
-            witnessed: 2,
-            samples: 9,
+            capped_failures: 2,
+            time_weight: 9,
             slowness,
-            at: START,
+            newest: START,
         };
         let told = Pace::of(after(5), key(1), Birth(1), &account).account(after(9));
         assert!((told.slowness / slowness - 1.0).abs() < 0.03, "{told:?}");
         assert_eq!((told.answers, told.failures, told.hosts), (255, 2, 3));
-        assert_eq!(told.at, after(4));
+        assert_eq!(told.newest, after(4));
     }
 }
--- a/almondlock-policy/examples/decisions.rs
+++ b/almondlock-policy/examples/decisions.rs
@@ -17,7 +17,9 @@
     unit::Tokens,
 };
 use almondlock_policy::{
-    choice::{self, Ask, Home, LeastReported, Picker, Probing, Random, Report, Site, Table},
+    choice::{
+        self, LeastReported, Locality, Origin, Picker, Query, Random, Report, Sampling, Table,
+    },
     gate::{self, Gate},
     ledger::{self, Item, Kind, Ledger, Owner},
     limit::{self, Limit, Limiter},
@@ -55,15 +57,15 @@
     Upstream::new(&format!("engine-{i}")).expect("a plain name")
 }
 
-fn site(i: usize) -> Site {
-    Site {
+fn site(i: usize) -> Locality {
+    Locality {
         domain: Domain::new(&format!("domain-{}", i % 6)).expect("a plain name"),
         region: Region::new(&format!("region-{}", i % 2)).expect("a plain name"),
     }
 }
 
 fn table(upstreams: usize, rng: &mut SmallRng) -> Table {
-    let home = Home {
+    let home = Origin {
         host: Host::new("entry-1").expect("a plain name"),
         domain: site(0).domain,
         region: site(0).region,
@@ -75,10 +77,10 @@
             in_flight: rng.random_range(0..30),
             wait: Duration::from_millis(rng.random_range(0..500)),
             backlog: Tokens(rng.random_range(0..100_000)),
-            free: Tokens(rng.random_range(0..400_000)),
-            speed: 8_000,
+            free_memory: Tokens(rng.random_range(0..400_000)),
+            prefill_speed: 8_000,
         };
-        table.report(index, report, Mono::ZERO);
+        table.record_report(index, report, Mono::ZERO);
     }
     table
 }
@@ -92,7 +94,7 @@
     let mut open = std::collections::VecDeque::new();
     for round in 0..ROUNDS {
         let now = Mono::from_micros(round as u64 * 100);
-        let ask = Ask {
+        let ask = Query {
             prompt: Tokens(rng.random_range(1_000..5_000)),
             output: Tokens(200),
             prefix,
@@ -100,14 +102,14 @@
         };
         let picked = timed(&mut times, || {
             let index = picker.pick(&table, &ask, now, rng)?;
-            table.sent(index, ask.prompt);
+            table.record_sent(index, ask.prompt);
             Some(index)
         });
         open.extend(picked.map(|index| (index, ask.prompt)));
         if open.len() > 10 * upstreams
             && let Some((index, prompt)) = open.pop_front()
         {
-            table.ended(index, prompt, false);
+            table.record_end(index, prompt, false);
         }
     }
     show(&format!("choice: {what}, {upstreams} upstreams"), times);
@@ -117,8 +119,8 @@
     let prompt: Vec<u8> = (0..200_000).map(|_| rng.random()).collect();
     let prefix = prefix::hashes(&prompt);
     for upstreams in [18, 100, 880] {
-        picks("probing", Probing, upstreams, &[], rng);
-        picks("probing, with a prefix", Probing, upstreams, &prefix, rng);
+        picks("probing", Sampling, upstreams, &[], rng);
+        picks("probing, with a prefix", Sampling, upstreams, &prefix, rng);
         picks("least reported", LeastReported, upstreams, &[], rng);
         picks("random", Random, upstreams, &[], rng);
     }
--- a/almondlock-policy/examples/footprint.rs
+++ b/almondlock-policy/examples/footprint.rs
@@ -12,7 +12,7 @@
     unit::Tokens,
 };
 use almondlock_policy::{
-    choice::{self, Home, Site, Table},
+    choice::{self, Locality, Origin, Table},
     gate::{self, Gate},
     ledger::{self, Item, Kind, Ledger, Owner},
     limit::{self, Limit, Limiter},
@@ -104,7 +104,7 @@
 fn table(upstreams: u64) -> Table {
     let domain = |i: u64| Domain::new(&format!("domain-{}", i % 6)).expect("a plain name");
     let region = Region::new("region").expect("a plain name");
-    let home = Home {
+    let home = Origin {
         host: host(),
         domain: domain(0),
         region: region.clone(),
@@ -112,7 +112,7 @@
     let mut table = Table::new(choice::Config::default(), home);
     for i in 0..upstreams {
         let name = Upstream::new(&format!("engine-{i:08}")).expect("a plain name");
-        let site = Site {
+        let site = Locality {
             domain: domain(i),
             region: region.clone(),
         };
--- a/almondlock-policy/src/admission.rs
+++ b/almondlock-policy/src/admission.rs
@@ -93,7 +93,7 @@
     standing: Standing,
     alone: Duration,
 ) -> Option<Duration> {
-    if speed.reading(case.prompt) <= COSTLY {
+    if speed.reading_time(case.prompt) <= COSTLY {
         return None;
     }
     let late = case.spent + case.expected;
@@ -127,8 +127,11 @@
 /// What a prompt yields for the engines' time, as a part of what one does that an
 /// engine reads alone within the objective. At most 1.
 fn relative_yield(speed: &Speed, case: &Case) -> f64 {
-    let reference = speed.readable(case.objective);
-    let (own, usual) = (speed.rate(case.prompt), speed.rate(reference));
+    let reference = speed.readable_tokens(case.objective);
+    let (own, usual) = (
+        speed.reading_rate(case.prompt),
+        speed.reading_rate(reference),
+    );
     if usual > 0.0 {
         (own / usual).min(1.0)
     } else {
--- a/almondlock-policy/src/cell.rs
+++ b/almondlock-policy/src/cell.rs
@@ -11,12 +11,12 @@
 //! it in the cell of its own failure domain, as long as that is not much later than
 //! elsewhere. A cell has a fifth of the hosts and of the engines, and what comes
 //! within the age of a host's knowledge is a few prompts. A cell is not made smaller
-//! than what the largest prompts need, [`LEAST`] engines; a failure domain with fewer
+//! than what the largest prompts need, [`MIN_ENGINES`] engines; a failure domain with fewer
 //! shares a cell with others, and one with many more is divided.
 //!
 //! **Overflow.** Failure domains get unlike shares of the callers and lose engines.
 //! A host compares its own cell with two others drawn at random, and takes the better
-//! of these if it is sooner by [`AWAY`]. Two are enough to find one that is not
+//! of these if it is sooner by [`OVERFLOW_MARGIN`]. Two are enough to find one that is not
 //! crowded ("power of two choices"), and as each host draws its own, they don't all
 //! choose the same.
 
@@ -31,15 +31,15 @@
 
 /// The fewest engines in a cell: a prompt may be read by 16 of them, and the short
 /// streams need some of their own.
-pub const LEAST: usize = 20;
+pub const MIN_ENGINES: usize = 20;
 
 /// Engines of one failure domain that make a second cell there.
-const SPLIT: usize = 2 * LEAST;
+const SPLIT: usize = 2 * MIN_ENGINES;
 
 /// How much sooner another cell must be done to be taken: a pass of an engine with
 /// streams and parts. Below that, an engine's own streams make more difference than
 /// what is known of others.
-pub const AWAY: Duration = Duration::from_millis(80);
+pub const OVERFLOW_MARGIN: Duration = Duration::from_millis(80);
 
 /// Other cells that a host looks at for each prompt.
 const LOOKED_AT: usize = 2;
@@ -59,14 +59,14 @@
     for (_, domain) in &engines {
         *domains.entry(domain).or_default() += 1;
     }
-    let small: usize = domains.values().filter(|count| **count < LEAST).sum();
+    let small: usize = domains.values().filter(|count| **count < MIN_ENGINES).sum();
     // Those that are too small share a cell, with the smallest of the others if need
     // be.
-    let smallest = domains.iter().filter(|(_, count)| **count >= LEAST);
+    let smallest = domains.iter().filter(|(_, count)| **count >= MIN_ENGINES);
     let smallest = smallest.min_by_key(|(_, count)| **count).map(|(d, _)| *d);
-    let joined = smallest.filter(|_| small > 0 && small < LEAST);
+    let joined = smallest.filter(|_| small > 0 && small < MIN_ENGINES);
     let group = |domain: &'a Domain| {
-        let is_small = domains.get(domain).is_none_or(|count| *count < LEAST);
+        let is_small = domains.get(domain).is_none_or(|count| *count < MIN_ENGINES);
         (!is_small && joined != Some(domain)).then_some(domain)
     };
     let mut sizes: BTreeMap<Option<&Domain>, usize> = BTreeMap::new();
@@ -103,7 +103,7 @@
 }
 
 /// Which of the other cells to look at, out of so many.
-pub fn drawn<R>(others: usize, rng: &mut R) -> Vec<usize>
+pub fn sample_others<R>(others: usize, rng: &mut R) -> Vec<usize>
 where
     R: RngCore,
 {
--- a/almondlock-policy/src/choice/load.rs
+++ b/almondlock-policy/src/choice/load.rs
@@ -14,9 +14,9 @@
     /// Prompt tokens not processed yet.
     pub backlog: Tokens,
     /// Free engine memory.
-    pub free: Tokens,
+    pub free_memory: Tokens,
     /// Prefill speed, in tokens per second. 0 when not known.
-    pub speed: u64,
+    pub prefill_speed: u64,
 }
 
 /// Load of one upstream as an entry host sees it.
--- a/almondlock-policy/src/choice/mod.rs
+++ b/almondlock-policy/src/choice/mod.rs
@@ -3,7 +3,7 @@
 //! An entry host decides alone, at once, and mostly on old news: what it knows
 //! of an upstream's load is what the last answer or probe from there said. If
 //! every entry host went for the upstream with the lowest figure, all of them
-//! would pile onto the same one until the next figures came. [`Probing`] avoids
+//! would pile onto the same one until the next figures came. [`Sampling`] avoids
 //! that in four ways: it looks at a few upstreams drawn at random from a subset
 //! of its own, it counts what it has sent itself at once, it lets old figures
 //! fade towards the average, and it takes upstreams with too much in flight
@@ -22,22 +22,22 @@
 //!
 //! ```
 //! use almondlock_base::{id::{Domain, Host, Region, Upstream}, time::Mono, unit::Tokens};
-//! use almondlock_policy::choice::{Ask, Config, Home, Picker, Probing, Site, Table};
+//! use almondlock_policy::choice::{Config, Locality, Origin, Picker, Query, Sampling, Table};
 //! use rand::{SeedableRng, rngs::SmallRng};
 //!
-//! let home = Home {
+//! let origin = Origin {
 //!     host: Host::new("entry-1")?,
 //!     domain: Domain::new("leith")?,
 //!     region: Region::new("edinburgh")?,
 //! };
-//! let mut table = Table::new(Config::default(), home);
+//! let mut table = Table::new(Config::default(), origin);
 //! let name = Upstream::new("engine-1")?;
-//! let site = Site { domain: Domain::new("gyle")?, region: Region::new("edinburgh")? };
-//! table.insert(&name, site);
+//! let locality = Locality { domain: Domain::new("gyle")?, region: Region::new("edinburgh")? };
+//! table.insert(&name, locality);
 //!
 //! let mut rng = SmallRng::seed_from_u64(1);
-//! let ask = Ask { prompt: Tokens(1_000), ..Ask::default() };
-//! let index = Probing::default().pick(&table, &ask, Mono::ZERO, &mut rng).unwrap();
+//! let query = Query { prompt: Tokens(1_000), ..Query::default() };
+//! let index = Sampling.pick(&table, &query, Mono::ZERO, &mut rng).unwrap();
 //! assert_eq!(table.name(index), Some(&name));
 //! # Ok::<(), almondlock_base::id::Error>(())
 //! ```
@@ -50,6 +50,6 @@
 
 pub use self::{
     load::Report,
-    pick::{LeastReported, Picker, Probing, Random},
-    table::{Ask, Config, Home, Index, Site, Table},
+    pick::{LeastReported, Picker, Random, Sampling},
+    table::{Config, Index, Locality, Origin, Query, Table},
 };
--- a/almondlock-policy/src/choice/pick.rs
+++ b/almondlock-policy/src/choice/pick.rs
@@ -3,7 +3,7 @@
 use almondlock_base::time::Mono;
 use rand::Rng;
 
-use super::table::{Ask, Index, Row, Table};
+use super::table::{Index, Query, Row, Table};
 use crate::prefix;
 
 /// Most candidates looked at in one decision, beside those for a prefix.
@@ -16,7 +16,7 @@
 /// A way of choosing an upstream.
 pub trait Picker {
     /// The upstream for an attempt, `None` when none may take it.
-    fn pick<R>(&self, table: &Table, ask: &Ask<'_>, now: Mono, rng: &mut R) -> Option<Index>
+    fn pick<R>(&self, table: &Table, ask: &Query<'_>, now: Mono, rng: &mut R) -> Option<Index>
     where
         R: Rng;
 }
@@ -26,7 +26,7 @@
 pub struct Random;
 
 impl Picker for Random {
-    fn pick<R>(&self, table: &Table, ask: &Ask<'_>, now: Mono, rng: &mut R) -> Option<Index>
+    fn pick<R>(&self, table: &Table, ask: &Query<'_>, now: Mono, rng: &mut R) -> Option<Index>
     where
         R: Rng,
     {
@@ -40,7 +40,7 @@
 pub struct LeastReported;
 
 impl Picker for LeastReported {
-    fn pick<R>(&self, table: &Table, ask: &Ask<'_>, now: Mono, rng: &mut R) -> Option<Index>
+    fn pick<R>(&self, table: &Table, ask: &Query<'_>, now: Mono, rng: &mut R) -> Option<Index>
     where
         R: Rng,
     {
@@ -51,10 +51,10 @@
 
 /// A few candidates from a subset, by expected time to the first token.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Probing;
+pub struct Sampling;
 
-impl Picker for Probing {
-    fn pick<R>(&self, table: &Table, ask: &Ask<'_>, now: Mono, rng: &mut R) -> Option<Index>
+impl Picker for Sampling {
+    fn pick<R>(&self, table: &Table, ask: &Query<'_>, now: Mono, rng: &mut R) -> Option<Index>
     where
         R: Rng,
     {
@@ -94,7 +94,7 @@
     /// Cold ones are compared by expected time. Hot ones are taken only when
     /// all are hot, and then the one with least in flight: with many in
     /// flight, old figures for the time say little (Prequal's rule).
-    fn offer(&mut self, table: &Table, ask: &Ask<'_>, slot: u32, saved: u64, now: Mono) {
+    fn offer(&mut self, table: &Table, ask: &Query<'_>, slot: u32, saved: u64, now: Mono) {
         let Some((row, index)) = table.at(slot).zip(table.index(slot)) else {
             return;
         };
@@ -122,14 +122,14 @@
 fn draw<R>(
     table: &Table,
     chosen: &[u32],
-    ask: &Ask<'_>,
+    ask: &Query<'_>,
     now: Mono,
     rng: &mut R,
 ) -> impl Iterator<Item = u32> + use<R>
 where
     R: Rng,
 {
-    let wanted = table.config.draws.clamp(1, DRAW_LIMIT);
+    let wanted = table.config.candidates.clamp(1, DRAW_LIMIT);
     let mut drawn = [u32::MAX; DRAW_LIMIT];
     let mut count = 0;
     let mut offer = |slot: u32| {
@@ -153,25 +153,25 @@
 }
 
 /// Whether an attempt may go there and there is no reason to go elsewhere.
-fn is_usable(row: &Row, index: Index, ask: &Ask<'_>, now: Mono) -> bool {
+fn is_usable(row: &Row, index: Index, ask: &Query<'_>, now: Mono) -> bool {
     row.takes(ask, index) && !row.load.is_avoided(now) && !row.spares(ask)
 }
 
 /// Upstreams that may have the prompt's start cached, and the tokens that
 /// would save.
-fn prefix_candidates(table: &Table, ask: &Ask<'_>) -> impl Iterator<Item = (u32, u64)> + use<> {
+fn prefix_candidates(table: &Table, ask: &Query<'_>) -> impl Iterator<Item = (u32, u64)> + use<> {
     let mut found: [Option<(u32, u64)>; PREFIX_CANDIDATES] = [None; PREFIX_CANDIDATES];
     if let Some((slot, blocks)) = table.hints.longest(ask.prefix) {
-        found[0] = Some((slot, prefix::tokens(blocks).0));
+        found[0] = Some((slot, prefix::covered_tokens(blocks).0));
     }
     // The first block is what prompts share most often: hashing by it brings
     // all that share it together, from every entry host.
     if let Some(first) = ask.prefix.first() {
-        let whole = prefix::tokens(ask.prefix.len()).0;
-        let hoped = whole * u64::from(table.config.faith.min(100)) / 100;
+        let whole = prefix::covered_tokens(ask.prefix.len()).0;
+        let hoped = whole * u64::from(table.config.assumed_hit_percent.min(100)) / 100;
         for (place, slot) in found[1..].iter_mut().zip(table.rendezvous(*first)) {
             let saved = |slot| {
-                let known = prefix::tokens(table.hints.depth(ask.prefix, slot)).0;
+                let known = prefix::covered_tokens(table.hints.depth(ask.prefix, slot)).0;
                 (slot, known.max(hoped))
             };
             *place = slot.map(saved);
@@ -187,7 +187,7 @@
         return false;
     };
     let members = (table.near.chosen.len() as u64).max(1);
-    let fair = table.average.outstanding * u64::from(table.config.bound) / 100 / members;
+    let fair = table.average.outstanding * u64::from(table.config.bound_percent) / 100 / members;
     u64::from(row.load.outstanding) <= fair + BOUND_FLOOR
 }
 
@@ -201,10 +201,10 @@
 }
 
 /// Expected seconds to the first token.
-fn cost(table: &Table, row: &Row, ask: &Ask<'_>, saved: u64, now: Mono) -> f64 {
+fn cost(table: &Table, row: &Row, ask: &Query<'_>, saved: u64, now: Mono) -> f64 {
     let trust = row.load.trust(now, table.config.half_life);
-    let speed = match row.load.report.speed {
-        0 => table.config.speed.max(1) as f64,
+    let speed = match row.load.report.prefill_speed {
+        0 => table.config.prefill_speed.max(1) as f64,
         speed => speed as f64,
     };
     let reported = row.load.report.wait.as_secs_f64();
@@ -213,11 +213,11 @@
     let prefill = ask.prompt.0.saturating_sub(saved) as f64 / speed;
     let distance = match (row.near, row.same_domain) {
         (true, true) => 0.0,
-        (true, false) => table.config.distance.as_secs_f64(),
-        (false, _) => table.config.distance.as_secs_f64() * 10.0,
+        (true, false) => table.config.domain_cost.as_secs_f64(),
+        (false, _) => table.config.domain_cost.as_secs_f64() * 10.0,
     };
     let lacking = (ask.prompt.0 + ask.output.0).saturating_sub(saved);
-    let lacking = lacking.saturating_sub(row.load.report.free.0) as f64 / speed;
+    let lacking = lacking.saturating_sub(row.load.report.free_memory.0) as f64 / speed;
     let lacking = if row.load.at.is_some() {
         trust * lacking
     } else {
@@ -229,7 +229,7 @@
 /// The cheapest of the subset in this region, then of the other, then of all;
 /// equal ones by a random starting point. Upstreams that failed lately are
 /// taken only when there is no other.
-fn scan<F>(table: &Table, ask: &Ask<'_>, now: Mono, start: u32, cost: F) -> Option<Index>
+fn scan<F>(table: &Table, ask: &Query<'_>, now: Mono, start: u32, cost: F) -> Option<Index>
 where
     F: Fn(&Row) -> f64,
 {
@@ -248,7 +248,7 @@
     .or_else(|| cheapest(table, ask, start, &cost, all()))
 }
 
-fn cheapest<F, S>(table: &Table, ask: &Ask<'_>, start: u32, cost: &F, slots: S) -> Option<Index>
+fn cheapest<F, S>(table: &Table, ask: &Query<'_>, start: u32, cost: &F, slots: S) -> Option<Index>
 where
     F: Fn(&Row) -> f64,
     S: Iterator<Item = u32>,
--- a/almondlock-policy/src/choice/table.rs
+++ b/almondlock-policy/src/choice/table.rs
@@ -19,54 +19,54 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
     /// Upstreams of a region that one entry host works with.
-    pub subset: usize,
+    pub subset_size: usize,
     /// Candidates drawn for a decision.
-    pub draws: usize,
+    pub candidates: usize,
     /// After how long a report counts half.
     pub half_life: Duration,
     /// The share of known upstreams that count as hot, in percent.
-    pub hot: u32,
+    pub hot_percent: u32,
     /// What a prefix is taken to save at the upstream it hashes to when it is
     /// not known whether it was processed there, in percent of its tokens.
-    pub faith: u32,
+    pub assumed_hit_percent: u32,
     /// Prefixes remembered.
-    pub hints: usize,
+    pub hint_limit: usize,
     /// Prefill speed to assume for an upstream that has not told, in tokens
     /// per second.
-    pub speed: u64,
+    pub prefill_speed: u64,
     /// The share of upstreams kept free of long prompts, in percent.
-    pub short_only: u32,
+    pub short_only_percent: u32,
     /// How much more than the average of its own attempts an entry host may
     /// have at the upstream that a prefix hashes to, in percent.
-    pub bound: u32,
+    pub bound_percent: u32,
     /// How long an upstream that failed is passed over.
-    pub avoid: Duration,
+    pub avoid_time: Duration,
     /// Time added for an upstream in another failure domain, and ten times
     /// that for another region.
-    pub distance: Duration,
+    pub domain_cost: Duration,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            subset: 32,
-            draws: 3,
+            subset_size: 32,
+            candidates: 3,
             half_life: Duration::from_millis(500),
-            hot: 30,
-            faith: 50,
-            hints: 16_384,
-            speed: 8_000,
-            short_only: 0,
-            bound: 150,
-            avoid: Duration::from_secs(2),
-            distance: Duration::from_micros(500),
+            hot_percent: 30,
+            assumed_hit_percent: 50,
+            hint_limit: 16_384,
+            prefill_speed: 8_000,
+            short_only_percent: 0,
+            bound_percent: 150,
+            avoid_time: Duration::from_secs(2),
+            domain_cost: Duration::from_micros(500),
         }
     }
 }
 
 /// The entry host that chooses.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct Origin {
     /// Its name.
     pub host: Host,
     /// Its failure domain.
@@ -77,7 +77,7 @@
 
 /// Where an upstream stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Site {
+pub struct Locality {
     /// Its failure domain.
     pub domain: Domain,
     /// Its region.
@@ -89,12 +89,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Index {
     pub(super) slot: u32,
-    pub(super) life: u32,
+    pub(super) generation: u32,
 }
 
 /// What an attempt asks for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// Length of the prompt.
     pub prompt: Tokens,
     /// Most tokens of the answer.
@@ -108,8 +108,8 @@
 #[derive(Debug)]
 pub(super) struct Row {
     name: Upstream,
-    site: Site,
-    life: u32,
+    site: Locality,
+    generation: u32,
     pub(super) near: bool,
     pub(super) same_domain: bool,
     pub(super) leaving: bool,
@@ -126,7 +126,7 @@
 #[derive(Debug)]
 pub struct Table {
     pub(super) config: Config,
-    home: Home,
+    home: Origin,
     pub(super) rows: Vec<Option<Row>>,
     /// Rendezvous keys by slot, apart from the rows so that the pass over all
     /// of them stays within a few cache lines. `None` for an empty slot.
@@ -160,7 +160,7 @@
 
 impl Table {
     /// An empty table.
-    pub fn new(config: Config, home: Home) -> Table {
+    pub fn new(config: Config, home: Origin) -> Table {
         Table {
             config,
             home,
@@ -171,7 +171,7 @@
             names: HashMap::new(),
             near: Subset::default(),
             far: Subset::default(),
-            hints: Hints::new(config.hints),
+            hints: Hints::new(config.hint_limit),
             average: Average::default(),
             cursor: 0,
         }
@@ -179,7 +179,7 @@
 
     /// Adds an upstream. One of the same name that stands elsewhere is
     /// replaced; one that stands at the same place is kept with its load.
-    pub fn insert(&mut self, name: &Upstream, site: Site) -> Index {
+    pub fn insert(&mut self, name: &Upstream, site: Locality) -> Index {
         if let Some(index) = self.find(name) {
             if self.row(index).is_some_and(|row| row.site == site) {
                 return index;
@@ -191,11 +191,11 @@
         self.lives = self.lives.wrapping_add(1);
         let row = Row {
             name: name.clone(),
-            life: self.lives,
+            generation: self.lives,
             near: site.region == self.home.region,
             same_domain: site.domain == self.home.domain,
             leaving: false,
-            short_only: key % 100 < u64::from(self.config.short_only),
+            short_only: key % 100 < u64::from(self.config.short_only_percent),
             key,
             score,
             load: Load::default(),
@@ -210,7 +210,7 @@
             self.keys.push(None);
             self.rows.len() as u32 - 1
         });
-        let size = self.config.subset;
+        let size = self.config.subset_size;
         let side = if row.near {
             &mut self.near
         } else {
@@ -221,7 +221,7 @@
         self.keys[slot as usize] = Some(row.key);
         let index = Index {
             slot,
-            life: row.life,
+            generation: row.generation,
         };
         self.rows[slot as usize] = Some(row);
         index
@@ -235,7 +235,7 @@
         let Some(row) = self.rows.get_mut(slot as usize).and_then(Option::take) else {
             return;
         };
-        let size = self.config.subset;
+        let size = self.config.subset_size;
         let side = if row.near {
             &mut self.near
         } else {
@@ -259,8 +259,11 @@
     /// Where an upstream of this name is.
     pub fn find(&self, name: &Upstream) -> Option<Index> {
         let slot = *self.names.get(name)?;
-        let life = self.rows.get(slot as usize)?.as_ref()?.life;
-        Some(Index { slot, life })
+        let life = self.rows.get(slot as usize)?.as_ref()?.generation;
+        Some(Index {
+            slot,
+            generation: life,
+        })
     }
 
     /// The name of an upstream.
@@ -275,7 +278,7 @@
     }
 
     /// Whether an upstream takes work, as far as is known.
-    pub fn takes_work(&self, name: &Upstream) -> bool {
+    pub fn may_take_work(&self, name: &Upstream) -> bool {
         let row = self.find(name).and_then(|index| self.row(index));
         row.is_some_and(|row| !row.leaving)
     }
@@ -287,9 +290,9 @@
     }
 
     /// Free memory of an upstream, by its last report.
-    pub fn free(&self, name: &Upstream) -> Option<Tokens> {
+    pub fn free_memory(&self, name: &Upstream) -> Option<Tokens> {
         let row = self.row(self.find(name)?)?;
-        row.load.at.map(|_| row.load.report.free)
+        row.load.at.map(|_| row.load.report.free_memory)
     }
 
     /// How many upstreams there are.
@@ -303,8 +306,8 @@
     }
 
     /// Notes what a sidecar told of its load.
-    pub fn report(&mut self, index: Index, report: Report, now: Mono) {
-        let hot = f64::from(100 - self.config.hot.min(100)) / 100.0;
+    pub fn record_report(&mut self, index: Index, report: Report, now: Mono) {
+        let hot = f64::from(100 - self.config.hot_percent.min(100)) / 100.0;
         let Some(row) = self.row_mut(index) else {
             return;
         };
@@ -331,7 +334,7 @@
     }
 
     /// Counts an attempt that is sent now.
-    pub fn sent(&mut self, index: Index, prompt: Tokens) {
+    pub fn record_sent(&mut self, index: Index, prompt: Tokens) {
         let Some(row) = self.row_mut(index) else {
             return;
         };
@@ -344,7 +347,7 @@
 
     /// Notes that an attempt's prompt was processed there: its first token
     /// came, so the prompt's start is likely cached.
-    pub fn answered(&mut self, index: Index, ask: &Ask<'_>) {
+    pub fn record_first_token(&mut self, index: Index, ask: &Query<'_>) {
         let Some(row) = self.row_mut(index) else {
             return;
         };
@@ -355,9 +358,9 @@
         }
     }
 
-    /// Counts an attempt as ended. `answered` says whether [`Table::answered`]
+    /// Counts an attempt as ended. `answered` says whether [`Table::record_first_token`]
     /// was told of it.
-    pub fn ended(&mut self, index: Index, prompt: Tokens, answered: bool) {
+    pub fn record_end(&mut self, index: Index, prompt: Tokens, answered: bool) {
         let Some(row) = self.row_mut(index) else {
             return;
         };
@@ -374,8 +377,8 @@
 
     /// Notes that an upstream could not be reached or failed, so that it is
     /// passed over for a while.
-    pub fn failed(&mut self, index: Index, now: Mono) {
-        let until = now + self.config.avoid;
+    pub fn record_failure(&mut self, index: Index, now: Mono) {
+        let until = now + self.config.avoid_time;
         if let Some(row) = self.row_mut(index) {
             row.load.avoid_until = Some(until);
         }
@@ -384,7 +387,7 @@
     /// The next upstream of the subset whose last report is older than `age`,
     /// to be probed. Goes round, so that one that never answers does not keep
     /// the others from being asked.
-    pub fn stale(&mut self, age: Duration, now: Mono) -> Option<Index> {
+    pub fn next_stale(&mut self, age: Duration, now: Mono) -> Option<Index> {
         let chosen = &self.near.chosen;
         for step in 1..=chosen.len() {
             let at = (self.cursor + step) % chosen.len();
@@ -397,7 +400,7 @@
                 self.cursor = at;
                 return Some(Index {
                     slot,
-                    life: row.life,
+                    generation: row.generation,
                 });
             }
         }
@@ -411,7 +414,7 @@
     pub(super) fn index(&self, slot: u32) -> Option<Index> {
         self.at(slot).map(|row| Index {
             slot,
-            life: row.life,
+            generation: row.generation,
         })
     }
 
@@ -434,23 +437,24 @@
     }
 
     fn row(&self, index: Index) -> Option<&Row> {
-        self.at(index.slot).filter(|row| row.life == index.life)
+        self.at(index.slot)
+            .filter(|row| row.generation == index.generation)
     }
 
     fn row_mut(&mut self, index: Index) -> Option<&mut Row> {
         let row = self.rows.get_mut(index.slot as usize)?.as_mut()?;
-        (row.life == index.life).then_some(row)
+        (row.generation == index.generation).then_some(row)
     }
 }
 
 impl Row {
     /// Whether an attempt may go there at all.
-    pub(super) fn takes(&self, ask: &Ask<'_>, index: Index) -> bool {
+    pub(super) fn takes(&self, ask: &Query<'_>, index: Index) -> bool {
         !self.leaving && !ask.excluded.contains(&index)
     }
 
     /// Whether it is kept free of prompts this long.
-    pub(super) fn spares(&self, ask: &Ask<'_>) -> bool {
+    pub(super) fn spares(&self, ask: &Query<'_>) -> bool {
         self.short_only && Class::of(ask.prompt) >= Class::Long
     }
 }
--- a/almondlock-policy/src/length.rs
+++ b/almondlock-policy/src/length.rs
@@ -12,12 +12,12 @@
 //!
 //! let model = Model::new("large")?;
 //! let mut estimator = Estimator::default();
-//! assert_eq!(estimator.tokens(&model, 4_000), Tokens(1_000));
+//! assert_eq!(estimator.estimate_tokens(&model, 4_000), Tokens(1_000));
 //! // This model's tokens are shorter: the engine counted 2,000.
 //! for _ in 0..200 {
 //!     estimator.observe(&model, 4_000, Tokens(2_000));
 //! }
-//! let tokens = estimator.tokens(&model, 4_000);
+//! let tokens = estimator.estimate_tokens(&model, 4_000);
 //! assert!(tokens > Tokens(1_900));
 //! assert_eq!(Class::of(tokens), Class::Short);
 //! # Ok::<(), almondlock_base::id::Error>(())
@@ -107,7 +107,7 @@
 
 impl Estimator {
     /// How many tokens a prompt of this many bytes has, about.
-    pub fn tokens(&self, model: &Model, bytes: u64) -> Tokens {
+    pub fn estimate_tokens(&self, model: &Model, bytes: u64) -> Tokens {
         let ratio = self.ratios.get(model).copied().unwrap_or(BYTES);
         Tokens((bytes as f64 / ratio).ceil() as u64)
     }
--- a/almondlock-policy/src/lib.rs
+++ b/almondlock-policy/src/lib.rs
@@ -17,7 +17,7 @@
 //! | [`startup`] | entry | does a prompt wait in the first moments of a host |
 //! | [`cell`] | entry | which engines come first for this host |
 //! | [`fill`] | entry | which of several engines, on knowledge that is old |
-//! | [`places`] | entry | which short prompts get an engine's slots when these are scarce |
+//! | [`slots`] | entry | which short prompts get an engine's slots when these are scarce |
 //! | [`limit`] | entry | does the organisation have room for it |
 //! | [`choice`] | entry | which upstream |
 //! | [`retry`] | entry | is a failed attempt followed by another |
@@ -25,14 +25,14 @@
 //! | [`share`] | entry | has the organisation more than its share while others wait |
 //! | [`throttle`] | both | does an upstream's limit for all hosts leave room for it |
 //! | [`backoff`] | entry | has an upstream asked for a pause, or does it leave |
-//! | [`pace`] | entry | which upstreams are slower than others, or fail |
+//! | [`outlier`] | entry | which upstreams are slower than others, or fail |
 //! | [`gate`] | sidecar | may this attempt start here, and did it |
 //! | [`queue`] | sidecar | which attempt starts next |
 //! | [`gang`] | both | how is a prompt larger than an engine given room on several |
 //! | [`ledger`] | sidecar | what is engine memory held for, and until when |
 //!
 //! Each module stands alone, but that [`admission`] reckons in the costs of
-//! [`engine`], and that it and [`places`] read the standings of [`share`].
+//! [`engine`], and that it and [`slots`] read the standings of [`share`].
 
 #![warn(clippy::unwrap_used, clippy::expect_used)]
 
@@ -49,12 +49,12 @@
 pub mod ledger;
 pub mod length;
 pub mod limit;
-pub mod pace;
-pub mod places;
+pub mod outlier;
 pub mod poison;
 pub mod prefix;
 pub mod queue;
 pub mod retry;
 pub mod share;
+pub mod slots;
 pub mod startup;
 pub mod throttle;
--- a/almondlock-policy/src/pace/table.rs
+++ b/almondlock-policy/src/outlier/detector.rs
@@ -6,7 +6,8 @@
 use rand::{Rng, RngCore};
 
 use super::{
-    Account, Doubt, Finding, Sample, Source, WINDOW, Window, doubt::trusted, judge::findings,
+    Finding, Sample, Source, Stall, Summary, WINDOW, Window, finding::find_outliers,
+    stall::drop_untrusted,
 };
 
 /// Of a service's upstreams at most one in so many is ejected.
@@ -60,49 +61,49 @@
 
 /// What a host knows of the upstreams' pace.
 #[derive(Debug)]
-pub struct Table<K> {
+pub struct Detector<K> {
     windows: HashMap<K, Window>,
-    reported: HashMap<K, Account>,
+    reported: HashMap<K, Summary>,
     heard: Option<Mono>,
     /// Those that are slower than others or ejected.
     standings: HashMap<K, Standing>,
     /// The host's own delays.
-    pub doubt: Doubt,
+    pub stall: Stall,
 }
 
-impl<K> Default for Table<K> {
-    fn default() -> Table<K> {
-        Table {
+impl<K> Default for Detector<K> {
+    fn default() -> Detector<K> {
+        Detector {
             windows: HashMap::new(),
             reported: HashMap::new(),
             heard: None,
             standings: HashMap::new(),
-            doubt: Doubt::default(),
+            stall: Stall::default(),
         }
     }
 }
 
-impl<K> Table<K>
+impl<K> Detector<K>
 where
     K: Clone + Eq + Hash,
 {
     /// Takes in what this host observed. Times don't count while its timers are late.
-    pub fn tell(&mut self, now: Mono, key: &K, sample: Sample) {
-        if matches!(sample, Sample::Time(_)) && self.doubt.is_late(now) {
+    pub fn observe(&mut self, now: Mono, key: &K, sample: Sample) {
+        if matches!(sample, Sample::Time(_)) && self.stall.is_stalled(now) {
             return;
         }
         match self.windows.get_mut(key) {
-            Some(window) => window.tell(now, sample),
+            Some(window) => window.observe(now, sample),
             None => {
                 let mut window = Window::default();
-                window.tell(now, sample);
+                window.observe(now, sample);
                 self.windows.insert(key.clone(), window);
             }
         }
     }
 
     /// A relay told what all hosts observed; that replaces what was told before.
-    pub fn hear(&mut self, now: Mono, accounts: HashMap<K, Account>) {
+    pub fn replace_reported(&mut self, now: Mono, accounts: HashMap<K, Summary>) {
         self.heard = Some(now);
         self.reported = accounts;
     }
@@ -125,16 +126,16 @@
     }
 
     /// What this host has to report: its accounts as far as it trusts itself.
-    pub fn report(&mut self, now: Mono) -> Vec<(K, Account)> {
-        self.windows.retain(|_, window| !window.is_old(now));
+    pub fn report(&mut self, now: Mono) -> Vec<(K, Summary)> {
+        self.windows.retain(|_, window| !window.is_expired(now));
         let entries = self.windows.iter();
-        let (keys, mut accounts): (Vec<&K>, Vec<Account>) = entries
-            .map(|(key, window)| (key, window.account(now)))
+        let (keys, mut accounts): (Vec<&K>, Vec<Summary>) = entries
+            .map(|(key, window)| (key, window.summarise(now)))
             .unzip();
-        trusted(&mut accounts);
+        drop_untrusted(&mut accounts);
         let entries = keys.into_iter().cloned().zip(accounts);
         entries
-            .filter(|(_, account)| account.requests() + account.samples > 0)
+            .filter(|(_, account)| account.requests() + account.time_weight > 0)
             .collect()
     }
 
@@ -158,7 +159,7 @@
 
     /// Takes the right to probe an ejected upstream with a request, if its turn has come.
     /// `hosts` counts all hosts, this one included.
-    pub fn probe<R>(&mut self, now: Mono, key: &K, hosts: usize, rng: &mut R) -> bool
+    pub fn try_probe<R>(&mut self, now: Mono, key: &K, hosts: usize, rng: &mut R) -> bool
     where
         R: RngCore,
     {
@@ -180,7 +181,7 @@
 
     /// A request ended. Gives whether it was a probe: it was sent at a time when the
     /// upstream was ejected.
-    pub fn probed(&mut self, key: &K, sent: Mono, is_passed: bool) -> bool {
+    pub fn record_probe(&mut self, key: &K, sent: Mono, is_passed: bool) -> bool {
         let standing = self.standings.get_mut(key);
         let ejection = standing.and_then(|standing| standing.ejection.as_mut());
         let Some(ejection) = ejection.filter(|ejection| sent >= ejection.since) else {
@@ -238,14 +239,14 @@
     /// What own observations and reported ones say, the worse of both.
     fn find(&self, now: Mono, members: &[K]) -> Vec<Finding> {
         let own = members.iter().map(|key| self.windows.get(key));
-        let own = own.map(|window| window.map(|w| w.account(now)).unwrap_or_default());
-        let mut own: Vec<Account> = own.collect();
-        trusted(&mut own);
+        let own = own.map(|window| window.map(|w| w.summarise(now)).unwrap_or_default());
+        let mut own: Vec<Summary> = own.collect();
+        drop_untrusted(&mut own);
         let reported = members.iter().map(|key| self.reported_account(now, key));
-        let reported: Vec<Account> = reported.collect();
+        let reported: Vec<Summary> = reported.collect();
         let all = [&own[..], &reported[..]];
-        let own_found = findings(&own, Source::Own, all);
-        let reported = findings(&reported, Source::Reported, all);
+        let own_found = find_outliers(&own, Source::Own, all);
+        let reported = find_outliers(&reported, Source::Reported, all);
         let pairs = own_found.into_iter().zip(reported);
         pairs
             .map(
@@ -260,14 +261,14 @@
     }
 
     /// What was reported of an upstream, if it is fresh and several hosts observed it.
-    fn reported_account(&self, now: Mono, key: &K) -> Account {
+    fn reported_account(&self, now: Mono, key: &K) -> Summary {
         let account = self.fresh_report(now, key);
         Some(account).filter(|a| a.hosts >= 2).unwrap_or_default()
     }
 
-    fn fresh_report(&self, now: Mono, key: &K) -> Account {
+    fn fresh_report(&self, now: Mono, key: &K) -> Summary {
         let account = self.reported.get(key).copied();
-        let fresh = account.filter(|account| now.since(account.at) < WINDOW);
+        let fresh = account.filter(|account| now.since(account.newest) < WINDOW);
         fresh.unwrap_or_default()
     }
 
@@ -282,7 +283,7 @@
         if let Some(ejection) = standing.and_then(|standing| standing.ejection.as_mut()) {
             // What was observed before the ejection is too old by now.
             let is_over = now.since(ejection.since) >= WINDOW;
-            let is_well = account.witnessed == 0 && !finding.is_outlier;
+            let is_well = account.capped_failures == 0 && !finding.is_outlier;
             let is_answering = is_over && is_well && account.answers > 0;
             if is_answering != ejection.is_answering {
                 ejection.is_answering = is_answering;
@@ -300,7 +301,7 @@
         // What was observed before the ejection is too old by now.
         let is_over = now.since(ejection.since) >= WINDOW;
         let account = self.reported_account(now, key);
-        let passed = account.answers >= PASSED_POOLED && account.witnessed == 0;
+        let passed = account.answers >= PASSED_POOLED && account.capped_failures == 0;
         let is_unknown = self.fresh_report(now, key).requests() == 0 && !finding.is_outlier;
         let is_expired = now.since(ejection.probed) >= EXPIRES && is_unknown;
         let is_well = finding.rate >= 1.0;
--- a/almondlock-policy/src/pace/judge.rs
+++ b/almondlock-policy/src/outlier/finding.rs
@@ -5,7 +5,7 @@
 
 use almondlock_base::time::Mono;
 
-use super::{Account, account::bounds};
+use super::{Summary, summary::bounds};
 
 /// The weight of times without which nothing is said of an upstream's speed. Expectations are
 /// wrong by a few hundred milliseconds for one request in ten; the median of some isn't.
@@ -56,7 +56,7 @@
     /// Work that it does in a time, against what it should. At most 1.
     pub rate: f64,
     /// The part of its requests that failed.
-    pub share: f64,
+    pub failure_share: f64,
     /// How many times slower it is than the others of its service.
     pub slowness: f64,
     /// Requests and times that this rests on.
@@ -64,42 +64,46 @@
     /// Whose they are.
     pub source: Source,
     /// When the newest of them was made.
-    pub at: Mono,
+    pub newest: Mono,
     /// It is far slower, or fails often.
     pub is_outlier: bool,
 }
 
 /// Finds the outliers among the upstreams of a service, given the accounts of all of them in
 /// the order of the result, and in `all` those of either source.
-pub fn findings(accounts: &[Account], source: Source, all: [&[Account]; 2]) -> Vec<Finding> {
-    let timed = accounts.iter().filter(|account| account.samples > 0);
+pub fn find_outliers(accounts: &[Summary], source: Source, all: [&[Summary]; 2]) -> Vec<Finding> {
+    let timed = accounts.iter().filter(|account| account.time_weight > 0);
     let usual = median(timed.map(|account| account.slowness));
     let asked = accounts.iter().filter(|account| account.requests() > 0);
-    let usual_share = median(asked.map(Account::share));
+    let usual_share = median(asked.map(Summary::failure_share));
     let failures = match source {
         Source::Own => FAILURES_OWN,
         Source::Reported => FAILURES_POOLED,
     };
     let findings = accounts.iter().enumerate().map(|(place, account)| {
-        let is_timed = account.samples >= SAMPLES;
+        let is_timed = account.time_weight >= SAMPLES;
         let slowness = usual.filter(|_| is_timed).map_or(1.0, |usual| {
             let slowness = account.slowness / usual.max(1.0);
             if slowness < SLOWER { 1.0 } else { slowness }
         });
         let fails = usual_share.is_some_and(|usual| {
             account.failures >= failures
-                && account.share_bound() >= FAILS
-                && account.share() >= usual + FAILS_MORE
+                && account.failure_share_bound() >= FAILS
+                && account.failure_share() >= usual + FAILS_MORE
                 && !all.iter().any(|accounts| others_fail(accounts, place))
         });
-        let works = if fails { 1.0 - account.share() } else { 1.0 };
+        let works = if fails {
+            1.0 - account.failure_share()
+        } else {
+            1.0
+        };
         Finding {
             rate: (works / slowness).clamp(RATE_LEAST, 1.0),
-            share: account.share(),
+            failure_share: account.failure_share(),
             slowness,
-            observations: account.requests() + account.samples,
+            observations: account.requests() + account.time_weight,
             source,
-            at: account.at,
+            newest: account.newest,
             is_outlier: slowness >= FAR_SLOWER || fails,
         }
     });
@@ -108,9 +112,9 @@
 
 /// Whether the others fail as well. With two observed requests or so of each upstream a fleet
 /// that fails half of all has some that failed all of theirs.
-fn others_fail(accounts: &[Account], place: usize) -> bool {
+fn others_fail(accounts: &[Summary], place: usize) -> bool {
     let others = accounts.iter().enumerate().filter(|(i, _)| *i != place);
-    let others = others.map(|(_, account)| (account.answers, account.witnessed));
+    let others = others.map(|(_, account)| (account.answers, account.capped_failures));
     let (answers, failures) = others.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
     answers + failures > 0 && bounds(failures, answers + failures).1 >= ALL_FAIL
 }
--- a/almondlock-policy/src/pace/mod.rs
+++ b/almondlock-policy/src/outlier/mod.rs
@@ -8,24 +8,24 @@
 //! | module | decides |
 //! |---|---|
 //! | [`window`] | what one host has observed of an upstream lately |
-//! | [`account`] | how several hosts' observations count together |
-//! | [`judge`] | which upstreams of a service are outliers |
-//! | [`doubt`] | whether the host itself is what was slow |
-//! | [`table`] | who is ejected, probed and reinstated |
+//! | [`summary`] | how several hosts' observations count together |
+//! | [`finding`] | which upstreams of a service are outliers |
+//! | [`stall`] | whether the host itself is what was slow |
+//! | [`detector`] | who is ejected, probed and reinstated |
 
-pub mod account;
-pub mod doubt;
-pub mod judge;
-pub mod table;
+pub mod detector;
+pub mod finding;
+pub mod stall;
+pub mod summary;
 pub mod window;
 
 use std::time::Duration;
 
 pub use self::{
-    account::Account,
-    doubt::Doubt,
-    judge::{Finding, Source},
-    table::{Change, Table},
+    detector::{Change, Detector},
+    finding::{Finding, Source},
+    stall::Stall,
+    summary::Summary,
     window::Window,
 };
 
--- a/almondlock-policy/src/pace/doubt.rs
+++ b/almondlock-policy/src/outlier/stall.rs
@@ -4,7 +4,7 @@
 
 use almondlock_base::time::Mono;
 
-use super::Account;
+use super::Summary;
 
 /// A timer that fires this much too late delays what the host observes by as much as the
 /// shortest objectives allow for a first event's own part.
@@ -23,42 +23,42 @@
 
 /// What a host knows of its own delays.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Doubt {
+pub struct Stall {
     until: Option<Mono>,
 }
 
-impl Doubt {
+impl Stall {
     /// A timer fired so much too late.
-    pub fn late(&mut self, now: Mono, by: Duration) {
+    pub fn note_delay(&mut self, now: Mono, by: Duration) {
         if by >= LATE {
             self.until = Some(now + AFTER);
         }
     }
 
     /// Whether the times that it observes now are its own fault.
-    pub fn is_late(&self, now: Mono) -> bool {
+    pub fn is_stalled(&self, now: Mono) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 }
 
 /// What is left of a host's own accounts of its upstreams when it suspects itself: most
 /// upstreams look slow to it, or failing.
-pub fn trusted(accounts: &mut [Account]) {
-    let timed = accounts.iter().filter(|account| account.samples > 0);
+pub fn drop_untrusted(accounts: &mut [Summary]) {
+    let timed = accounts.iter().filter(|account| account.time_weight > 0);
     let slow = timed.clone().filter(|account| account.slowness >= SLOW);
     let are_slow = is_most(slow.count(), timed.count());
     let asked = accounts.iter().filter(|account| account.requests() > 0);
-    let requests: u32 = accounts.iter().map(Account::requests).sum();
+    let requests: u32 = accounts.iter().map(Summary::requests).sum();
     let failures: u32 = accounts.iter().map(|account| account.failures).sum();
     let is_cut_off = f64::from(failures) >= f64::from(requests.max(1)) * CUT_OFF;
     let are_failing = asked.count() >= OBSERVED && is_cut_off;
     for account in accounts {
         if are_slow {
-            (account.samples, account.slowness) = (0, 1.0);
+            (account.time_weight, account.slowness) = (0, 1.0);
         }
         if are_failing {
             (account.answers, account.failures) = (0, 0);
-            account.witnessed = 0;
+            account.capped_failures = 0;
         }
     }
 }
--- a/almondlock-policy/src/pace/account.rs
+++ b/almondlock-policy/src/outlier/summary.rs
@@ -12,7 +12,7 @@
 
 /// What was observed of an upstream within the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Account {
+pub struct Summary {
     /// How many hosts observed it.
     pub hosts: u32,
     /// Requests that it answered.
@@ -21,41 +21,41 @@
     pub failures: u32,
     /// The same, at most one of each host: for what a service does as a whole, of which one
     /// host's wrong report must not count for much.
-    pub witnessed: u32,
+    pub capped_failures: u32,
     /// The weight of the times that were compared with what was expected: one for each that
     /// was as expected, more for longer ones.
-    pub samples: u32,
+    pub time_weight: u32,
     /// Their weighted median, as a multiple of what was expected. 1 without any.
     pub slowness: f64,
     /// When the newest observation was made.
-    pub at: Mono,
+    pub newest: Mono,
 }
 
-impl Default for Account {
-    fn default() -> Account {
-        Account {
+impl Default for Summary {
+    fn default() -> Summary {
+        Summary {
             hosts: 0,
             answers: 0,
             failures: 0,
-            witnessed: 0,
-            samples: 0,
+            capped_failures: 0,
+            time_weight: 0,
             slowness: 1.0,
-            at: Mono::ZERO,
+            newest: Mono::ZERO,
         }
     }
 }
 
-impl Account {
+impl Summary {
     /// Several hosts' accounts as one.
-    pub fn pool(accounts: &[Account]) -> Account {
-        let counts = |count: fn(&Account) -> u32| accounts.iter().map(count).collect::<Vec<_>>();
-        let requests: u32 = accounts.iter().map(Account::requests).sum();
+    pub fn pool(accounts: &[Summary]) -> Summary {
+        let counts = |count: fn(&Summary) -> u32| accounts.iter().map(count).collect::<Vec<_>>();
+        let requests: u32 = accounts.iter().map(Summary::requests).sum();
         let answers = accounts.iter().map(|account| {
             // One always counts, and any besides another host's failures.
             account.answers.min((requests - account.requests()).max(1))
         });
         let failures = capped(&counts(|account| account.failures));
-        let samples = capped(&counts(|account| account.samples));
+        let samples = capped(&counts(|account| account.time_weight));
         let mut order: Vec<(f64, u32)> = accounts
             .iter()
             .zip(&samples)
@@ -68,14 +68,18 @@
             passed += samples;
             passed * 2 >= total && passed > 0
         });
-        Account {
+        Summary {
             hosts: u32::try_from(accounts.len()).unwrap_or(u32::MAX),
             answers: answers.sum(),
             failures: failures.iter().sum(),
-            witnessed: accounts.iter().map(|a| a.failures.min(1)).sum(),
-            samples: total,
+            capped_failures: accounts.iter().map(|a| a.failures.min(1)).sum(),
+            time_weight: total,
             slowness: median.map_or(1.0, |(slowness, _)| *slowness),
-            at: accounts.iter().map(|a| a.at).max().unwrap_or(Mono::ZERO),
+            newest: accounts
+                .iter()
+                .map(|a| a.newest)
+                .max()
+                .unwrap_or(Mono::ZERO),
         }
     }
 
@@ -85,7 +89,7 @@
     }
 
     /// The part of the requests that failed.
-    pub fn share(&self) -> f64 {
+    pub fn failure_share(&self) -> f64 {
         match self.requests() {
             0 => 0.0,
             requests => f64::from(self.failures) / f64::from(requests),
@@ -93,7 +97,7 @@
     }
 
     /// A lower bound of the part that fails in the long run.
-    pub fn share_bound(&self) -> f64 {
+    pub fn failure_share_bound(&self) -> f64 {
         bounds(self.failures, self.requests()).0
     }
 }
--- a/almondlock-policy/src/pace/window.rs
+++ b/almondlock-policy/src/outlier/window.rs
@@ -4,7 +4,7 @@
 
 use almondlock_base::time::Mono;
 
-use super::{Account, Sample, WINDOW};
+use super::{Sample, Summary, WINDOW};
 
 /// Samples of a kind that are kept for an upstream: those of a window at an engine that writes
 /// a few of the host's streams.
@@ -26,7 +26,7 @@
 
 impl Window {
     /// Takes in an observation.
-    pub fn tell(&mut self, now: Mono, sample: Sample) {
+    pub fn observe(&mut self, now: Mono, sample: Sample) {
         match sample {
             Sample::Answer => push(&mut self.requests, (now, true)),
             Sample::Failure => push(&mut self.requests, (now, false)),
@@ -35,7 +35,7 @@
     }
 
     /// Whether everything in it is too old.
-    pub fn is_old(&self, now: Mono) -> bool {
+    pub fn is_expired(&self, now: Mono) -> bool {
         let newest = [
             self.requests.back().map(|(at, _)| *at),
             self.times.back().map(|(at, _)| *at),
@@ -44,33 +44,33 @@
     }
 
     /// What it comes to now.
-    pub fn account(&self, now: Mono) -> Account {
+    pub fn summarise(&self, now: Mono) -> Summary {
         let is_fresh = |at: &Mono| now.since(*at) < WINDOW;
-        let mut account = Account::default();
+        let mut account = Summary::default();
         for (at, answered) in self.requests.iter().filter(|(at, _)| is_fresh(at)) {
             account.answers += u32::from(*answered);
             account.failures += u32::from(!answered);
-            account.at = account.at.max(*at);
+            account.newest = account.newest.max(*at);
         }
         let fresh = self.times.iter().filter(|(at, _)| is_fresh(at));
         let mut times: Vec<f64> = Vec::with_capacity(self.times.len());
         for (at, multiple) in fresh {
             times.push(*multiple);
-            account.at = account.at.max(*at);
+            account.newest = account.newest.max(*at);
         }
-        account.witnessed = account.failures;
+        account.capped_failures = account.failures;
         times.sort_unstable_by(f64::total_cmp);
         let weight = |multiple: &f64| multiple.min(WEIGHT_MOST);
         let total: f64 = times.iter().map(weight).sum();
         // A window holds few times; their weights are bounded.
-        account.samples = total.round() as u32;
+        account.time_weight = total.round() as u32;
         let mut passed = 0.0;
         let median = times.iter().find(|multiple| {
             passed += weight(multiple);
             passed * 2.0 >= total
         });
         account.slowness = median.copied().unwrap_or(1.0);
-        account.hosts = u32::from(account.samples + account.answers + account.failures > 0);
+        account.hosts = u32::from(account.time_weight + account.answers + account.failures > 0);
         account
     }
 }
--- a/almondlock-policy/src/prefix.rs
+++ b/almondlock-policy/src/prefix.rs
@@ -15,26 +15,26 @@
 //! let second = prefix::hashes(format!("{contract} Until when?").as_bytes());
 //! let shared = first.iter().zip(&second).take_while(|(a, b)| a == b).count();
 //! assert!(shared > 0);
-//! assert!(prefix::tokens(shared).0 > 2_000);
+//! assert!(prefix::covered_tokens(shared).0 > 2_000);
 //! ```
 
 use almondlock_base::unit::Tokens;
 
 /// Most hashes of one prompt.
-pub const LIMIT: usize = 32;
+pub const MAX_HASHES: usize = 32;
 /// Bytes of the first part.
 const FIRST: u64 = 2_048;
-/// Bytes taken for one token. Only scales the sizes given by [`tokens`]; the
+/// Bytes taken for one token. Only scales the sizes given by [`covered_tokens`]; the
 /// parts themselves are cut by bytes, the same for every model.
 const BYTES: u64 = 4;
 
 /// Where each part ends, in bytes.
-const ENDS: [u64; LIMIT] = ends();
+const ENDS: [u64; MAX_HASHES] = ends();
 
-const fn ends() -> [u64; LIMIT] {
-    let mut ends = [FIRST; LIMIT];
+const fn ends() -> [u64; MAX_HASHES] {
+    let mut ends = [FIRST; MAX_HASHES];
     let mut i = 1;
-    while i < LIMIT {
+    while i < MAX_HASHES {
         let grown = ends[i - 1] * 5 / 4;
         let next = ends[i - 1] + FIRST;
         ends[i] = if grown > next { grown } else { next };
@@ -66,10 +66,14 @@
 }
 
 /// About how many tokens the first `count` hashes cover.
-pub const fn tokens(count: usize) -> Tokens {
+pub const fn covered_tokens(count: usize) -> Tokens {
     if count == 0 {
         return Tokens::ZERO;
     }
-    let last = if count < LIMIT { count - 1 } else { LIMIT - 1 };
+    let last = if count < MAX_HASHES {
+        count - 1
+    } else {
+        MAX_HASHES - 1
+    };
     Tokens(ENDS[last] / BYTES)
 }
--- a/almondlock-policy/src/share/ruling.rs
+++ b/almondlock-policy/src/share/assessment.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, hash::Hash, time::Duration};
 
-use super::{Count, Rest, Standing, level};
+use super::{Standing, Unlisted, Usage, level};
 
 /// Reading time that engines are promised, in the mean, below which it isn't contended: half
 /// of 250 ms, the time within which most short prompts have to have their first event. What
@@ -61,21 +61,21 @@
 
     /// Whether an organisation waits for it. A prompt that was sent waits for a slot, if the
     /// engines have none; reading time it was promised.
-    fn is_waited_for(self, count: &Count) -> bool {
+    fn is_waited_for(self, count: &Usage) -> bool {
         match self {
             Resource::Slots => count.unread + count.queued > 0,
             Resource::Reading => count.queued_reading > 0,
         }
     }
 
-    fn used(self, count: &Count) -> f64 {
+    fn used(self, count: &Usage) -> f64 {
         f64::from(match self {
             Resource::Slots => count.slots,
             Resource::Reading => count.reading,
         })
     }
 
-    fn demand(self, count: &Count) -> f64 {
+    fn demand(self, count: &Usage) -> f64 {
         let queued = f64::from(match self {
             Resource::Slots => count.queued,
             Resource::Reading => count.queued_reading,
@@ -94,46 +94,46 @@
     /// Its share. Positive.
     pub share: f64,
     /// The organisation with the least of it that waits. None: one that isn't listed.
-    pub behind: Option<K>,
+    pub least_served: Option<K>,
 }
 
 impl<K> Excess<K> {
     /// The excess as a part of the share.
-    pub fn by(&self) -> f64 {
+    pub fn ratio(&self) -> f64 {
         (self.used - self.share) / self.share
     }
 }
 
 /// The organisations that are over their share. Invariant: empty without contention.
 #[derive(Clone, Debug)]
-pub struct Ruling<K> {
+pub struct Assessment<K> {
     over: HashMap<K, Excess<K>>,
 }
 
-impl<K> Default for Ruling<K> {
-    fn default() -> Ruling<K> {
-        Ruling {
+impl<K> Default for Assessment<K> {
+    fn default() -> Assessment<K> {
+        Assessment {
             over: HashMap::new(),
         }
     }
 }
 
-impl<K> Ruling<K>
+impl<K> Assessment<K>
 where
     K: Copy + Eq + Hash,
 {
     /// Judges organisations by what they have and wait for.
-    pub fn new(capacity: Capacity, counts: &[(K, Count)], rest: Rest) -> Ruling<K> {
+    pub fn new(capacity: Capacity, counts: &[(K, Usage)], rest: Unlisted) -> Assessment<K> {
         let mut over: HashMap<K, Excess<K>> = HashMap::new();
         for resource in [Resource::Slots, Resource::Reading] {
             for (key, excess) in excesses(resource, capacity, counts, rest) {
                 let known = over.get(&key);
-                if known.is_none_or(|known| known.by() < excess.by()) {
+                if known.is_none_or(|known| known.ratio() < excess.ratio()) {
                     over.insert(key, excess);
                 }
             }
         }
-        Ruling { over }
+        Assessment { over }
     }
 
     /// By how much an organisation is over its share, if it is.
@@ -145,7 +145,7 @@
     pub fn standing(&self, key: &K) -> Standing {
         self.excess(key)
             .map_or(Standing::Within, |excess| Standing::Over {
-                by: excess.by(),
+                by: excess.ratio(),
             })
     }
 
@@ -160,8 +160,8 @@
 fn excesses<K>(
     resource: Resource,
     capacity: Capacity,
-    counts: &[(K, Count)],
-    rest: Rest,
+    counts: &[(K, Usage)],
+    rest: Unlisted,
 ) -> Vec<(K, Excess<K>)>
 where
     K: Copy,
@@ -181,7 +181,7 @@
     let Some(share) = level.filter(|level| *level > 0.0) else {
         return Vec::new();
     };
-    let waits = |count: &Count| resource.is_waited_for(count);
+    let waits = |count: &Usage| resource.is_waited_for(count);
     let listed = counts.iter().filter(|(_, count)| waits(count));
     let listed = listed.map(|(key, count)| (resource.used(count), Some(*key)));
     let unlisted = (rest.organisations > 0 && waits(&rest.count))
@@ -199,7 +199,7 @@
                 resource,
                 used,
                 share,
-                behind,
+                least_served: behind,
             };
             (key, excess)
         })
--- a/almondlock-policy/src/share/mod.rs
+++ b/almondlock-policy/src/share/mod.rs
@@ -10,7 +10,7 @@
 //! ([`level`]): whoever asks for less than the level has all it asks for, and what it leaves
 //! raises the level for the others.
 //!
-//! **Two resources.** Slots and reading time are judged separately ([`Ruling`]): an
+//! **Two resources.** Slots and reading time are judged separately ([`Assessment`]): an
 //! organisation is over its share if it is over in either of them.
 //!
 //! **Contention.** Slots are contended once the requests that have one or wait for one are
@@ -19,16 +19,16 @@
 //! is contended only once a prompt of an organisation below the level waits at a host or was
 //! refused, while engines are busy.
 
+mod assessment;
 mod level;
 mod rank;
-mod ruling;
 
 use serde::{Deserialize, Serialize};
 
 pub use self::{
+    assessment::{Assessment, Capacity, Excess, Resource},
     level::level,
-    rank::rank,
-    ruling::{Capacity, Excess, Resource, Ruling},
+    rank::demoted_rank,
 };
 
 /// How an organisation stands with its share.
@@ -47,7 +47,7 @@
 /// What an organisation has at the engines of a service, and what it waits for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Count {
+pub struct Usage {
     /// Requests sent to an engine that have not ended.
     pub slots: u32,
     /// Of those, the ones whose first event has not come.
@@ -60,28 +60,28 @@
     pub queued_reading: u32,
 }
 
-impl Count {
+impl Usage {
     /// Adds another count.
-    pub fn add(&mut self, other: &Count) {
+    pub fn add(&mut self, other: &Usage) {
         self.merge(other, u32::saturating_add);
     }
 
     /// Takes out what was added before.
-    pub fn subtract(&mut self, other: &Count) {
+    pub fn subtract(&mut self, other: &Usage) {
         self.merge(other, u32::saturating_sub);
     }
 
     /// Whether nothing is in flight or waiting.
     pub fn is_empty(&self) -> bool {
-        *self == Count::default()
+        *self == Usage::default()
     }
 
     /// Orders counts by what is in flight, then by what waits.
-    pub fn weight(&self) -> (u32, u32, u32) {
+    pub fn sort_key(&self) -> (u32, u32, u32) {
         (self.slots, self.reading, self.queued)
     }
 
-    fn merge<F>(&mut self, other: &Count, act: F)
+    fn merge<F>(&mut self, other: &Usage, act: F)
     where
         F: Fn(u32, u32) -> u32,
     {
@@ -96,9 +96,9 @@
 /// Organisations that are not listed one by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Rest {
+pub struct Unlisted {
     /// How many there are.
     pub organisations: u32,
     /// What they have together. Each counts with an equal part.
-    pub count: Count,
+    pub count: Usage,
 }
--- a/almondlock-policy/src/share/rank.rs
+++ b/almondlock-policy/src/share/rank.rs
@@ -5,7 +5,7 @@
 ///
 /// `kind` is the rank of the request's kind, without its organisation's; `kinds` has a bit
 /// for the rank of each kind of the service.
-pub fn rank(own: u32, kind: u32, kinds: u16, last: u32) -> u32 {
+pub fn demoted_rank(own: u32, kind: u32, kinds: u16, last: u32) -> u32 {
     let behind = own.saturating_add(1);
     let mut less_urgent = (kind + 1..u16::BITS).filter(|other| kinds & (1 << other) != 0);
     let reaches = less_urgent.next().is_some_and(|next| behind >= next);
--- a/almondlock-policy/src/places/account.rs
+++ b/almondlock-policy/src/slots/occupancy.rs
@@ -19,35 +19,35 @@
 
 /// The sums over all engines, as last seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Account {
+pub struct Occupancy {
     /// When they were seen.
-    pub at: Mono,
+    pub seen_at: Mono,
     /// Slots of engines that aren't backlogged.
     pub slots: u32,
     /// Those of them that no request has.
     pub free: u32,
     /// Free slots of engines that are backlogged.
-    pub spare: u32,
+    pub backlogged_free: u32,
     /// Requests that have a slot or queue for one at an engine.
-    pub used: u32,
+    pub in_use: u32,
     /// Those of them that queue.
-    pub over: u32,
+    pub queued: u32,
     /// How long a request has its slot.
-    pub hold: Duration,
+    pub hold_time: Duration,
     /// Other hosts.
-    pub hosts: usize,
+    pub other_hosts: usize,
 }
 
-impl Account {
-    pub(super) fn of<I>(now: Mono, engines: I, hold: Duration, hosts: usize) -> Account
+impl Occupancy {
+    pub(super) fn of<I>(now: Mono, engines: I, hold: Duration, hosts: usize) -> Occupancy
     where
         I: IntoIterator<Item = Engine>,
     {
-        let none = Account {
-            at: now,
-            hold,
-            hosts,
-            ..Account::default()
+        let none = Occupancy {
+            seen_at: now,
+            hold_time: hold,
+            other_hosts: hosts,
+            ..Occupancy::default()
         };
         engines.into_iter().fold(none, |sum, engine| {
             let requests = engine.streams.saturating_add(engine.waiting);
@@ -56,13 +56,13 @@
                 true => (0, 0, left),
                 false => (engine.slots, left, 0),
             };
-            Account {
+            Occupancy {
                 slots: sum.slots.saturating_add(slots),
                 free: sum.free.saturating_add(free),
-                spare: sum.spare.saturating_add(spare),
-                used: sum.used.saturating_add(requests),
-                over: sum
-                    .over
+                backlogged_free: sum.backlogged_free.saturating_add(spare),
+                in_use: sum.in_use.saturating_add(requests),
+                queued: sum
+                    .queued
                     .saturating_add(requests.saturating_sub(engine.slots)),
                 ..sum
             }
@@ -70,15 +70,15 @@
     }
 
     /// Slots that become free in a second, over all hosts.
-    pub fn rate(&self) -> f64 {
-        let running = self.used.saturating_sub(self.over);
-        f64::from(running) / self.hold.as_secs_f64().max(1e-3)
+    pub fn release_rate(&self) -> f64 {
+        let running = self.in_use.saturating_sub(self.queued);
+        f64::from(running) / self.hold_time.as_secs_f64().max(1e-3)
     }
 
     /// The part of the slots that each host has if all have the same.
     pub(super) fn equal(&self) -> f64 {
         // Hosts are far fewer than an `f64` counts exactly.
-        1.0 / (self.hosts as f64 + 1.0)
+        1.0 / (self.other_hosts as f64 + 1.0)
     }
 }
 
--- a/almondlock-policy/src/places/line.rs
+++ b/almondlock-policy/src/slots/queue.rs
@@ -12,7 +12,7 @@
 
 /// What is known of a prompt that asks for a slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Case {
+pub struct Prompt {
     /// When it came to the host.
     pub arrived: Mono,
     /// When its time is over.
@@ -27,7 +27,7 @@
     pub standing: Standing,
 }
 
-impl Case {
+impl Prompt {
     /// When it has to get its slot to meet its objective.
     pub fn latest(&self) -> Mono {
         self.arrived + self.objective.saturating_sub(self.expected)
@@ -66,7 +66,7 @@
     }
 }
 
-/// Bounded by [`super::Desk`] to a few dozen entries: scans are short.
+/// Bounded by [`super::Allocator`] to a few dozen entries: scans are short.
 #[derive(Debug, Default)]
 pub(super) struct Line {
     // In order of arrival.
@@ -79,7 +79,7 @@
     pub(super) fn push(
         &mut self,
         now: Mono,
-        case: &Case,
+        case: &Prompt,
         is_late: bool,
         patience: Duration,
     ) -> Ticket {
--- a/almondlock-policy/src/startup.rs
+++ b/almondlock-policy/src/startup.rs
@@ -26,29 +26,29 @@
 
 /// What is known of a prompt that is about to be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Case {
+pub struct Prompt {
     /// The time since the host's start.
-    pub age: Duration,
+    pub host_age: Duration,
     /// The time since the prompt's arrival.
-    pub spent: Duration,
+    pub waited: Duration,
     /// When its first event should be there, from its arrival.
     pub objective: Duration,
     /// The time that one engine would take to read it.
-    pub reading: Duration,
+    pub reading_time: Duration,
     /// Loads of other hosts are known, or there is nobody to tell them.
     pub knows_loads: bool,
 }
 
 /// How much longer a prompt waits, in a host that settles for so long after its start. None:
 /// it is placed now. Asked again when loads become known.
-pub fn hold(settling: Duration, case: &Case) -> Option<Duration> {
-    let most = match (case.reading > LONG, case.knows_loads) {
+pub fn hold_time(settling: Duration, case: &Prompt) -> Option<Duration> {
+    let most = match (case.reading_time > LONG, case.knows_loads) {
         (true, _) => settling,
         (false, false) => UNKNOWN,
         (false, true) => return None,
     };
     let allowed = most.min(case.objective.mul_f64(SHARE));
-    let left = allowed.saturating_sub(case.spent);
-    let settles = settling.saturating_sub(case.age);
+    let left = allowed.saturating_sub(case.waited);
+    let settles = settling.saturating_sub(case.host_age);
     Some(left.min(settles)).filter(|left| !left.is_zero())
 }
--- a/almondlock-policy/tests/cache_affinity.rs
+++ b/almondlock-policy/tests/cache_affinity.rs
@@ -12,18 +12,18 @@
     time::Mono,
     unit::Tokens,
 };
-use almondlock_policy::choice::{Ask, Config, Home, Picker, Probing, Report, Site, Table};
+use almondlock_policy::choice::{Config, Locality, Origin, Picker, Query, Report, Sampling, Table};
 use rand::{SeedableRng, rngs::SmallRng};
 
 fn table(host: usize, config: Config) -> Table {
-    let home = Home {
+    let home = Origin {
         host: Host::new(&format!("entry-{host}")).unwrap(),
         domain: Domain::new("d0").unwrap(),
         region: Region::new("r0").unwrap(),
     };
     let mut table = Table::new(config, home);
     for i in 0..18 {
-        let site = Site {
+        let site = Locality {
             domain: Domain::new(&format!("d{}", i % 3)).unwrap(),
             region: Region::new("r0").unwrap(),
         };
@@ -34,8 +34,8 @@
 
 const PREFIX: [u64; 8] = [11, 12, 13, 14, 15, 16, 17, 18];
 
-fn ask() -> Ask<'static> {
-    Ask {
+fn ask() -> Query<'static> {
+    Query {
         prompt: Tokens(5_000),
         output: Tokens(100),
         prefix: &PREFIX,
@@ -49,7 +49,7 @@
     for host in 0..10 {
         let mut rng = SmallRng::seed_from_u64(host as u64);
         let table = table(host, Config::default());
-        let index = Probing.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
+        let index = Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
         *chosen
             .entry(table.name(index).unwrap().clone())
             .or_default() += 1;
@@ -61,24 +61,28 @@
 #[test]
 fn what_was_processed_is_found_again() {
     let config = Config {
-        faith: 0,
+        assumed_hit_percent: 0,
         ..Config::default()
     };
     let mut table = table(0, config);
     let mut rng = SmallRng::seed_from_u64(1);
     let first = table.find(&Upstream::new("engine-7").unwrap()).unwrap();
-    table.sent(first, Tokens(5_000));
-    table.answered(first, &ask());
-    table.ended(first, Tokens(5_000), true);
+    table.record_sent(first, Tokens(5_000));
+    table.record_first_token(first, &ask());
+    table.record_end(first, Tokens(5_000), true);
     for _ in 0..50 {
         assert_eq!(
-            Probing.pick(&table, &ask(), Mono::ZERO, &mut rng),
+            Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng),
             Some(first)
         );
     }
     // When it is gone, so is the belief.
     table.remove(&Upstream::new("engine-7").unwrap());
-    assert!(Probing.pick(&table, &ask(), Mono::ZERO, &mut rng).is_some());
+    assert!(
+        Sampling
+            .pick(&table, &ask(), Mono::ZERO, &mut rng)
+            .is_some()
+    );
 }
 
 #[test]
@@ -87,8 +91,8 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts: HashMap<_, usize> = HashMap::new();
     for _ in 0..360 {
-        let index = Probing.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
-        table.sent(index, ask().prompt);
+        let index = Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
+        table.record_sent(index, ask().prompt);
         *counts.entry(index).or_default() += 1;
     }
     let most = counts.values().max().copied();
@@ -100,19 +104,19 @@
 fn a_long_wait_outweighs_a_cached_start() {
     let mut table = table(0, Config::default());
     let mut rng = SmallRng::seed_from_u64(1);
-    let cached = Probing.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
-    table.sent(cached, Tokens(5_000));
-    table.answered(cached, &ask());
-    table.ended(cached, Tokens(5_000), true);
+    let cached = Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
+    table.record_sent(cached, Tokens(5_000));
+    table.record_first_token(cached, &ask());
+    table.record_end(cached, Tokens(5_000), true);
     let report = Report {
         wait: Duration::from_secs(5),
         in_flight: 3,
-        free: Tokens(400_000),
-        speed: 8_000,
+        free_memory: Tokens(400_000),
+        prefill_speed: 8_000,
         ..Report::default()
     };
-    table.report(cached, report, Mono::ZERO);
-    let next = Probing.pick(&table, &ask(), Mono::ZERO, &mut rng);
+    table.record_report(cached, report, Mono::ZERO);
+    let next = Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng);
     assert!(next.is_some_and(|index| index != cached));
 }
 
@@ -123,14 +127,14 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts: HashMap<_, usize> = HashMap::new();
     for _ in 0..360 {
-        let index = Probing.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
-        table.sent(index, ask().prompt);
+        let index = Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
+        table.record_sent(index, ask().prompt);
         let idle = Report {
-            free: Tokens(400_000),
-            speed: 8_000,
+            free_memory: Tokens(400_000),
+            prefill_speed: 8_000,
             ..Report::default()
         };
-        table.report(index, idle, Mono::ZERO);
+        table.record_report(index, idle, Mono::ZERO);
         *counts.entry(index).or_default() += 1;
     }
     let most = counts.values().max().copied();
--- a/almondlock-policy/tests/engine_cells.rs
+++ b/almondlock-policy/tests/engine_cells.rs
@@ -76,7 +76,7 @@
         assert_eq!(sizes(&cells).len(), 10);
         let own = engines.iter().zip(cells).filter(|(_, cell)| *cell == 0);
         let names: Vec<Upstream> = own.map(|((name, _), _)| name.clone()).collect();
-        assert!(names.len() >= cell::LEAST, "{}", names.len());
+        assert!(names.len() >= cell::MIN_ENGINES, "{}", names.len());
         *owners.entry(names).or_default() += 1;
     }
     assert_eq!(owners.into_values().collect::<Vec<_>>(), [8; 5]);
@@ -97,7 +97,7 @@
 fn two_drawn() {
     let mut rng = SmallRng::seed_from_u64(1);
     for others in 0..6 {
-        let drawn = cell::drawn(others, &mut rng);
+        let drawn = cell::sample_others(others, &mut rng);
         assert_eq!(drawn.len(), others.min(2));
         assert!(drawn.iter().all(|cell| *cell < others));
         assert!(drawn.len() < 2 || drawn[0] != drawn[1]);
--- a/almondlock-policy/tests/failed_upstream.rs
+++ b/almondlock-policy/tests/failed_upstream.rs
@@ -12,15 +12,17 @@
     time::Mono,
     unit::Tokens,
 };
-use almondlock_policy::choice::{Ask, Config, Home, Index, Picker, Probing, Report, Site, Table};
+use almondlock_policy::choice::{
+    Config, Index, Locality, Origin, Picker, Query, Report, Sampling, Table,
+};
 use rand::{SeedableRng, rngs::SmallRng};
 
 fn table(config: Config, upstreams: usize) -> (Table, Vec<Index>) {
-    let site = Site {
+    let site = Locality {
         domain: Domain::new("d0").unwrap(),
         region: Region::new("r0").unwrap(),
     };
-    let home = Home {
+    let home = Origin {
         host: Host::new("entry-1").unwrap(),
         domain: site.domain.clone(),
         region: site.region.clone(),
@@ -34,15 +36,15 @@
 
 fn used(table: &Table, prompt: u64, now: Mono) -> BTreeSet<u64> {
     let mut rng = SmallRng::seed_from_u64(9);
-    let ask = Ask {
+    let ask = Query {
         prompt: Tokens(prompt),
-        ..Ask::default()
+        ..Query::default()
     };
     let number = |index| {
         let name: &Upstream = table.name(index)?;
         name.as_str()["engine-".len()..].parse().ok()
     };
-    let pick = |_| Probing.pick(table, &ask, now, &mut rng).and_then(number);
+    let pick = |_| Sampling.pick(table, &ask, now, &mut rng).and_then(number);
     (0..500).filter_map(pick).collect()
 }
 
@@ -50,12 +52,12 @@
 fn passed_over_for_a_while() {
     let (mut table, all) = table(Config::default(), 4);
     let now = Mono::from_millis(1_000);
-    table.failed(all[1], now);
+    table.record_failure(all[1], now);
     assert_eq!(used(&table, 10, now), BTreeSet::from([0, 2, 3]));
-    let later = now + Config::default().avoid;
+    let later = now + Config::default().avoid_time;
     assert_eq!(used(&table, 10, later), BTreeSet::from([0, 1, 2, 3]));
     for index in all {
-        table.failed(index, now);
+        table.record_failure(index, now);
     }
     assert_eq!(used(&table, 10, now).len(), 4, "better than a refusal");
 }
@@ -65,22 +67,22 @@
     let (mut table, all) = table(Config::default(), 5);
     let now = Mono::from_millis(1_000);
     let age = Duration::from_millis(200);
-    table.report(all[3], Report::default(), now);
-    let asked: Vec<Index> = (0..8).filter_map(|_| table.stale(age, now)).collect();
+    table.record_report(all[3], Report::default(), now);
+    let asked: Vec<Index> = (0..8).filter_map(|_| table.next_stale(age, now)).collect();
     assert_eq!(asked.len(), 8);
     assert!(!asked.contains(&all[3]));
     let first: BTreeSet<_> = asked[..4].iter().map(|index| table.name(*index)).collect();
     assert_eq!(first.len(), 4, "each once before one twice");
     for index in &all {
-        table.report(*index, Report::default(), now);
+        table.record_report(*index, Report::default(), now);
     }
-    assert_eq!(table.stale(age, now), None);
+    assert_eq!(table.next_stale(age, now), None);
 }
 
 #[test]
 fn long_prompts_keep_off_upstreams_for_short_ones() {
     let config = Config {
-        short_only: 50,
+        short_only_percent: 50,
         ..Config::default()
     };
     let (table, _) = table(config, 20);
--- a/almondlock-policy/tests/first_moments.rs
+++ b/almondlock-policy/tests/first_moments.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use almondlock_policy::startup::{Case, hold};
+use almondlock_policy::startup::{Prompt, hold_time};
 use yare::parameterized;
 
 const SETTLING: u64 = 1_100;
@@ -11,12 +11,12 @@
     Duration::from_millis(millis)
 }
 
-fn case(age: u64, spent: u64, objective: u64, reading: u64, knows_loads: bool) -> Case {
-    Case {
-        age: ms(age),
-        spent: ms(spent),
+fn case(age: u64, spent: u64, objective: u64, reading: u64, knows_loads: bool) -> Prompt {
+    Prompt {
+        host_age: ms(age),
+        waited: ms(spent),
         objective: ms(objective),
-        reading: ms(reading),
+        reading_time: ms(reading),
         knows_loads,
     }
 }
@@ -35,13 +35,16 @@
     long_settled = { case(1_100, 0, 8_000, 9_000, true), None },
     uninformed_settled = { case(1_200, 0, 250, 35, false), None },
 )]
-fn held(case: Case, expected: Option<u64>) {
-    let held = hold(ms(SETTLING), &case);
+fn held(case: Prompt, expected: Option<u64>) {
+    let held = hold_time(ms(SETTLING), &case);
     assert_eq!(held.map(|left| left.as_millis()), expected.map(u128::from));
 }
 
 /// Guards against a host that holds prompts though nobody asked for it.
 #[test]
 fn nothing_asked() {
-    assert_eq!(hold(Duration::ZERO, &case(0, 0, 8_000, 9_000, false)), None);
+    assert_eq!(
+        hold_time(Duration::ZERO, &case(0, 0, 8_000, 9_000, false)),
+        None
+    );
 }
--- a/almondlock-policy/tests/herd_choice.rs
+++ b/almondlock-policy/tests/herd_choice.rs
@@ -12,20 +12,20 @@
     unit::Tokens,
 };
 use almondlock_policy::choice::{
-    Ask, Config, Home, LeastReported, Picker, Probing, Random, Report, Site, Table,
+    Config, LeastReported, Locality, Origin, Picker, Query, Random, Report, Sampling, Table,
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use yare::parameterized;
 
 fn table(host: usize, upstreams: usize) -> Table {
-    let home = Home {
+    let home = Origin {
         host: Host::new(&format!("entry-{host}")).unwrap(),
         domain: Domain::new("d0").unwrap(),
         region: Region::new("r0").unwrap(),
     };
     let mut table = Table::new(Config::default(), home);
     for i in 0..upstreams {
-        let site = Site {
+        let site = Locality {
             domain: Domain::new(&format!("d{}", i % 3)).unwrap(),
             region: Region::new("r0").unwrap(),
         };
@@ -52,18 +52,18 @@
                 in_flight: if i == 4 { 0 } else { 6 },
                 wait: Duration::from_millis(if i == 4 { 0 } else { 300 }),
                 backlog: Tokens::ZERO,
-                free: Tokens(400_000),
-                speed: 8_000,
+                free_memory: Tokens(400_000),
+                prefill_speed: 8_000,
             };
-            table.report(index, report, now);
+            table.record_report(index, report, now);
         }
         for _ in 0..20 {
-            let ask = Ask {
+            let ask = Query {
                 prompt: Tokens(1_000),
-                ..Ask::default()
+                ..Query::default()
             };
             let index = picker.pick(&table, &ask, now, &mut rng).unwrap();
-            table.sent(index, ask.prompt);
+            table.record_sent(index, ask.prompt);
             *counts
                 .entry(table.name(index).unwrap().clone())
                 .or_default() += 1;
@@ -76,7 +76,7 @@
 fn probing_spreads_where_least_reported_piles_up() {
     assert_eq!(worst(LeastReported), 60);
     // An even spread is 4 to 5; the idle one may take up to what it is behind.
-    let probing = worst(Probing);
+    let probing = worst(Sampling);
     assert!(probing <= 12, "{probing} on one upstream");
     assert!(worst(Random) <= 12);
 }
@@ -92,14 +92,14 @@
         wait: Duration::from_secs(9),
         ..Report::default()
     };
-    table.report(busy, report, now);
-    let ask = Ask {
+    table.record_report(busy, report, now);
+    let ask = Query {
         prompt: Tokens(100),
-        ..Ask::default()
+        ..Query::default()
     };
     let mut share = |table: &Table, at| {
         (0..200)
-            .filter(|_| Probing.pick(table, &ask, at, &mut rng) == Some(busy))
+            .filter(|_| Sampling.pick(table, &ask, at, &mut rng) == Some(busy))
             .count()
     };
     assert_eq!(share(&table, now), 0);
@@ -115,12 +115,12 @@
     let mut counts: HashMap<_, usize> = HashMap::new();
     let sends = 20 * upstreams.min(32);
     for _ in 0..sends {
-        let ask = Ask {
+        let ask = Query {
             prompt: Tokens(1_000),
-            ..Ask::default()
+            ..Query::default()
         };
-        let index = Probing.pick(&table, &ask, Mono::ZERO, &mut rng).unwrap();
-        table.sent(index, ask.prompt);
+        let index = Sampling.pick(&table, &ask, Mono::ZERO, &mut rng).unwrap();
+        table.record_sent(index, ask.prompt);
         *counts.entry(index).or_default() += 1;
     }
     let most = counts.into_values().max().unwrap();
--- a/almondlock-policy/tests/long_stretch.rs
+++ b/almondlock-policy/tests/long_stretch.rs
@@ -24,13 +24,13 @@
     Speed {
         slots: 16,
         memory: 405_000,
-        step: 1.31,
-        step_per_stream: 0.000917,
-        step_per_context: 0.00213,
-        read: 154.0,
-        pairs: 0.162,
-        chunk: 2048.0,
-        stride: 34.0,
+        step_ms: 1.31,
+        step_ms_per_stream: 0.000917,
+        step_ms_per_context: 0.00213,
+        tokens_per_ms: 154.0,
+        ms_per_megapair: 0.162,
+        chunk_tokens: 2048.0,
+        steps_per_pass: 34.0,
     }
 }
 
@@ -60,7 +60,7 @@
         let bell: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         let prompt = (155_000.0 * f64::exp(0.55 * bell)).min(900_000.0) as u64;
         free.sort_unstable_by(f64::total_cmp);
-        let part = speed.part(prompt, PARTS).as_secs_f64();
+        let part = speed.part_reading_time(prompt, PARTS).as_secs_f64();
         let end = (free[PARTS - 1] - now).max(0.0) + part;
         let left: f64 = free.iter().map(|free| (free - now).max(0.0)).sum();
         let at = Mono::from_millis((now * 1e3) as u64);
@@ -88,7 +88,7 @@
             outcome.taken += 1.0;
             outcome.large_taken += large;
             outcome.tokens += prompt as f64;
-            outcome.time += speed.reading(prompt).as_secs_f64();
+            outcome.time += speed.reading_time(prompt).as_secs_f64();
         }
     }
     outcome
--- a/almondlock-policy/tests/max_min.rs
+++ b/almondlock-policy/tests/max_min.rs
@@ -6,7 +6,7 @@
 use almondlock_policy::{
     admission::{Case, refusal, refusal_of},
     engine::Speed,
-    share::{Capacity, Count, Resource, Rest, Ruling, Standing, level},
+    share::{Assessment, Capacity, Resource, Standing, Unlisted, Usage, level},
 };
 use proptest::prelude::*;
 use yare::parameterized;
@@ -17,17 +17,17 @@
     slots: 120,
 };
 
-fn streams(slots: u32, unread: u32, queued: u32) -> Count {
-    Count {
+fn streams(slots: u32, unread: u32, queued: u32) -> Usage {
+    Usage {
         slots,
         unread,
         queued,
-        ..Count::default()
+        ..Usage::default()
     }
 }
 
-fn judge(counts: &[(u32, Count)]) -> Ruling<u32> {
-    Ruling::new(TEN, counts, Rest::default())
+fn judge(counts: &[(u32, Usage)]) -> Assessment<u32> {
+    Assessment::new(TEN, counts, Unlisted::default())
 }
 
 #[parameterized(
@@ -73,7 +73,7 @@
         (excess.resource, excess.used, excess.share),
         (Resource::Slots, 100.0, 90.0)
     );
-    assert!(matches!(excess.behind, Some(2 | 3)));
+    assert!(matches!(excess.least_served, Some(2 | 3)));
     assert_eq!(ruling.standing(&2), Standing::Within);
     let Standing::Over { by } = ruling.standing(&1) else {
         panic!("within");
@@ -89,8 +89,8 @@
     assert!(ruling.is_empty());
 }
 
-fn prompts(reading: u32, unread: u32, refused: u32) -> Count {
-    Count {
+fn prompts(reading: u32, unread: u32, refused: u32) -> Usage {
+    Usage {
         slots: unread,
         unread,
         reading,
@@ -106,7 +106,12 @@
     let ruling = judge(&[(1, prompts(50_000, 10, 3)), (2, prompts(10_000, 2, 1))]);
     let excess = ruling.excess(&1).unwrap();
     assert_eq!(
-        (excess.resource, excess.used, excess.share, excess.behind),
+        (
+            excess.resource,
+            excess.used,
+            excess.share,
+            excess.least_served
+        ),
         (Resource::Reading, 50_000.0, 45_000.0, Some(2))
     );
     assert_eq!(ruling.standing(&2), Standing::Within);
@@ -120,7 +125,7 @@
     only_its_own = { prompts(50_000, 10, 9), prompts(100, 3, 0) },
     idle = { prompts(1_100, 1, 0), prompts(100, 1, 1) },
 )]
-fn usual_reading(large: Count, small: Count) {
+fn usual_reading(large: Usage, small: Usage) {
     assert!(judge(&[(1, large), (2, small)]).is_empty());
 }
 
@@ -136,20 +141,20 @@
 /// Small organisations that are not listed still have shares, and their waiting counts.
 #[test]
 fn unlisted_count() {
-    let rest = Rest {
+    let rest = Unlisted {
         organisations: 10,
         count: streams(50, 10, 0),
     };
-    let ruling = Ruling::new(TEN, &[(1_u32, streams(100, 30, 0))], rest);
+    let ruling = Assessment::new(TEN, &[(1_u32, streams(100, 30, 0))], rest);
     let excess = ruling.excess(&1).unwrap();
-    assert_eq!((excess.share, excess.behind), (60.0, None));
+    assert_eq!((excess.share, excess.least_served), (60.0, None));
 }
 
 /// Without engines nothing can be shared out, and nobody is put behind.
 #[test]
 fn no_engines() {
     let counts = [(1, streams(5, 5, 0)), (2, streams(1, 1, 0))];
-    let ruling = Ruling::new(Capacity::default(), &counts, Rest::default());
+    let ruling = Assessment::new(Capacity::default(), &counts, Unlisted::default());
     assert!(ruling.is_empty());
 }
 
@@ -157,13 +162,13 @@
     Speed {
         slots: 12,
         memory: 382_500,
-        step: 0.925,
-        step_per_stream: 0.00483,
-        step_per_context: 0.00254,
-        read: 256.0,
-        pairs: 0.0917,
-        chunk: 2048.0,
-        stride: 52.0,
+        step_ms: 0.925,
+        step_ms_per_stream: 0.00483,
+        step_ms_per_context: 0.00254,
+        tokens_per_ms: 256.0,
+        ms_per_megapair: 0.0917,
+        chunk_tokens: 2048.0,
+        steps_per_pass: 52.0,
     }
 }
 
--- a/almondlock-policy/tests/observed_pace.rs
+++ b/almondlock-policy/tests/outlier_ejection.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, time::Duration};
 
 use almondlock_base::time::Mono;
-use almondlock_policy::pace::{Account, Sample, Table, WINDOW};
+use almondlock_policy::outlier::{Detector, Sample, Summary, WINDOW};
 use rand::{SeedableRng, rngs::SmallRng};
 use yare::parameterized;
 
@@ -19,24 +19,24 @@
 }
 
 /// What several hosts reported of an upstream.
-fn account(answers: u32, failures: u32, slowness: f64) -> Account {
-    Account {
+fn account(answers: u32, failures: u32, slowness: f64) -> Summary {
+    Summary {
         hosts: 5,
         answers,
         failures,
-        witnessed: failures.min(5),
-        samples: 20,
+        capped_failures: failures.min(5),
+        time_weight: 20,
         slowness,
-        at: START,
+        newest: START,
     }
 }
 
 /// A host that was told this of upstream 0, and that all others are well.
-fn told(of_first: Account) -> Table<u32> {
-    let mut table = Table::default();
+fn told(of_first: Summary) -> Detector<u32> {
+    let mut table = Detector::default();
     let well = account(10, 0, 1.0);
     let accounts = MEMBERS.map(|key| (key, if key == 0 { of_first } else { well }));
-    table.hear(START, HashMap::from(accounts));
+    table.replace_reported(START, HashMap::from(accounts));
     table
 }
 
@@ -75,7 +75,7 @@
 /// Guards against own observations that count when they are older than 3 s.
 #[test]
 fn old_observations() {
-    let mut table = Table::default();
+    let mut table = Detector::default();
     failing(&mut table, START);
     assert!(table.review(after(3_001), &MEMBERS, &mut rng()).is_empty());
     failing(&mut table, after(4_000));
@@ -83,14 +83,14 @@
 }
 
 /// A host observes that upstream 0 fails and all others answer.
-fn failing(table: &mut Table<u32>, now: Mono) {
+fn failing(table: &mut Detector<u32>, now: Mono) {
     for key in MEMBERS {
         let sample = match key {
             0 => Sample::Failure,
             _ => Sample::Answer,
         };
         for _ in 0..4 {
-            table.tell(now, &key, sample);
+            table.observe(now, &key, sample);
         }
     }
 }
@@ -99,26 +99,26 @@
 /// alone, and the weight of one besides an honest one.
 #[test]
 fn one_reporter() {
-    let report = |answers, failures, slowness| Account {
+    let report = |answers, failures, slowness| Summary {
         hosts: 1,
         ..account(answers, failures, slowness)
     };
     let lie = report(0, 250, 9.0);
-    let alone = Account::pool(&[lie]);
-    assert_eq!((alone.failures, alone.samples), (0, 0));
+    let alone = Summary::pool(&[lie]);
+    assert_eq!((alone.failures, alone.time_weight), (0, 0));
     let honest = [report(4, 0, 1.0), report(3, 0, 1.1)];
-    let pooled = Account::pool(&[lie, honest[0], honest[1]]);
+    let pooled = Summary::pool(&[lie, honest[0], honest[1]]);
     assert_eq!(pooled.failures, 0);
     assert!(pooled.slowness < 1.2, "{pooled:?}");
-    let pooled = Account::pool(&[lie, honest[0], report(6, 1, 1.0)]);
+    let pooled = Summary::pool(&[lie, honest[0], report(6, 1, 1.0)]);
     assert_eq!(pooled.failures, 2);
-    assert!(pooled.share_bound() < 0.15, "{pooled:?}");
+    assert!(pooled.failure_share_bound() < 0.15, "{pooled:?}");
 }
 
 /// Guards against an upstream that is judged by what its earlier life did.
 #[test]
 fn another_life() {
-    let mut table = Table::default();
+    let mut table = Detector::default();
     failing(&mut table, START);
     assert_eq!(table.review(START, &MEMBERS, &mut rng()).len(), 1);
     table.forget(&0);
@@ -130,10 +130,10 @@
 /// outliers in place of the worst.
 #[test]
 fn a_third() {
-    let mut table = Table::default();
+    let mut table = Detector::default();
     let slowness = [4.0, 9.0, 5.0, 1.0, 1.0, 1.0, 1.0];
     let accounts = (0..7).zip(slowness.map(|slowness| account(9, 0, slowness)));
-    table.hear(START, accounts.collect());
+    table.replace_reported(START, accounts.collect());
     let members = [0, 1, 2, 3, 4, 5, 6];
     table.review(START, &members, &mut rng());
     let ejected: Vec<u32> = members
@@ -148,10 +148,10 @@
 /// against the worst reinstated in place of the best.
 #[test]
 fn a_third_of_fewer() {
-    let mut table = Table::default();
+    let mut table = Detector::default();
     let slowness = [9.0, 5.0, 1.0, 1.0, 1.0, 1.0, 1.0];
     let accounts = (0..7).zip(slowness.map(|slowness| account(9, 0, slowness)));
-    table.hear(START, accounts.collect());
+    table.replace_reported(START, accounts.collect());
     let members = [0, 1, 2, 3, 4, 5, 6];
     assert_eq!(table.review(START, &members, &mut rng()).len(), 2);
     let changes = table.review(after(200), &members[..5], &mut rng());
@@ -166,12 +166,12 @@
 /// Guards against a host with late timers that takes its own delay for the upstreams'.
 #[test]
 fn late_timers() {
-    let mut table = Table::default();
-    table.doubt.late(START, Duration::from_millis(300));
+    let mut table = Detector::default();
+    table.stall.note_delay(START, Duration::from_millis(300));
     for _ in 0..10 {
-        table.tell(after(100), &0, Sample::Time(9.0));
+        table.observe(after(100), &0, Sample::Time(9.0));
         for key in &MEMBERS[1..] {
-            table.tell(after(600), key, Sample::Time(1.0));
+            table.observe(after(600), key, Sample::Time(1.0));
         }
     }
     assert!(table.review(after(600), &MEMBERS, &mut rng()).is_empty());
@@ -189,10 +189,10 @@
     slow = { Sample::Time(4.0) },
 )]
 fn self_doubt(sample: Sample) {
-    let mut table = Table::default();
+    let mut table = Detector::default();
     for key in MEMBERS {
         for _ in 0..8 {
-            table.tell(START, &key, sample);
+            table.observe(START, &key, sample);
         }
     }
     assert!(table.review(START, &MEMBERS, &mut rng()).is_empty());
@@ -203,7 +203,7 @@
 /// against an ejected upstream that nobody probes.
 #[test]
 fn probes() {
-    let mut table = Table::default();
+    let mut table = Detector::default();
     let mut rng = rng();
     failing(&mut table, START);
     table.review(START, &MEMBERS, &mut rng);
@@ -211,9 +211,9 @@
     for tick in 0..3_000 {
         // News keep coming, without any of this upstream.
         let now = after(tick * 100);
-        table.hear(now, HashMap::new());
-        count += u32::from(table.probe(now, &0, 30, &mut rng));
-        assert!(!table.probe(now, &1, 30, &mut rng), "it isn't ejected");
+        table.replace_reported(now, HashMap::new());
+        count += u32::from(table.try_probe(now, &0, 30, &mut rng));
+        assert!(!table.try_probe(now, &1, 30, &mut rng), "it isn't ejected");
     }
     assert!(
         (1..=12).contains(&count),
@@ -224,12 +224,12 @@
 /// Guards against upstreams that are never reinstated without relays.
 #[test]
 fn reinstated_alone() {
-    let mut table = Table::default();
+    let mut table = Detector::default();
     failing(&mut table, START);
     table.review(START, &MEMBERS, &mut rng());
     for n in 1..=4 {
         assert!(table.is_ejected(&0), "after {n} probes");
-        assert!(table.probed(&0, after(n * 1_000), true));
+        assert!(table.record_probe(&0, after(n * 1_000), true));
         table.review(after(n * 1_000), &MEMBERS, &mut rng());
     }
     assert!(!table.is_ejected(&0));
@@ -238,18 +238,18 @@
 /// Guards against requests that were sent before the ejection and count as probes.
 #[test]
 fn sent_before() {
-    let mut table = Table::default();
+    let mut table = Detector::default();
     failing(&mut table, START);
     table.review(after(100), &MEMBERS, &mut rng());
-    assert!(!table.probed(&0, START, true));
-    assert!(table.probed(&0, after(200), false));
+    assert!(!table.record_probe(&0, START, true));
+    assert!(table.record_probe(&0, after(200), false));
 }
 
 /// Guards against an upstream that stays ejected for good because no request of its service may
 /// probe it.
 #[test]
 fn no_probes() {
-    let mut table = Table::default();
+    let mut table = Detector::default();
     failing(&mut table, START);
     table.review(START, &MEMBERS, &mut rng());
     assert!(table.review(after(9_000), &MEMBERS, &mut rng()).is_empty());
--- a/almondlock-policy/tests/prompt_length.rs
+++ b/almondlock-policy/tests/prompt_length.rs
@@ -21,11 +21,11 @@
     for _ in 0..300 {
         estimator.observe(&model(), 30_000, Tokens(10_000));
     }
-    let tokens = estimator.tokens(&model(), 30_000).0;
+    let tokens = estimator.estimate_tokens(&model(), 30_000).0;
     assert!((9_900..=10_100).contains(&tokens), "{tokens}");
     // Other models keep theirs.
     let other = Model::new("small").unwrap();
-    assert_eq!(estimator.tokens(&other, 40_000), Tokens(10_000));
+    assert_eq!(estimator.estimate_tokens(&other, 40_000), Tokens(10_000));
 }
 
 #[parameterized(
@@ -36,7 +36,7 @@
 fn absurd_counts_do_little(bytes: u64, tokens: u64) {
     let mut estimator = Estimator::default();
     estimator.observe(&model(), bytes, Tokens(tokens));
-    let estimate = estimator.tokens(&model(), 40_000).0;
+    let estimate = estimator.estimate_tokens(&model(), 40_000).0;
     assert!((9_000..=11_000).contains(&estimate), "{estimate}");
 }
 
@@ -53,14 +53,14 @@
 #[test]
 fn prefixes_are_bounded_and_tell_where_prompts_part() {
     let long = "word ".repeat(1_000_000);
-    assert_eq!(prefix::hashes(long.as_bytes()).len(), prefix::LIMIT);
-    assert!(prefix::tokens(prefix::LIMIT) >= Tokens(1_000_000));
+    assert_eq!(prefix::hashes(long.as_bytes()).len(), prefix::MAX_HASHES);
+    assert!(prefix::covered_tokens(prefix::MAX_HASHES) >= Tokens(1_000_000));
     assert!(prefix::hashes(b"short").is_empty());
     let mut other = long.clone().into_bytes();
     other[400_000] = b'!';
     let (a, b) = (prefix::hashes(long.as_bytes()), prefix::hashes(&other));
     let shared = a.iter().zip(&b).take_while(|(a, b)| a == b).count();
-    let covered = prefix::tokens(shared).0 * 4;
+    let covered = prefix::covered_tokens(shared).0 * 4;
     assert!(
         (300_000..=400_000).contains(&covered),
         "{covered} of 400,000 bytes"
--- a/almondlock-policy/tests/refused_long.rs
+++ b/almondlock-policy/tests/refused_long.rs
@@ -20,13 +20,13 @@
     Speed {
         slots: 16,
         memory: 450_000,
-        step: 0.925,
-        step_per_stream: 0.00483,
-        step_per_context: 0.00254,
-        read: 256.0,
-        pairs: 0.0917,
-        chunk: 2048.0,
-        stride: 46.0,
+        step_ms: 0.925,
+        step_ms_per_stream: 0.00483,
+        step_ms_per_context: 0.00254,
+        tokens_per_ms: 256.0,
+        ms_per_megapair: 0.0917,
+        chunk_tokens: 2048.0,
+        steps_per_pass: 46.0,
     }
 }
 
@@ -98,7 +98,7 @@
 #[test]
 fn even_rate() {
     let even = Speed {
-        pairs: 0.0,
+        ms_per_megapair: 0.0,
         ..speed()
     };
     assert!(!refuses(&even, &case(900_000, 1_600, BUSY)));
--- a/almondlock-policy/tests/scarce_places.rs
+++ b/almondlock-policy/tests/scarce_slots.rs
@@ -6,8 +6,8 @@
 
 use almondlock_base::time::Mono;
 use almondlock_policy::{
-    places::{AGE, Case, Desk, Engine, Ticket, Verdict},
     share::Standing,
+    slots::{Allocator, Engine, Prompt, STATE_AGE, Ticket, Verdict},
 };
 use rand::{SeedableRng, rngs::SmallRng};
 use yare::parameterized;
@@ -25,8 +25,8 @@
     START + Duration::from_millis(millis)
 }
 
-fn case(arrived: Mono) -> Case {
-    Case {
+fn case(arrived: Mono) -> Prompt {
+    Prompt {
         arrived,
         until: arrived + Duration::from_secs(10),
         objective: Duration::from_millis(300),
@@ -37,45 +37,45 @@
 }
 
 /// All engines with so many streams each.
-fn see(desk: &mut Desk, now: Mono, streams: u32, hosts: usize) {
+fn see(desk: &mut Allocator, now: Mono, streams: u32, hosts: usize) {
     let engine = Engine {
         slots: SLOTS,
         streams,
         ..Engine::default()
     };
-    desk.see(now, [engine; ENGINES], HOLD, hosts);
+    desk.update(now, [engine; ENGINES], HOLD, hosts);
 }
 
 /// A lone host without a free slot.
-fn full() -> Desk {
-    let mut desk = Desk::default();
+fn full() -> Allocator {
+    let mut desk = Allocator::default();
     for _ in 0..ENGINES * SLOTS as usize {
-        desk.begin(START + HOLD);
+        desk.commit(START + HOLD);
     }
     see(&mut desk, START, SLOTS, 0);
     desk
 }
 
-fn wait(desk: &mut Desk, now: Mono, case: &Case) -> Ticket {
-    match desk.ask(now, case, false, &mut rng()) {
+fn wait(desk: &mut Allocator, now: Mono, case: &Prompt) -> Ticket {
+    match desk.decide(now, case, false, &mut rng()) {
         Verdict::Wait(ticket) => ticket,
         other => panic!("{other:?}"),
     }
 }
 
 /// Ends one of the host's requests.
-fn end(desk: &mut Desk, now: Mono) -> Option<Ticket> {
-    let commitment = desk.begin(now + HOLD);
-    desk.end(now, commitment, true)
+fn end(desk: &mut Allocator, now: Mono) -> Option<Ticket> {
+    let commitment = desk.commit(now + HOLD);
+    desk.release(now, commitment, true)
 }
 
 #[test]
 fn free_slots_at_once() {
-    let mut desk = Desk::default();
+    let mut desk = Allocator::default();
     see(&mut desk, START, SLOTS / 2, 26);
     for _ in 0..20 {
         assert_eq!(
-            desk.ask(START, &case(START), true, &mut rng()),
+            desk.decide(START, &case(START), true, &mut rng()),
             Verdict::Send
         );
     }
@@ -106,12 +106,12 @@
 )]
 fn order(standing: Standing, priority: u32, other: u32) {
     let mut desk = full();
-    let one = Case {
+    let one = Prompt {
         standing,
         priority,
         ..case(START)
     };
-    let two = Case {
+    let two = Prompt {
         priority: other,
         ..case(START)
     };
@@ -126,7 +126,9 @@
     let mut desk = full();
     let mut returns = Vec::new();
     for _ in 0..200 {
-        if let Verdict::Refuse { returns: at } = desk.ask(START, &case(START), false, &mut rng()) {
+        if let Verdict::Refuse { retry_after: at } =
+            desk.decide(START, &case(START), false, &mut rng())
+        {
             returns.push(at);
         }
     }
@@ -152,7 +154,7 @@
     let mut desk = full();
     let ticket = wait(&mut desk, after(600), &case(START));
     assert_eq!(desk.grant(after(1_400), &mut rng()), [ticket]);
-    let verdict = desk.ask(after(1_400), &case(START), false, &mut rng());
+    let verdict = desk.decide(after(1_400), &case(START), false, &mut rng());
     assert_eq!(verdict, Verdict::Send);
 }
 
@@ -160,11 +162,11 @@
 #[test]
 fn near_deadline() {
     let mut desk = full();
-    let near = Case {
+    let near = Prompt {
         until: START + HOLD,
         ..case(START)
     };
-    let verdict = desk.ask(START, &near, false, &mut rng());
+    let verdict = desk.decide(START, &near, false, &mut rng());
     assert_eq!(verdict, Verdict::Send);
 }
 
@@ -184,11 +186,11 @@
         is_backlogged: false,
         ..backlogged
     };
-    desk.see(after(50), [busy, backlogged], HOLD, 0);
+    desk.update(after(50), [busy, backlogged], HOLD, 0);
     assert!(desk.grant(after(50), &mut rng()).is_empty());
     assert_eq!(desk.grant(after(250), &mut rng()), [ticket]);
-    desk.see(after(250), [backlogged; ENGINES], HOLD, 0);
-    let verdict = desk.ask(after(250), &case(after(250)), true, &mut rng());
+    desk.update(after(250), [backlogged; ENGINES], HOLD, 0);
+    let verdict = desk.decide(after(250), &case(after(250)), true, &mut rng());
     assert_eq!(verdict, Verdict::Send);
 }
 
@@ -198,7 +200,7 @@
     let mut desk = full();
     let first = wait(&mut desk, START, &case(START));
     let second = wait(&mut desk, START, &case(START));
-    desk.leave(first);
+    desk.cancel(first);
     assert_eq!(end(&mut desk, after(10)), Some(second));
     assert_eq!(desk.waiting(), 0);
 }
@@ -208,7 +210,7 @@
 fn lost_engines() {
     let mut desk = full();
     let ticket = wait(&mut desk, START, &case(START));
-    desk.see(after(50), [], HOLD, 0);
+    desk.update(after(50), [], HOLD, 0);
     assert_eq!(desk.grant(after(50), &mut rng()), [ticket]);
 }
 
@@ -222,7 +224,7 @@
         streams: SLOTS,
         ..Engine::default()
     };
-    desk.see(after(50), [engine; ENGINES - 1], HOLD, 0);
+    desk.update(after(50), [engine; ENGINES - 1], HOLD, 0);
     assert!(desk.grant(after(50), &mut rng()).is_empty());
 }
 
@@ -235,18 +237,18 @@
         waiting: 1,
         is_backlogged: false,
     };
-    let mut desk = Desk::default();
-    desk.see(START, [absurd; ENGINES], HOLD, 0);
-    assert_eq!(desk.account().free, 0);
-    assert_eq!(desk.account().used, u32::MAX);
+    let mut desk = Allocator::default();
+    desk.update(START, [absurd; ENGINES], HOLD, 0);
+    assert_eq!(desk.occupancy().free, 0);
+    assert_eq!(desk.occupancy().in_use, u32::MAX);
 }
 
 /// A host is lost with its requests: the slots that it had go to those that wait elsewhere.
 #[test]
 fn lost_host() {
-    let mut desk = Desk::default();
+    let mut desk = Allocator::default();
     for _ in 0..60 {
-        desk.begin(START + HOLD);
+        desk.commit(START + HOLD);
     }
     see(&mut desk, START, SLOTS, 1);
     let ticket = wait(&mut desk, START, &case(START));
@@ -263,9 +265,9 @@
     let mut rng = rng();
     let mut taken = 0;
     for _ in 0..hosts {
-        let mut desk = Desk::default();
+        let mut desk = Allocator::default();
         for _ in 0..ENGINES as u32 * SLOTS / hosts {
-            desk.begin(START + HOLD);
+            desk.commit(START + HOLD);
         }
         see(&mut desk, START, SLOTS, hosts as usize - 1);
         wait(&mut desk, START, &case(START));
@@ -276,9 +278,9 @@
         };
         let mut engines = [engine; ENGINES];
         engines[0].streams -= 4;
-        desk.see(after(20), engines, HOLD, hosts as usize - 1);
+        desk.update(after(20), engines, HOLD, hosts as usize - 1);
         desk.grant(after(20), &mut rng);
-        desk.grant(START + AGE, &mut rng);
+        desk.grant(START + STATE_AGE, &mut rng);
         taken += 1 - desk.waiting();
     }
     assert!(taken <= 4, "{taken}");
--- a/almondlock-policy/tests/subset_spread.rs
+++ b/almondlock-policy/tests/subset_spread.rs
@@ -12,22 +12,22 @@
     time::Mono,
     unit::Tokens,
 };
-use almondlock_policy::choice::{Ask, Config, Home, Index, Picker, Probing, Site, Table};
+use almondlock_policy::choice::{Config, Index, Locality, Origin, Picker, Query, Sampling, Table};
 use rand::{SeedableRng, rngs::SmallRng};
 
 fn name(i: usize) -> Upstream {
     Upstream::new(&format!("engine-{i}")).unwrap()
 }
 
-fn site(i: usize) -> Site {
-    Site {
+fn site(i: usize) -> Locality {
+    Locality {
         domain: Domain::new(&format!("d{}", i % 6)).unwrap(),
         region: Region::new(&format!("r{}", i % 2)).unwrap(),
     }
 }
 
 fn table(host: usize, upstreams: usize) -> Table {
-    let home = Home {
+    let home = Origin {
         host: Host::new(&format!("entry-{host}")).unwrap(),
         domain: Domain::new("d0").unwrap(),
         region: Region::new("r0").unwrap(),
@@ -43,7 +43,7 @@
 fn used(table: &Table) -> BTreeSet<Upstream> {
     let mut rng = SmallRng::seed_from_u64(1);
     let pick = |_| {
-        let index = Probing.pick(table, &Ask::default(), Mono::ZERO, &mut rng)?;
+        let index = Sampling.pick(table, &Query::default(), Mono::ZERO, &mut rng)?;
         table.name(index).cloned()
     };
     (0..2_000).filter_map(pick).collect()
@@ -124,24 +124,24 @@
         .iter()
         .filter_map(|i| table.find(&name(*i)))
         .collect();
-    let ask = Ask {
+    let ask = Query {
         prompt: Tokens(10),
         excluded: &excluded,
-        ..Ask::default()
+        ..Query::default()
     };
     for _ in 0..200 {
-        let index = Probing.pick(&table, &ask, Mono::ZERO, &mut rng).unwrap();
+        let index = Sampling.pick(&table, &ask, Mono::ZERO, &mut rng).unwrap();
         assert!(!excluded.contains(&index) && index != gone);
     }
     // The slot is used again; news of the one that was there are ignored.
     table.insert(&name(2), site(2));
-    table.sent(gone, Tokens(10));
-    table.ended(gone, Tokens(10), false);
+    table.record_sent(gone, Tokens(10));
+    table.record_end(gone, Tokens(10), false);
     assert_eq!(table.name(gone), None);
     let all: Vec<Index> = (0..6).filter_map(|i| table.find(&name(i))).collect();
-    let ask = Ask {
+    let ask = Query {
         excluded: &all,
-        ..Ask::default()
+        ..Query::default()
     };
-    assert_eq!(Probing.pick(&table, &ask, Mono::ZERO, &mut rng), None);
+    assert_eq!(Sampling.pick(&table, &ask, Mono::ZERO, &mut rng), None);
 }
--- a/almondlock-sidecar/src/table.rs
+++ b/almondlock-sidecar/src/table.rs
@@ -203,7 +203,7 @@
             organisation: head.organisation.clone(),
             weight: head.share,
             prompt: head.prompt,
-            cached: prefix::tokens(leading).min(head.prompt.saturating_sub(Tokens(1))),
+            cached: prefix::covered_tokens(leading).min(head.prompt.saturating_sub(Tokens(1))),
             output: head.output,
             deadline,
             suspect,
