--- a/almondlock-policy/src/cell.rs
+++ b/almondlock-policy/src/cell.rs
@@ -34,7 +34,7 @@
 pub const MIN_ENGINES: usize = 20;
 
 /// Engines of one failure domain that make a second cell there.
-const SPLIT: usize = 2 * MIN_ENGINES;
+const SPLIT_ENGINES: usize = 2 * MIN_ENGINES;
 
 /// How much sooner another cell must be done to be taken: a pass of an engine with
 /// streams and parts. Below that, an engine's own streams make more difference than
@@ -42,7 +42,7 @@
 pub const OVERFLOW_MARGIN: Duration = Duration::from_millis(80);
 
 /// Other cells that a host looks at for each prompt.
-const LOOKED_AT: usize = 2;
+const SAMPLED_CELLS: usize = 2;
 
 /// The cells of a list of engines as one host sees them: each engine's cell, by its
 /// place in the list. The host's own cell is number 0.
@@ -75,7 +75,7 @@
     }
     let parts = |group: &Option<&Domain>| {
         let size = sizes.get(group).copied().unwrap_or_default();
-        (size / SPLIT).max(1) as u64
+        (size / SPLIT_ENGINES).max(1) as u64
     };
     let own_group = domains.get_key_value(own).map(|(own, _)| group(own));
     // Hosts of a failure domain without engines, as when it is evacuated, share the others.
@@ -88,14 +88,14 @@
         let group = group(domain);
         let next = numbers.len();
         *numbers
-            .entry((group, place(name) % parts(&group)))
+            .entry((group, hash_name(name) % parts(&group)))
             .or_insert(next)
     });
     cells.collect()
 }
 
 /// A number that all hosts give to an engine of this name.
-fn place(name: &Upstream) -> u64 {
+fn hash_name(name: &Upstream) -> u64 {
     // Its keys are fixed, unlike those of a hash map.
     let mut hasher = std::hash::DefaultHasher::new();
     name.as_str().hash(&mut hasher);
@@ -107,5 +107,5 @@
 where
     R: RngCore,
 {
-    index::sample(rng, others, others.min(LOOKED_AT)).into_vec()
+    index::sample(rng, others, others.min(SAMPLED_CELLS)).into_vec()
 }
--- a/almondlock-policy/src/choice/load.rs
+++ b/almondlock-policy/src/choice/load.rs
@@ -23,15 +23,15 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Load {
     pub(super) report: Report,
-    pub(super) at: Option<Mono>,
+    pub(super) reported_at: Option<Mono>,
     /// Own attempts that have not ended.
     pub(super) outstanding: u32,
     /// Own prompt tokens whose first answer token has not come.
-    pub(super) unanswered: Tokens,
+    pub(super) unanswered_tokens: Tokens,
     /// Own attempts sent after the report, which it can't contain.
-    pub(super) sent: u32,
+    pub(super) sent_since_report: u32,
     /// Their prompt tokens.
-    pub(super) sent_tokens: Tokens,
+    pub(super) tokens_since_report: Tokens,
     /// It failed lately and is passed over until then.
     pub(super) avoid_until: Option<Mono>,
 }
@@ -39,8 +39,8 @@
 impl Load {
     /// How much a report still counts: halves with each half-life. A straight
     /// line between the halvings is close enough and needs no `exp`.
-    pub(super) fn trust(&self, now: Mono, half_life: Duration) -> f64 {
-        let Some(at) = self.at else {
+    pub(super) fn report_weight(&self, now: Mono, half_life: Duration) -> f64 {
+        let Some(at) = self.reported_at else {
             return 0.0;
         };
         let halvings = now.since(at).as_secs_f64() / half_life.as_secs_f64().max(1e-6);
--- a/almondlock-policy/src/choice/subset.rs
+++ b/almondlock-policy/src/choice/subset.rs
@@ -70,7 +70,7 @@
 }
 
 /// A name as a number, the same on every host and in every version.
-pub(super) fn hash(text: &str) -> u64 {
+pub(super) fn hash_name(text: &str) -> u64 {
     let fnv = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
     mix(text.bytes().fold(0xcbf2_9ce4_8422_2325, fnv), 0)
 }
--- a/almondlock-policy/src/choice/table.rs
+++ b/almondlock-policy/src/choice/table.rs
@@ -11,7 +11,7 @@
 use super::{
     hint::Hints,
     load::{Load, Report},
-    subset::{Subset, hash, mix},
+    subset::{Subset, hash_name, mix},
 };
 use crate::length::Class;
 
@@ -108,9 +108,9 @@
 #[derive(Debug)]
 pub(super) struct Row {
     name: Upstream,
-    site: Locality,
+    locality: Locality,
     generation: u32,
-    pub(super) near: bool,
+    pub(super) same_region: bool,
     pub(super) same_domain: bool,
     pub(super) leaving: bool,
     /// Whether long prompts are kept away. All entry hosts agree on it.
@@ -126,20 +126,20 @@
 #[derive(Debug)]
 pub struct Table {
     pub(super) config: Config,
-    home: Origin,
+    origin: Origin,
     pub(super) rows: Vec<Option<Row>>,
     /// Rendezvous keys by slot, apart from the rows so that the pass over all
     /// of them stays within a few cache lines. `None` for an empty slot.
     keys: Vec<Option<u64>>,
     free: Vec<u32>,
-    lives: u32,
+    last_generation: u32,
     names: HashMap<Upstream, u32>,
-    pub(super) near: Subset,
-    pub(super) far: Subset,
+    pub(super) local: Subset,
+    pub(super) remote: Subset,
     pub(super) hints: Hints,
     pub(super) average: Average,
     /// Where the search for something to probe goes on.
-    cursor: usize,
+    probe_cursor: usize,
 }
 
 /// Figures over the upstreams heard from lately.
@@ -150,73 +150,73 @@
     /// Mean number in flight.
     pub(super) in_flight: f64,
     /// The number in flight above which an upstream is hot.
-    pub(super) hot: f64,
+    pub(super) hot_threshold: f64,
     /// Own attempts that have not ended.
     pub(super) outstanding: u64,
 }
 
 /// Gain of the running means.
-const GAIN: f64 = 0.05;
+const AVERAGE_GAIN: f64 = 0.05;
 
 impl Table {
     /// An empty table.
-    pub fn new(config: Config, home: Origin) -> Table {
+    pub fn new(config: Config, origin: Origin) -> Table {
         Table {
             config,
-            home,
+            origin,
             rows: Vec::new(),
             keys: Vec::new(),
             free: Vec::new(),
-            lives: 0,
+            last_generation: 0,
             names: HashMap::new(),
-            near: Subset::default(),
-            far: Subset::default(),
+            local: Subset::default(),
+            remote: Subset::default(),
             hints: Hints::new(config.hint_limit),
             average: Average::default(),
-            cursor: 0,
+            probe_cursor: 0,
         }
     }
 
     /// Adds an upstream. One of the same name that stands elsewhere is
     /// replaced; one that stands at the same place is kept with its load.
-    pub fn insert(&mut self, name: &Upstream, site: Locality) -> Index {
+    pub fn insert(&mut self, name: &Upstream, locality: Locality) -> Index {
         if let Some(index) = self.find(name) {
-            if self.row(index).is_some_and(|row| row.site == site) {
+            if self.row(index).is_some_and(|row| row.locality == locality) {
                 return index;
             }
             self.remove(name);
         }
-        let key = hash(name.as_str());
-        let score = mix(key, hash(self.home.host.as_str()));
-        self.lives = self.lives.wrapping_add(1);
+        let key = hash_name(name.as_str());
+        let score = mix(key, hash_name(self.origin.host.as_str()));
+        self.last_generation = self.last_generation.wrapping_add(1);
         let row = Row {
             name: name.clone(),
-            generation: self.lives,
-            near: site.region == self.home.region,
-            same_domain: site.domain == self.home.domain,
+            generation: self.last_generation,
+            same_region: locality.region == self.origin.region,
+            same_domain: locality.domain == self.origin.domain,
             leaving: false,
             short_only: key % 100 < u64::from(self.config.short_only_percent),
             key,
             score,
             load: Load::default(),
-            site,
+            locality,
         };
-        self.place(row)
+        self.insert_row(row)
     }
 
-    fn place(&mut self, row: Row) -> Index {
+    fn insert_row(&mut self, row: Row) -> Index {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.rows.push(None);
             self.keys.push(None);
             self.rows.len() as u32 - 1
         });
         let size = self.config.subset_size;
-        let side = if row.near {
-            &mut self.near
+        let side = if row.same_region {
+            &mut self.local
         } else {
-            &mut self.far
+            &mut self.remote
         };
-        side.insert(&row.site.domain, row.score, slot, size);
+        side.insert(&row.locality.domain, row.score, slot, size);
         self.names.insert(row.name.clone(), slot);
         self.keys[slot as usize] = Some(row.key);
         let index = Index {
@@ -236,12 +236,12 @@
             return;
         };
         let size = self.config.subset_size;
-        let side = if row.near {
-            &mut self.near
+        let side = if row.same_region {
+            &mut self.local
         } else {
-            &mut self.far
+            &mut self.remote
         };
-        side.remove(&row.site.domain, row.score, slot, size);
+        side.remove(&row.locality.domain, row.score, slot, size);
         self.average.outstanding -= u64::from(row.load.outstanding);
         self.keys[slot as usize] = None;
         self.hints.forget(slot);
@@ -259,11 +259,8 @@
     /// Where an upstream of this name is.
     pub fn find(&self, name: &Upstream) -> Option<Index> {
         let slot = *self.names.get(name)?;
-        let life = self.rows.get(slot as usize)?.as_ref()?.generation;
-        Some(Index {
-            slot,
-            generation: life,
-        })
+        let generation = self.rows.get(slot as usize)?.as_ref()?.generation;
+        Some(Index { slot, generation })
     }
 
     /// The name of an upstream.
@@ -292,7 +289,7 @@
     /// Free memory of an upstream, by its last report.
     pub fn free_memory(&self, name: &Upstream) -> Option<Tokens> {
         let row = self.row(self.find(name)?)?;
-        row.load.at.map(|_| row.load.report.free_memory)
+        row.load.reported_at.map(|_| row.load.report.free_memory)
     }
 
     /// How many upstreams there are.
@@ -311,22 +308,22 @@
         let Some(row) = self.row_mut(index) else {
             return;
         };
-        if row.load.at.is_some_and(|at| at > now) {
+        if row.load.reported_at.is_some_and(|at| at > now) {
             return;
         }
         row.load.report = report;
-        row.load.at = Some(now);
-        row.load.sent = 0;
-        row.load.sent_tokens = Tokens::ZERO;
+        row.load.reported_at = Some(now);
+        row.load.sent_since_report = 0;
+        row.load.tokens_since_report = Tokens::ZERO;
         let in_flight = f64::from(report.in_flight);
         let average = &mut self.average;
-        average.wait += (report.wait.as_secs_f64() - average.wait) * GAIN;
-        average.in_flight += (in_flight - average.in_flight) * GAIN;
+        average.wait += (report.wait.as_secs_f64() - average.wait) * AVERAGE_GAIN;
+        average.in_flight += (in_flight - average.in_flight) * AVERAGE_GAIN;
         // A running quantile: steps up by `hot` and down by the rest, so that
         // it comes to rest where that share of the reports lies below it.
-        let step = (average.in_flight * GAIN).max(0.05);
-        let above = in_flight > average.hot;
-        average.hot += if above {
+        let step = (average.in_flight * AVERAGE_GAIN).max(0.05);
+        let above = in_flight > average.hot_threshold;
+        average.hot_threshold += if above {
             step * hot
         } else {
             -step * (1.0 - hot)
@@ -339,22 +336,22 @@
             return;
         };
         row.load.outstanding += 1;
-        row.load.unanswered += prompt;
-        row.load.sent += 1;
-        row.load.sent_tokens += prompt;
+        row.load.unanswered_tokens += prompt;
+        row.load.sent_since_report += 1;
+        row.load.tokens_since_report += prompt;
         self.average.outstanding += 1;
     }
 
     /// Notes that an attempt's prompt was processed there: its first token
     /// came, so the prompt's start is likely cached.
-    pub fn record_first_token(&mut self, index: Index, ask: &Query<'_>) {
+    pub fn record_first_token(&mut self, index: Index, query: &Query<'_>) {
         let Some(row) = self.row_mut(index) else {
             return;
         };
-        row.load.unanswered = row.load.unanswered.saturating_sub(ask.prompt);
-        row.load.sent_tokens = row.load.sent_tokens.saturating_sub(ask.prompt);
-        for hash in ask.prefix {
-            self.hints.put(*hash, index.slot);
+        row.load.unanswered_tokens = row.load.unanswered_tokens.saturating_sub(query.prompt);
+        row.load.tokens_since_report = row.load.tokens_since_report.saturating_sub(query.prompt);
+        for hash in query.prefix {
+            self.hints.insert(*hash, index.slot);
         }
     }
 
@@ -367,10 +364,10 @@
         let load = &mut row.load;
         let counted = load.outstanding > 0;
         load.outstanding = load.outstanding.saturating_sub(1);
-        load.sent = load.sent.saturating_sub(1);
+        load.sent_since_report = load.sent_since_report.saturating_sub(1);
         if !answered {
-            load.unanswered = load.unanswered.saturating_sub(prompt);
-            load.sent_tokens = load.sent_tokens.saturating_sub(prompt);
+            load.unanswered_tokens = load.unanswered_tokens.saturating_sub(prompt);
+            load.tokens_since_report = load.tokens_since_report.saturating_sub(prompt);
         }
         self.average.outstanding -= u64::from(counted);
     }
@@ -388,16 +385,16 @@
     /// to be probed. Goes round, so that one that never answers does not keep
     /// the others from being asked.
     pub fn next_stale(&mut self, age: Duration, now: Mono) -> Option<Index> {
-        let chosen = &self.near.chosen;
+        let chosen = &self.local.chosen;
         for step in 1..=chosen.len() {
-            let at = (self.cursor + step) % chosen.len();
+            let at = (self.probe_cursor + step) % chosen.len();
             let slot = chosen[at];
             let Some(row) = self.rows.get(slot as usize).and_then(Option::as_ref) else {
                 continue;
             };
-            let old = row.load.at.is_none_or(|at| now.since(at) >= age);
+            let old = row.load.reported_at.is_none_or(|at| now.since(at) >= age);
             if old && !row.leaving {
-                self.cursor = at;
+                self.probe_cursor = at;
                 return Some(Index {
                     slot,
                     generation: row.generation,
@@ -449,12 +446,12 @@
 
 impl Row {
     /// Whether an attempt may go there at all.
-    pub(super) fn takes(&self, ask: &Query<'_>, index: Index) -> bool {
-        !self.leaving && !ask.excluded.contains(&index)
+    pub(super) fn may_take(&self, query: &Query<'_>, index: Index) -> bool {
+        !self.leaving && !query.excluded.contains(&index)
     }
 
     /// Whether it is kept free of prompts this long.
-    pub(super) fn spares(&self, ask: &Query<'_>) -> bool {
-        self.short_only && Class::of(ask.prompt) >= Class::Long
+    pub(super) fn is_closed_to(&self, query: &Query<'_>) -> bool {
+        self.short_only && Class::of(query.prompt) >= Class::Long
     }
 }
--- a/almondlock-policy/src/engine.rs
+++ b/almondlock-policy/src/engine.rs
@@ -40,10 +40,10 @@
     /// The time to read one of several even parts of a prompt. Each part has
     /// its share of all pairs.
     pub fn part_reading_time(&self, tokens: u64, parts: usize) -> Duration {
-        let tokens = precise(tokens);
+        let tokens = to_f64(tokens);
         let pairs = tokens * tokens / 2.0 / 1e6;
         let millis = tokens / self.tokens_per_ms + pairs * self.ms_per_megapair;
-        let parts = precise(parts as u64).max(1.0);
+        let parts = to_f64(parts as u64).max(1.0);
         Duration::from_secs_f64(millis.max(0.0) / parts / 1e3)
     }
 
@@ -63,7 +63,7 @@
     pub fn reading_rate(&self, tokens: u64) -> f64 {
         let millis = self.reading_time(tokens).as_secs_f64() * 1e3;
         if millis > 0.0 {
-            precise(tokens) / millis
+            to_f64(tokens) / millis
         } else {
             self.tokens_per_ms
         }
@@ -73,7 +73,7 @@
     /// of context in all, and reads nothing.
     pub fn pass_time(&self, streams: u32, context: u64) -> Duration {
         let streams = f64::from(streams.max(1));
-        let context = precise(context) / 1e3;
+        let context = to_f64(context) / 1e3;
         let step =
             self.step_ms + self.step_ms_per_stream * streams + self.step_ms_per_context * context;
         Duration::from_secs_f64((step * self.steps_per_pass).max(0.0) / 1e3)
@@ -82,6 +82,6 @@
 
 /// Token counts stay far below the 2^52 that an `f64` holds exactly.
 #[allow(clippy::cast_precision_loss)]
-fn precise(count: u64) -> f64 {
+fn to_f64(count: u64) -> f64 {
     count as f64
 }
--- a/almondlock-policy/src/fill.rs
+++ b/almondlock-policy/src/fill.rs
@@ -25,7 +25,7 @@
 {
     let mut order = costs.to_vec();
     order.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-    let level = level(&order, work);
+    let level = fill_level(&order, work);
     let mut drawn = rng.random::<f64>() * work;
     for (cost, engine) in &order {
         drawn -= (level - cost).max(0.0);
@@ -38,7 +38,7 @@
 }
 
 /// The cost up to which this much work fills the engines, the least cost first.
-fn level(order: &[(f64, usize)], work: f64) -> f64 {
+fn fill_level(order: &[(f64, usize)], work: f64) -> f64 {
     let mut sum = 0.0;
     let mut level = 0.0;
     for ((cost, _), count) in order.iter().zip(1_u32..) {
--- a/almondlock-policy/src/length.rs
+++ b/almondlock-policy/src/length.rs
@@ -86,17 +86,17 @@
 }
 
 /// Bytes a token stands for until an engine has reported.
-const BYTES: f64 = 4.0;
+const BYTES_PER_TOKEN: f64 = 4.0;
 /// Bounds of the ratio, so that a wrong report can't make a prompt vanish or
 /// fill the fleet.
-const BYTES_RANGE: std::ops::RangeInclusive<f64> = 0.5..=16.0;
+const BYTES_PER_TOKEN_RANGE: std::ops::RangeInclusive<f64> = 0.5..=16.0;
 /// How much a report counts against what was known.
-const GAIN: f64 = 0.02;
+const REPORT_WEIGHT: f64 = 0.02;
 /// Prompts with fewer bytes say little: what surrounds a prompt weighs too much.
-const SAMPLE: u64 = 1_024;
+const MIN_SAMPLE_BYTES: u64 = 1_024;
 /// Models whose ratio is kept. More than a fleet serves; a bound against
 /// made-up names.
-const MODELS: usize = 1_024;
+const MAX_MODELS: usize = 1_024;
 
 /// Estimates tokens from bytes.
 #[derive(Clone, Debug, Default)]
@@ -108,21 +108,21 @@
 impl Estimator {
     /// How many tokens a prompt of this many bytes has, about.
     pub fn estimate_tokens(&self, model: &Model, bytes: u64) -> Tokens {
-        let ratio = self.ratios.get(model).copied().unwrap_or(BYTES);
+        let ratio = self.ratios.get(model).copied().unwrap_or(BYTES_PER_TOKEN);
         Tokens((bytes as f64 / ratio).ceil() as u64)
     }
 
     /// Learns from a prompt that an engine counted.
     pub fn observe(&mut self, model: &Model, bytes: u64, tokens: Tokens) {
-        if bytes < SAMPLE || tokens == Tokens::ZERO {
+        if bytes < MIN_SAMPLE_BYTES || tokens == Tokens::ZERO {
             return;
         }
-        let (least, most) = BYTES_RANGE.into_inner();
+        let (least, most) = BYTES_PER_TOKEN_RANGE.into_inner();
         let seen = (bytes as f64 / tokens.0 as f64).clamp(least, most);
         if let Some(ratio) = self.ratios.get_mut(model) {
-            *ratio += (seen - *ratio) * GAIN;
-        } else if self.ratios.len() < MODELS {
-            let ratio = BYTES + (seen - BYTES) * GAIN;
+            *ratio += (seen - *ratio) * REPORT_WEIGHT;
+        } else if self.ratios.len() < MAX_MODELS {
+            let ratio = BYTES_PER_TOKEN + (seen - BYTES_PER_TOKEN) * REPORT_WEIGHT;
             self.ratios.insert(model.clone(), ratio);
         }
     }
--- a/almondlock-policy/src/outlier/detector.rs
+++ b/almondlock-policy/src/outlier/detector.rs
@@ -11,26 +11,26 @@
 };
 
 /// Of a service's upstreams at most one in so many is ejected.
-const EJECTED: usize = 3;
+const UPSTREAMS_PER_EJECTION: usize = 3;
 /// Between the probes that all hosts together send to an ejected upstream that hasn't answered
 /// since. An engine gets 1.2 short prompts a second otherwise: a probe each second fails as
 /// many requests as no ejection at all.
-const PROBE: Duration = Duration::from_millis(2_000);
+const PROBE_INTERVAL: Duration = Duration::from_millis(2_000);
 /// The same once it answers: it is to be back soon if it is well.
-const PROBE_ANSWERING: Duration = Duration::from_millis(400);
+const ANSWERING_PROBE_INTERVAL: Duration = Duration::from_millis(400);
 /// Probes that one host must see answered in a row to reinstate an upstream. Of one that fails
 /// 45 requests in 100 nine in 100 pass.
-const PASSED: u32 = 4;
+const MIN_OWN_PASSES: u32 = 4;
 /// The same over all hosts, within a window without a failure. All hosts know the same then,
 /// and reinstate it together.
-const PASSED_POOLED: u32 = 3;
+const MIN_POOLED_PASSES: u32 = 3;
 /// An upstream that no request could probe for this long is reinstated: its service has none
 /// that may be repeated, or dozens of hosts share the probes and don't hear of their outcome.
-const EXPIRES: Duration = Duration::from_secs(10);
+const EJECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How an upstream stands that is not as it should be.
 #[derive(Clone, Copy, Debug)]
-struct Standing {
+struct Status {
     rate: f64,
     ejection: Option<Ejection>,
 }
@@ -39,11 +39,11 @@
 struct Ejection {
     since: Mono,
     /// When it was last probed by this host, or ejected.
-    probed: Mono,
+    last_probe: Mono,
     /// The pause from then until this host's next probe, as a multiple of the usual one.
     pause: (Mono, f64),
     /// Probes of this host answered in a row.
-    passed: u32,
+    passes: u32,
     /// Answers to probes and no failures are known within the window.
     is_answering: bool,
 }
@@ -64,9 +64,9 @@
 pub struct Detector<K> {
     windows: HashMap<K, Window>,
     reported: HashMap<K, Summary>,
-    heard: Option<Mono>,
+    reported_at: Option<Mono>,
     /// Those that are slower than others or ejected.
-    standings: HashMap<K, Standing>,
+    statuses: HashMap<K, Status>,
     /// The host's own delays.
     pub stall: Stall,
 }
@@ -76,8 +76,8 @@
         Detector {
             windows: HashMap::new(),
             reported: HashMap::new(),
-            heard: None,
-            standings: HashMap::new(),
+            reported_at: None,
+            statuses: HashMap::new(),
             stall: Stall::default(),
         }
     }
@@ -103,16 +103,16 @@
     }
 
     /// A relay told what all hosts observed; that replaces what was told before.
-    pub fn replace_reported(&mut self, now: Mono, accounts: HashMap<K, Summary>) {
-        self.heard = Some(now);
-        self.reported = accounts;
+    pub fn replace_reported(&mut self, now: Mono, summaries: HashMap<K, Summary>) {
+        self.reported_at = Some(now);
+        self.reported = summaries;
     }
 
     /// Another life of an upstream has begun.
     pub fn forget(&mut self, key: &K) {
         self.windows.remove(key);
         self.reported.remove(key);
-        self.standings.remove(key);
+        self.statuses.remove(key);
     }
 
     /// Forgets upstreams that are gone.
@@ -122,39 +122,37 @@
     {
         self.windows.retain(|key, _| is_known(key));
         self.reported.retain(|key, _| is_known(key));
-        self.standings.retain(|key, _| is_known(key));
+        self.statuses.retain(|key, _| is_known(key));
     }
 
-    /// What this host has to report: its accounts as far as it trusts itself.
+    /// What this host has to report: its summaries as far as it trusts itself.
     pub fn report(&mut self, now: Mono) -> Vec<(K, Summary)> {
         self.windows.retain(|_, window| !window.is_expired(now));
         let entries = self.windows.iter();
-        let (keys, mut accounts): (Vec<&K>, Vec<Summary>) = entries
+        let (keys, mut summaries): (Vec<&K>, Vec<Summary>) = entries
             .map(|(key, window)| (key, window.summarise(now)))
             .unzip();
-        drop_untrusted(&mut accounts);
-        let entries = keys.into_iter().cloned().zip(accounts);
+        drop_untrusted(&mut summaries);
+        let entries = keys.into_iter().cloned().zip(summaries);
         entries
-            .filter(|(_, account)| account.requests() + account.time_weight > 0)
+            .filter(|(_, summary)| summary.requests() + summary.time_weight > 0)
             .collect()
     }
 
     /// Work that an upstream does in a time, against what it should.
     pub fn rate(&self, key: &K) -> f64 {
-        self.standings
-            .get(key)
-            .map_or(1.0, |standing| standing.rate)
+        self.statuses.get(key).map_or(1.0, |status| status.rate)
     }
 
     /// Whether an upstream is ejected.
     pub fn is_ejected(&self, key: &K) -> bool {
-        let standing = self.standings.get(key);
-        standing.is_some_and(|standing| standing.ejection.is_some())
+        let status = self.statuses.get(key);
+        status.is_some_and(|status| status.ejection.is_some())
     }
 
     /// Whether any upstream is ejected.
     pub fn has_ejected(&self) -> bool {
-        self.standings.values().any(|s| s.ejection.is_some())
+        self.statuses.values().any(|s| s.ejection.is_some())
     }
 
     /// Takes the right to probe an ejected upstream with a request, if its turn has come.
@@ -163,36 +161,36 @@
     where
         R: RngCore,
     {
-        let is_heard = self.is_heard(now);
-        let standing = self.standings.get_mut(key);
-        let ejection = standing.and_then(|standing| standing.ejection.as_mut());
+        let has_fresh_reports = self.has_fresh_reports(now);
+        let status = self.statuses.get_mut(key);
+        let ejection = status.and_then(|status| status.ejection.as_mut());
         let is_due = |ejection: &&mut Ejection| {
-            let usual = probe_pause(is_heard, ejection.is_answering, hosts);
+            let usual = probe_interval(has_fresh_reports, ejection.is_answering, hosts);
             let (from, multiple) = ejection.pause;
             now >= from + usual.mul_f64(multiple)
         };
         let Some(ejection) = ejection.filter(is_due) else {
             return false;
         };
-        ejection.pause = (now, drawn(rng));
-        ejection.probed = now;
+        ejection.pause = (now, draw_multiple(rng));
+        ejection.last_probe = now;
         true
     }
 
     /// A request ended. Gives whether it was a probe: it was sent at a time when the
     /// upstream was ejected.
     pub fn record_probe(&mut self, key: &K, sent: Mono, is_passed: bool) -> bool {
-        let standing = self.standings.get_mut(key);
-        let ejection = standing.and_then(|standing| standing.ejection.as_mut());
+        let status = self.statuses.get_mut(key);
+        let ejection = status.and_then(|status| status.ejection.as_mut());
         let Some(ejection) = ejection.filter(|ejection| sent >= ejection.since) else {
             return false;
         };
-        ejection.passed = if is_passed { ejection.passed + 1 } else { 0 };
+        ejection.passes = if is_passed { ejection.passes + 1 } else { 0 };
         true
     }
 
-    fn is_heard(&self, now: Mono) -> bool {
-        self.heard.is_some_and(|at| now.since(at) < WINDOW)
+    fn has_fresh_reports(&self, now: Mono) -> bool {
+        self.reported_at.is_some_and(|at| now.since(at) < WINDOW)
     }
 
     /// Judges the upstreams of a service anew, and gives what has changed.
@@ -200,16 +198,16 @@
     where
         R: RngCore,
     {
-        let found = self.find(now, members);
+        let found = self.evaluate(now, members);
         let mut changes = Vec::new();
         // Without those that are reinstated: what they did before counts no more.
         let mut others: Vec<(&K, &Finding)> = Vec::new();
         for (key, finding) in members.iter().zip(&found) {
-            self.note_answers(now, key, finding, rng);
-            if !self.is_reinstated(now, key, finding) {
+            self.update_answering(now, key, finding, rng);
+            if !self.may_reinstate(now, key, finding) {
                 others.push((key, finding));
             } else {
-                self.standings.remove(key);
+                self.statuses.remove(key);
                 self.windows.remove(key);
                 changes.push(Change {
                     key: key.clone(),
@@ -219,30 +217,29 @@
             }
         }
         for (key, finding) in others.iter().copied() {
-            match self.standings.get_mut(key) {
-                Some(standing) => standing.rate = finding.rate,
+            match self.statuses.get_mut(key) {
+                Some(status) => status.rate = finding.rate,
                 None if finding.rate < 1.0 => {
                     let (rate, ejection) = (finding.rate, None);
-                    self.standings
-                        .insert(key.clone(), Standing { rate, ejection });
+                    self.statuses.insert(key.clone(), Status { rate, ejection });
                 }
                 None => {}
             }
         }
-        let room = members.len() / EJECTED;
+        let room = members.len() / UPSTREAMS_PER_EJECTION;
         changes.extend(self.eject(now, room, others, rng));
-        self.standings
+        self.statuses
             .retain(|_, s| s.ejection.is_some() || s.rate < 1.0);
         changes
     }
 
     /// What own observations and reported ones say, the worse of both.
-    fn find(&self, now: Mono, members: &[K]) -> Vec<Finding> {
+    fn evaluate(&self, now: Mono, members: &[K]) -> Vec<Finding> {
         let own = members.iter().map(|key| self.windows.get(key));
         let own = own.map(|window| window.map(|w| w.summarise(now)).unwrap_or_default());
         let mut own: Vec<Summary> = own.collect();
         drop_untrusted(&mut own);
-        let reported = members.iter().map(|key| self.reported_account(now, key));
+        let reported = members.iter().map(|key| self.reported_summary(now, key));
         let reported: Vec<Summary> = reported.collect();
         let all = [&own[..], &reported[..]];
         let own_found = find_outliers(&own, Source::Own, all);
@@ -261,52 +258,54 @@
     }
 
     /// What was reported of an upstream, if it is fresh and several hosts observed it.
-    fn reported_account(&self, now: Mono, key: &K) -> Summary {
-        let account = self.fresh_report(now, key);
-        Some(account).filter(|a| a.hosts >= 2).unwrap_or_default()
+    fn reported_summary(&self, now: Mono, key: &K) -> Summary {
+        let summary = self.fresh_report(now, key);
+        Some(summary).filter(|a| a.hosts >= 2).unwrap_or_default()
     }
 
     fn fresh_report(&self, now: Mono, key: &K) -> Summary {
-        let account = self.reported.get(key).copied();
-        let fresh = account.filter(|account| now.since(account.newest) < WINDOW);
+        let summary = self.reported.get(key).copied();
+        let fresh = summary.filter(|summary| now.since(summary.newest) < WINDOW);
         fresh.unwrap_or_default()
     }
 
     /// Notes whether an ejected upstream answers the probes of all hosts.
-    fn note_answers<R>(&mut self, now: Mono, key: &K, finding: &Finding, rng: &mut R)
+    fn update_answering<R>(&mut self, now: Mono, key: &K, finding: &Finding, rng: &mut R)
     where
         R: RngCore,
     {
         // One host's word is enough here: it makes the others probe sooner.
-        let account = self.fresh_report(now, key);
-        let standing = self.standings.get_mut(key);
-        if let Some(ejection) = standing.and_then(|standing| standing.ejection.as_mut()) {
+        let summary = self.fresh_report(now, key);
+        let status = self.statuses.get_mut(key);
+        if let Some(ejection) = status.and_then(|status| status.ejection.as_mut()) {
             // What was observed before the ejection is too old by now.
             let is_over = now.since(ejection.since) >= WINDOW;
-            let is_well = account.capped_failures == 0 && !finding.is_outlier;
-            let is_answering = is_over && is_well && account.answers > 0;
+            let is_well = summary.capped_failures == 0 && !finding.is_outlier;
+            let is_answering = is_over && is_well && summary.answers > 0;
             if is_answering != ejection.is_answering {
                 ejection.is_answering = is_answering;
                 // Drawn anew: hosts that have not probed yet are those with long pauses.
-                ejection.pause = (now, drawn(rng));
+                ejection.pause = (now, draw_multiple(rng));
             }
         }
     }
 
-    fn is_reinstated(&self, now: Mono, key: &K, finding: &Finding) -> bool {
-        let standing = self.standings.get(key);
-        let Some(ejection) = standing.and_then(|standing| standing.ejection) else {
+    fn may_reinstate(&self, now: Mono, key: &K, finding: &Finding) -> bool {
+        let status = self.statuses.get(key);
+        let Some(ejection) = status.and_then(|status| status.ejection) else {
             return false;
         };
         // What was observed before the ejection is too old by now.
         let is_over = now.since(ejection.since) >= WINDOW;
-        let account = self.reported_account(now, key);
-        let passed = account.answers >= PASSED_POOLED && account.capped_failures == 0;
+        let summary = self.reported_summary(now, key);
+        let passed = summary.answers >= MIN_POOLED_PASSES && summary.capped_failures == 0;
         let is_unknown = self.fresh_report(now, key).requests() == 0 && !finding.is_outlier;
-        let is_expired = now.since(ejection.probed) >= EXPIRES && is_unknown;
+        let is_expired = now.since(ejection.last_probe) >= EJECTION_TIMEOUT && is_unknown;
         let is_well = finding.rate >= 1.0;
         let is_contradicted = finding.is_outlier && finding.source == Source::Reported;
-        ejection.passed >= PASSED && !is_contradicted || is_over && passed && is_well || is_expired
+        ejection.passes >= MIN_OWN_PASSES && !is_contradicted
+            || is_over && passed && is_well
+            || is_expired
     }
 
     /// Ejects the worst outliers, at most `most` in all, and reinstates the best of those beyond
@@ -332,8 +331,8 @@
         // More than that are left ejected once others leave or are evacuated.
         ejected.sort_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
         for (key, finding) in ejected.into_iter().skip(most) {
-            if let Some(standing) = self.standings.get_mut(key) {
-                standing.ejection = None;
+            if let Some(status) = self.statuses.get_mut(key) {
+                status.ejection = None;
             }
             changes.push(Change {
                 key: key.clone(),
@@ -344,16 +343,16 @@
         for (key, finding) in outliers {
             let ejection = Ejection {
                 since: now,
-                probed: now,
-                pause: (now, drawn(rng)),
-                passed: 0,
+                last_probe: now,
+                pause: (now, draw_multiple(rng)),
+                passes: 0,
                 is_answering: false,
             };
-            let standing = Standing {
+            let status = Status {
                 rate: finding.rate,
                 ejection: Some(ejection),
             };
-            self.standings.insert(key.clone(), standing);
+            self.statuses.insert(key.clone(), status);
             changes.push(Change {
                 key: key.clone(),
                 is_ejected: true,
@@ -365,19 +364,19 @@
 }
 
 /// Between two probes of one host, of so many.
-fn probe_pause(is_heard: bool, is_answering: bool, hosts: usize) -> Duration {
+fn probe_interval(has_fresh_reports: bool, is_answering: bool, hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts.max(1)).unwrap_or(u32::MAX);
     // Without reports the others wouldn't know that it answers.
-    let pause = match is_heard && is_answering {
-        true => PROBE_ANSWERING,
-        false => PROBE,
+    let pause = match has_fresh_reports && is_answering {
+        true => ANSWERING_PROBE_INTERVAL,
+        false => PROBE_INTERVAL,
     };
     pause.saturating_mul(hosts)
 }
 
 /// A multiple of a pause, exponentially distributed: the probes of all hosts together come at
 /// the intended rate from the start, also when the usual pause changes.
-fn drawn<R>(rng: &mut R) -> f64
+fn draw_multiple<R>(rng: &mut R) -> f64
 where
     R: RngCore,
 {
--- a/almondlock-policy/src/outlier/finding.rs
+++ b/almondlock-policy/src/outlier/finding.rs
@@ -5,31 +5,31 @@
 
 use almondlock_base::time::Mono;
 
-use super::{Summary, summary::bounds};
+use super::{Summary, summary::failure_bounds};
 
 /// The weight of times without which nothing is said of an upstream's speed. Expectations are
 /// wrong by a few hundred milliseconds for one request in ten; the median of some isn't.
-const SAMPLES: u32 = 6;
+const MIN_TIME_WEIGHT: u32 = 6;
 /// Other upstreams that one is compared with, itself included, at the least.
-const COMPARED: usize = 3;
+const MIN_COMPARED: usize = 3;
 /// Below this an upstream counts as no slower than the others: it is within the usual error.
-const SLOWER: f64 = 1.5;
+const MIN_SLOWNESS: f64 = 1.5;
 /// From here on it is ejected. A first event takes most of its objective where it should take
 /// less than half.
-const FAR_SLOWER: f64 = 3.0;
+const EJECTION_SLOWNESS: f64 = 3.0;
 /// Failures without which nothing is said, of one host's observations and of several hosts'.
-const FAILURES_OWN: u32 = 3;
-const FAILURES_POOLED: u32 = 2;
+const MIN_OWN_FAILURES: u32 = 3;
+const MIN_POOLED_FAILURES: u32 = 2;
 /// An upstream fails often if at least this part of its requests fails: beyond it the budget of
 /// further attempts, 0.2 of requests, doesn't cover a service of which all fail as often.
-const FAILS: f64 = 0.15;
+const MIN_FAILURE_SHARE: f64 = 0.15;
 /// How much larger its share of failures must be than the service's median.
-const FAILS_MORE: f64 = 0.2;
+const MIN_EXCESS_SHARE: f64 = 0.2;
 /// Of a service whose other upstreams may fail this part of requests none is an outlier: it
 /// fails as a whole. More than where a third of the upstreams always fail.
-const ALL_FAIL: f64 = 0.37;
+const SERVICE_FAILURE_SHARE: f64 = 0.37;
 /// The least rate that placement divides by.
-const RATE_LEAST: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 
 /// Whose observations a finding rests on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,42 +69,46 @@
     pub is_outlier: bool,
 }
 
-/// Finds the outliers among the upstreams of a service, given the accounts of all of them in
+/// Finds the outliers among the upstreams of a service, given the summaries of all of them in
 /// the order of the result, and in `all` those of either source.
-pub fn find_outliers(accounts: &[Summary], source: Source, all: [&[Summary]; 2]) -> Vec<Finding> {
-    let timed = accounts.iter().filter(|account| account.time_weight > 0);
-    let usual = median(timed.map(|account| account.slowness));
-    let asked = accounts.iter().filter(|account| account.requests() > 0);
+pub fn find_outliers(summaries: &[Summary], source: Source, all: [&[Summary]; 2]) -> Vec<Finding> {
+    let timed = summaries.iter().filter(|summary| summary.time_weight > 0);
+    let usual = median(timed.map(|summary| summary.slowness));
+    let asked = summaries.iter().filter(|summary| summary.requests() > 0);
     let usual_share = median(asked.map(Summary::failure_share));
     let failures = match source {
-        Source::Own => FAILURES_OWN,
-        Source::Reported => FAILURES_POOLED,
+        Source::Own => MIN_OWN_FAILURES,
+        Source::Reported => MIN_POOLED_FAILURES,
     };
-    let findings = accounts.iter().enumerate().map(|(place, account)| {
-        let is_timed = account.time_weight >= SAMPLES;
+    let findings = summaries.iter().enumerate().map(|(index, summary)| {
+        let is_timed = summary.time_weight >= MIN_TIME_WEIGHT;
         let slowness = usual.filter(|_| is_timed).map_or(1.0, |usual| {
-            let slowness = account.slowness / usual.max(1.0);
-            if slowness < SLOWER { 1.0 } else { slowness }
+            let slowness = summary.slowness / usual.max(1.0);
+            if slowness < MIN_SLOWNESS {
+                1.0
+            } else {
+                slowness
+            }
         });
         let fails = usual_share.is_some_and(|usual| {
-            account.failures >= failures
-                && account.failure_share_bound() >= FAILS
-                && account.failure_share() >= usual + FAILS_MORE
-                && !all.iter().any(|accounts| others_fail(accounts, place))
+            summary.failures >= failures
+                && summary.failure_share_bound() >= MIN_FAILURE_SHARE
+                && summary.failure_share() >= usual + MIN_EXCESS_SHARE
+                && !all.iter().any(|summaries| others_fail(summaries, index))
         });
         let works = if fails {
-            1.0 - account.failure_share()
+            1.0 - summary.failure_share()
         } else {
             1.0
         };
         Finding {
-            rate: (works / slowness).clamp(RATE_LEAST, 1.0),
-            failure_share: account.failure_share(),
+            rate: (works / slowness).clamp(MIN_RATE, 1.0),
+            failure_share: summary.failure_share(),
             slowness,
-            observations: account.requests() + account.time_weight,
+            observations: summary.requests() + summary.time_weight,
             source,
-            newest: account.newest,
-            is_outlier: slowness >= FAR_SLOWER || fails,
+            newest: summary.newest,
+            is_outlier: slowness >= EJECTION_SLOWNESS || fails,
         }
     });
     findings.collect()
@@ -112,11 +116,12 @@
 
 /// Whether the others fail as well. With two observed requests or so of each upstream a fleet
 /// that fails half of all has some that failed all of theirs.
-fn others_fail(accounts: &[Summary], place: usize) -> bool {
-    let others = accounts.iter().enumerate().filter(|(i, _)| *i != place);
-    let others = others.map(|(_, account)| (account.answers, account.capped_failures));
+fn others_fail(summaries: &[Summary], index: usize) -> bool {
+    let others = summaries.iter().enumerate().filter(|(i, _)| *i != index);
+    let others = others.map(|(_, summary)| (summary.answers, summary.capped_failures));
     let (answers, failures) = others.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-    answers + failures > 0 && bounds(failures, answers + failures).1 >= ALL_FAIL
+    answers + failures > 0
+        && failure_bounds(failures, answers + failures).1 >= SERVICE_FAILURE_SHARE
 }
 
 /// The median, the upper one of two: what half of a service shows is usual. None if there are
@@ -127,5 +132,5 @@
 {
     let mut values: Vec<f64> = values.collect();
     values.sort_unstable_by(f64::total_cmp);
-    (values.len() >= COMPARED).then(|| values[values.len() / 2])
+    (values.len() >= MIN_COMPARED).then(|| values[values.len() / 2])
 }
--- a/almondlock-policy/src/outlier/summary.rs
+++ b/almondlock-policy/src/outlier/summary.rs
@@ -8,7 +8,7 @@
 
 /// A standard normal deviate: the true share of failures is below the lower bound in one case
 /// of ten, and above the upper one.
-const DEVIATE: f64 = 1.28;
+const NORMAL_DEVIATE: f64 = 1.28;
 
 /// What was observed of an upstream within the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -46,20 +46,20 @@
 }
 
 impl Summary {
-    /// Several hosts' accounts as one.
-    pub fn pool(accounts: &[Summary]) -> Summary {
-        let counts = |count: fn(&Summary) -> u32| accounts.iter().map(count).collect::<Vec<_>>();
-        let requests: u32 = accounts.iter().map(Summary::requests).sum();
-        let answers = accounts.iter().map(|account| {
+    /// Several hosts' summaries as one.
+    pub fn pool(summaries: &[Summary]) -> Summary {
+        let counts = |count: fn(&Summary) -> u32| summaries.iter().map(count).collect::<Vec<_>>();
+        let requests: u32 = summaries.iter().map(Summary::requests).sum();
+        let answers = summaries.iter().map(|summary| {
             // One always counts, and any besides another host's failures.
-            account.answers.min((requests - account.requests()).max(1))
+            summary.answers.min((requests - summary.requests()).max(1))
         });
-        let failures = capped(&counts(|account| account.failures));
-        let samples = capped(&counts(|account| account.time_weight));
-        let mut order: Vec<(f64, u32)> = accounts
+        let failures = cap_counts(&counts(|summary| summary.failures));
+        let samples = cap_counts(&counts(|summary| summary.time_weight));
+        let mut order: Vec<(f64, u32)> = summaries
             .iter()
             .zip(&samples)
-            .map(|(account, samples)| (account.slowness, *samples))
+            .map(|(summary, samples)| (summary.slowness, *samples))
             .collect();
         order.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
         let total: u32 = samples.iter().sum();
@@ -69,13 +69,13 @@
             passed * 2 >= total && passed > 0
         });
         Summary {
-            hosts: u32::try_from(accounts.len()).unwrap_or(u32::MAX),
+            hosts: u32::try_from(summaries.len()).unwrap_or(u32::MAX),
             answers: answers.sum(),
             failures: failures.iter().sum(),
-            capped_failures: accounts.iter().map(|a| a.failures.min(1)).sum(),
+            capped_failures: summaries.iter().map(|a| a.failures.min(1)).sum(),
             time_weight: total,
             slowness: median.map_or(1.0, |(slowness, _)| *slowness),
-            newest: accounts
+            newest: summaries
                 .iter()
                 .map(|a| a.newest)
                 .max()
@@ -98,26 +98,26 @@
 
     /// A lower bound of the part that fails in the long run.
     pub fn failure_share_bound(&self) -> f64 {
-        bounds(self.failures, self.requests()).0
+        failure_bounds(self.failures, self.requests()).0
     }
 }
 
 /// Bounds of the part that fails in the long run (Wilson's score interval).
-pub(super) fn bounds(failures: u32, requests: u32) -> (f64, f64) {
+pub(super) fn failure_bounds(failures: u32, requests: u32) -> (f64, f64) {
     if requests == 0 {
         return (0.0, 1.0);
     }
     let requests = f64::from(requests);
     let share = f64::from(failures) / requests;
-    let square = DEVIATE * DEVIATE;
+    let square = NORMAL_DEVIATE * NORMAL_DEVIATE;
     let centre = share + square / (2.0 * requests);
     let variance = share * (1.0 - share) / requests + square / (4.0 * requests * requests);
-    let (spread, scale) = (DEVIATE * variance.sqrt(), 1.0 + square / requests);
+    let (spread, scale) = (NORMAL_DEVIATE * variance.sqrt(), 1.0 + square / requests);
     ((centre - spread) / scale, (centre + spread) / scale)
 }
 
 /// Counts of which none is larger than the sum of the others.
-fn capped(counts: &[u32]) -> Vec<u32> {
+fn cap_counts(counts: &[u32]) -> Vec<u32> {
     let total: u32 = counts.iter().sum();
     counts
         .iter()
--- a/almondlock-policy/src/prefix.rs
+++ b/almondlock-policy/src/prefix.rs
@@ -23,20 +23,20 @@
 /// Most hashes of one prompt.
 pub const MAX_HASHES: usize = 32;
 /// Bytes of the first part.
-const FIRST: u64 = 2_048;
+const FIRST_PART_BYTES: u64 = 2_048;
 /// Bytes taken for one token. Only scales the sizes given by [`covered_tokens`]; the
 /// parts themselves are cut by bytes, the same for every model.
-const BYTES: u64 = 4;
+const BYTES_PER_TOKEN: u64 = 4;
 
 /// Where each part ends, in bytes.
-const ENDS: [u64; MAX_HASHES] = ends();
+const PART_ENDS: [u64; MAX_HASHES] = part_ends();
 
-const fn ends() -> [u64; MAX_HASHES] {
-    let mut ends = [FIRST; MAX_HASHES];
+const fn part_ends() -> [u64; MAX_HASHES] {
+    let mut ends = [FIRST_PART_BYTES; MAX_HASHES];
     let mut i = 1;
     while i < MAX_HASHES {
         let grown = ends[i - 1] * 5 / 4;
-        let next = ends[i - 1] + FIRST;
+        let next = ends[i - 1] + FIRST_PART_BYTES;
         ends[i] = if grown > next { grown } else { next };
         i += 1;
     }
@@ -49,7 +49,7 @@
     let mut hasher = blake3::Hasher::new();
     let mut hashes = Vec::new();
     let mut done = 0;
-    for end in ENDS {
+    for end in PART_ENDS {
         let Some(part) = usize::try_from(end)
             .ok()
             .and_then(|end| prompt.get(done..end))
@@ -75,5 +75,5 @@
     } else {
         MAX_HASHES - 1
     };
-    Tokens(ENDS[last] / BYTES)
+    Tokens(PART_ENDS[last] / BYTES_PER_TOKEN)
 }
--- a/almondlock-policy/src/share/assessment.rs
+++ b/almondlock-policy/src/share/assessment.rs
@@ -7,11 +7,11 @@
 /// Reading time that engines are promised, in the mean, below which it isn't contended: half
 /// of 250 ms, the time within which most short prompts have to have their first event. What
 /// is refused while there is less to read can't be served by taking time from others.
-const CONTENDED: Duration = Duration::from_millis(125);
+const MIN_CONTENDED_READING: Duration = Duration::from_millis(125);
 
 /// Slots of an engine that don't count as capacity. Hosts place requests by counts that are
 /// up to 40 ms old, so that an engine may be full while the mean one has a slot free.
-const UNEVEN: u32 = 1;
+const UNCOUNTED_SLOTS: u32 = 1;
 
 /// A service's engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -49,11 +49,11 @@
         let Capacity { engines, slots } = capacity;
         match self {
             Resource::Slots => {
-                let even = slots.saturating_sub(engines.saturating_mul(UNEVEN));
+                let even = slots.saturating_sub(engines.saturating_mul(UNCOUNTED_SLOTS));
                 Some(f64::from(even.max(slots / 2)))
             }
             Resource::Reading => {
-                let least = f64::from(engines) * CONTENDED.as_secs_f64() * 1e3;
+                let least = f64::from(engines) * MIN_CONTENDED_READING.as_secs_f64() * 1e3;
                 (engines > 0 && used >= least).then_some(used)
             }
         }
@@ -126,7 +126,7 @@
     pub fn new(capacity: Capacity, counts: &[(K, Usage)], rest: Unlisted) -> Assessment<K> {
         let mut over: HashMap<K, Excess<K>> = HashMap::new();
         for resource in [Resource::Slots, Resource::Reading] {
-            for (key, excess) in excesses(resource, capacity, counts, rest) {
+            for (key, excess) in find_excesses(resource, capacity, counts, rest) {
                 let known = over.get(&key);
                 if known.is_none_or(|known| known.ratio() < excess.ratio()) {
                     over.insert(key, excess);
@@ -157,7 +157,7 @@
 
 /// Organisations that have more of a resource than the max-min level, while one that has
 /// less waits.
-fn excesses<K>(
+fn find_excesses<K>(
     resource: Resource,
     capacity: Capacity,
     counts: &[(K, Usage)],
--- a/almondlock-policy/src/slots/occupancy.rs
+++ b/almondlock-policy/src/slots/occupancy.rs
@@ -76,7 +76,7 @@
     }
 
     /// The part of the slots that each host has if all have the same.
-    pub(super) fn equal(&self) -> f64 {
+    pub(super) fn equal_share(&self) -> f64 {
         // Hosts are far fewer than an `f64` counts exactly.
         1.0 / (self.other_hosts as f64 + 1.0)
     }
@@ -91,39 +91,39 @@
 
 /// When this host's own requests end, by forecast.
 #[derive(Debug, Default)]
-pub(super) struct Ends {
-    ends: BTreeSet<Commitment>,
-    last: u64,
+pub(super) struct Commitments {
+    commitments: BTreeSet<Commitment>,
+    last_number: u64,
 }
 
-impl Ends {
-    pub(super) fn begin(&mut self, until: Mono) -> Commitment {
-        self.last += 1;
-        let number = self.last;
+impl Commitments {
+    pub(super) fn add(&mut self, until: Mono) -> Commitment {
+        self.last_number += 1;
+        let number = self.last_number;
         let commitment = Commitment { until, number };
-        self.ends.insert(commitment);
+        self.commitments.insert(commitment);
         commitment
     }
 
-    pub(super) fn end(&mut self, commitment: Commitment) -> bool {
-        self.ends.remove(&commitment)
+    pub(super) fn remove(&mut self, commitment: Commitment) -> bool {
+        self.commitments.remove(&commitment)
     }
 
     pub(super) fn len(&self) -> u32 {
-        count(self.ends.len())
+        to_u32(self.commitments.len())
     }
 
     /// How many end within a time. Those that were to have ended may do so at any moment.
-    pub(super) fn within(&self, now: Mono, within: Duration) -> u32 {
+    pub(super) fn count_ending_within(&self, now: Mono, within: Duration) -> u32 {
         let until = now + within;
         let last = Commitment {
             until,
             number: u64::MAX,
         };
-        count(self.ends.range(..=last).count())
+        to_u32(self.commitments.range(..=last).count())
     }
 }
 
-fn count(count: usize) -> u32 {
+fn to_u32(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
--- a/almondlock-policy/src/slots/queue.rs
+++ b/almondlock-policy/src/slots/queue.rs
@@ -29,11 +29,11 @@
 
 impl Prompt {
     /// When it has to get its slot to meet its objective.
-    pub fn latest(&self) -> Mono {
+    pub fn latest_start(&self) -> Mono {
         self.arrived + self.objective.saturating_sub(self.expected)
     }
 
-    pub(super) const fn left(&self, now: Mono) -> Duration {
+    pub(super) const fn time_left(&self, now: Mono) -> Duration {
         self.until.since(now)
     }
 }
@@ -46,51 +46,61 @@
 struct Entry {
     ticket: Ticket,
     priority: u32,
-    is_over: bool,
+    is_over_share: bool,
     // `Mono::ZERO` for one that was late from the start.
-    latest: Mono,
+    latest_start: Mono,
     // From when it goes first, and when it is sent in any case.
-    overdue: Mono,
+    urgent_from: Mono,
     sent_by: Mono,
 }
 
 impl Entry {
     fn is_timely(&self, now: Mono) -> bool {
-        now <= self.latest
+        now <= self.latest_start
     }
 
     /// The least goes first. Priority precedes shares, and shares precede objectives.
     fn rank(&self, now: Mono) -> (bool, u32, bool, bool, Ticket) {
-        let (is_early, is_late) = (now < self.overdue, !self.is_timely(now));
-        (is_early, self.priority, self.is_over, is_late, self.ticket)
+        let (is_early, is_late) = (now < self.urgent_from, !self.is_timely(now));
+        (
+            is_early,
+            self.priority,
+            self.is_over_share,
+            is_late,
+            self.ticket,
+        )
     }
 }
 
 /// Bounded by [`super::Allocator`] to a few dozen entries: scans are short.
 #[derive(Debug, Default)]
-pub(super) struct Line {
+pub(super) struct Queue {
     // In order of arrival.
     entries: Vec<Entry>,
-    last: u64,
+    last_number: u64,
 }
 
-impl Line {
+impl Queue {
     /// `patience`: how long it waits at most.
     pub(super) fn push(
         &mut self,
         now: Mono,
-        case: &Prompt,
+        prompt: &Prompt,
         is_late: bool,
         patience: Duration,
     ) -> Ticket {
-        self.last += 1;
-        let ticket = Ticket(self.last);
+        self.last_number += 1;
+        let ticket = Ticket(self.last_number);
         self.entries.push(Entry {
             ticket,
-            priority: case.priority,
-            is_over: matches!(case.standing, Standing::Over { .. }),
-            latest: if is_late { Mono::ZERO } else { case.latest() },
-            overdue: now + patience.mul_f64(OVERDUE_SHARE),
+            priority: prompt.priority,
+            is_over_share: matches!(prompt.standing, Standing::Over { .. }),
+            latest_start: if is_late {
+                Mono::ZERO
+            } else {
+                prompt.latest_start()
+            },
+            urgent_from: now + patience.mul_f64(OVERDUE_SHARE),
             sent_by: now + patience,
         });
         ticket
@@ -104,13 +114,13 @@
         self.entries.iter().any(|entry| entry.is_timely(now))
     }
 
-    pub(super) fn late(&self, now: Mono) -> usize {
+    pub(super) fn late_count(&self, now: Mono) -> usize {
         let late = self.entries.iter().filter(|entry| !entry.is_timely(now));
         late.count()
     }
 
-    pub(super) fn timely(&self, now: Mono) -> u32 {
-        u32::try_from(self.len() - self.late(now)).unwrap_or(u32::MAX)
+    pub(super) fn timely_count(&self, now: Mono) -> u32 {
+        u32::try_from(self.len() - self.late_count(now)).unwrap_or(u32::MAX)
     }
 
     pub(super) fn pop(&mut self, now: Mono) -> Option<Ticket> {
@@ -127,7 +137,7 @@
     /// Whether the next one is such.
     pub(super) fn has_urgent(&self, now: Mono) -> bool {
         let next = self.entries.iter().min_by_key(|entry| entry.rank(now));
-        next.is_some_and(|entry| entry.is_timely(now) || now >= entry.overdue)
+        next.is_some_and(|entry| entry.is_timely(now) || now >= entry.urgent_from)
     }
 
     /// The next one that is late, if it is its turn.
@@ -137,7 +147,7 @@
     }
 
     /// Those that have waited for as long as they may.
-    pub(super) fn expired(&mut self, now: Mono) -> Vec<Ticket> {
+    pub(super) fn pop_expired(&mut self, now: Mono) -> Vec<Ticket> {
         let expired = self.entries.extract_if(.., |entry| entry.sent_by <= now);
         let mut expired: Vec<Entry> = expired.collect();
         expired.sort_by_key(|entry| Reverse(now.since(entry.sent_by)));
--- a/almondlock-policy/src/startup.rs
+++ b/almondlock-policy/src/startup.rs
@@ -15,14 +15,14 @@
 
 /// How long a prompt waits at the most until loads of other hosts are known: a round of the
 /// relay and the ways, twice.
-const UNKNOWN: Duration = Duration::from_millis(50);
+const MAX_LOADS_WAIT: Duration = Duration::from_millis(50);
 
 /// Of its objective, the part that a prompt may wait for.
-const SHARE: f64 = 1.0 / 8.0;
+const MAX_OBJECTIVE_SHARE: f64 = 1.0 / 8.0;
 
 /// A prompt that takes one engine longer than this is long: its parts delay the short prompts
 /// of many engines.
-const LONG: Duration = Duration::from_secs(1);
+const LONG_READING: Duration = Duration::from_secs(1);
 
 /// What is known of a prompt that is about to be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,14 +41,14 @@
 
 /// How much longer a prompt waits, in a host that settles for so long after its start. None:
 /// it is placed now. Asked again when loads become known.
-pub fn hold_time(settling: Duration, case: &Prompt) -> Option<Duration> {
-    let most = match (case.reading_time > LONG, case.knows_loads) {
+pub fn hold_time(settling: Duration, prompt: &Prompt) -> Option<Duration> {
+    let most = match (prompt.reading_time > LONG_READING, prompt.knows_loads) {
         (true, _) => settling,
-        (false, false) => UNKNOWN,
+        (false, false) => MAX_LOADS_WAIT,
         (false, true) => return None,
     };
-    let allowed = most.min(case.objective.mul_f64(SHARE));
-    let left = allowed.saturating_sub(case.waited);
-    let settles = settling.saturating_sub(case.host_age);
+    let allowed = most.min(prompt.objective.mul_f64(MAX_OBJECTIVE_SHARE));
+    let left = allowed.saturating_sub(prompt.waited);
+    let settles = settling.saturating_sub(prompt.host_age);
     Some(left.min(settles)).filter(|left| !left.is_zero())
 }
