--- a/almondlock-policy/src/choice/hint.rs
+++ b/almondlock-policy/src/choice/hint.rs
@@ -1,9 +1,11 @@
-//! Where the start of a prompt was processed lately.
+//! Remembers which upstream processed a prompt prefix last.
 
 use std::collections::{HashMap, VecDeque};
 
-/// A bounded memory of which upstream processed which prefix last. Forgets the
-/// oldest first. It is never an answer, only a reason to try there.
+/// Bounded map from prefix hashes to the upstream that processed each of them last.
+///
+/// The oldest prefix is evicted first. An entry is only a hint: the upstream may have dropped
+/// the prefix from its cache.
 #[derive(Clone, Debug)]
 pub(super) struct Hints {
     capacity: usize,
@@ -21,6 +23,7 @@
         }
     }
 
+    /// Records that an upstream processed a prefix.
     pub(super) fn insert(&mut self, prefix: u64, slot: u32) {
         if self.upstreams.insert(prefix, slot).is_some() {
             return;
@@ -33,19 +36,20 @@
         }
     }
 
-    /// The upstream that processed the longest part of a prefix, and how many
-    /// of its blocks.
+    /// Returns the upstream that processed the longest part of a prefix, and the number of
+    /// blocks in that part.
     pub(super) fn find_longest(&self, prefix: &[u64]) -> Option<(u32, usize)> {
         let found = |(i, hash): (usize, &u64)| self.upstreams.get(hash).map(|slot| (*slot, i + 1));
         prefix.iter().enumerate().rev().find_map(found)
     }
 
-    /// How many leading blocks an upstream is believed to hold.
+    /// Returns the number of leading blocks that an upstream is believed to have cached.
     pub(super) fn cached_blocks(&self, prefix: &[u64], slot: u32) -> usize {
         let here = |hash: &u64| self.upstreams.get(hash) == Some(&slot);
         prefix.iter().rposition(here).map_or(0, |i| i + 1)
     }
 
+    /// Removes all prefixes of an upstream.
     pub(super) fn forget(&mut self, slot: u32) {
         self.upstreams.retain(|_, upstream| *upstream != slot);
         let upstreams = &self.upstreams;
--- a/almondlock-policy/src/choice/load.rs
+++ b/almondlock-policy/src/choice/load.rs
@@ -1,21 +1,21 @@
-//! What is known of one upstream's load.
+//! The load of one upstream, as reported and as counted by the entry host.
 
 use std::time::Duration;
 
 use almondlock_base::{time::Mono, unit::Tokens};
 
-/// What a sidecar said of its upstream, on an answer or to a probe.
+/// Load of an upstream, as its sidecar reports it with an answer or to a probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Requests running and waiting there, from all entry hosts.
+    /// Requests running and waiting at the upstream, from all entry hosts.
     pub in_flight: u32,
-    /// How long a short request would have waited.
+    /// Time that a short request would have waited at the upstream.
     pub wait: Duration,
-    /// Prompt tokens not processed yet.
+    /// Prompt tokens that are not processed yet.
     pub backlog: Tokens,
-    /// Free engine memory.
+    /// Free engine memory, in tokens.
     pub free_memory: Tokens,
-    /// Prefill speed, in tokens per second. 0 when not known.
+    /// Prefill speed in tokens per second, 0 if unknown.
     pub prefill_speed: u64,
 }
 
@@ -23,22 +23,23 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Load {
     pub(super) report: Report,
+    /// Time at which the report was received, `None` before the first one.
     pub(super) reported_at: Option<Mono>,
-    /// Own attempts that have not ended.
+    /// Attempts of this host that have not ended.
     pub(super) outstanding: u32,
-    /// Own prompt tokens whose first answer token has not come.
+    /// Prompt tokens of this host's attempts that have not had their first token.
     pub(super) unanswered_tokens: Tokens,
-    /// Own attempts sent after the report, which it can't contain.
+    /// Attempts of this host that were sent after the report and are not counted in it.
     pub(super) sent_since_report: u32,
-    /// Their prompt tokens.
+    /// Prompt tokens of the attempts sent after the report.
     pub(super) tokens_since_report: Tokens,
-    /// It failed lately and is passed over until then.
+    /// Time until which the upstream is passed over after a failure.
     pub(super) avoid_until: Option<Mono>,
 }
 
 impl Load {
-    /// How much a report still counts: halves with each half-life. A straight
-    /// line between the halvings is close enough and needs no `exp`.
+    /// Returns the weight of the last report, which halves with each half-life. Linear
+    /// interpolation between the halvings is close enough and needs no `exp`.
     pub(super) fn report_weight(&self, now: Mono, half_life: Duration) -> f64 {
         let Some(at) = self.reported_at else {
             return 0.0;
@@ -49,6 +50,7 @@
         (1.0 - part / 2.0) / 2f64.powi(whole as i32)
     }
 
+    /// Whether the upstream is passed over after a failure.
     pub(super) fn is_avoided(&self, now: Mono) -> bool {
         self.avoid_until.is_some_and(|until| now < until)
     }
--- a/almondlock-policy/src/choice/mod.rs
+++ b/almondlock-policy/src/choice/mod.rs
@@ -1,24 +1,26 @@
-//! Which upstream an attempt goes to.
+//! Selects the upstream for an attempt.
 //!
-//! An entry host decides alone, at once, and mostly on old news: what it knows
-//! of an upstream's load is what the last answer or probe from there said. If
-//! every entry host went for the upstream with the lowest figure, all of them
-//! would pile onto the same one until the next figures came. [`Sampling`] avoids
-//! that in four ways: it looks at a few upstreams drawn at random from a subset
-//! of its own, it counts what it has sent itself at once, it lets old figures
-//! fade towards the average, and it takes upstreams with too much in flight
-//! only when all candidates are like that (the hot/cold rule of Prequal).
+//! An entry host decides by itself, without delay, and mostly on stale data: it
+//! knows an upstream's load from the last answer or probe. If every entry host
+//! chose the upstream with the lowest reported load, all of them would send to
+//! the same one until the next reports arrived. [`Sampling`] avoids
+//! this in four ways: it compares a few upstreams sampled at random from the
+//! host's subset, it counts the host's own attempts as soon as they are sent, it
+//! lets old reports decay towards the average, and it chooses an upstream with
+//! too many requests in flight only if all candidates have too many (the
+//! hot/cold rule of Prequal).
 //!
-//! Where the start of a prompt is likely cached is one more candidate, found by
-//! rendezvous hashing, on which all entry hosts agree without talking. A cache
-//! is a hint: a wrong one costs the time of the prefill, no more.
+//! Upstreams that are likely to have the prompt's prefix cached are candidates
+//! as well. They are found by rendezvous hashing, so that all entry hosts agree
+//! on them without communicating. A wrong guess costs no more than the time of
+//! the prefill.
 //!
-//! [`Random`] and [`LeastReported`] are kept as baselines.
+//! [`Random`] and [`LeastReported`] are baselines to compare with.
 //!
-//! One [`Table`] holds the upstreams that can serve the same thing, for example
-//! one version of a model; it is changed as the configuration changes, and a
-//! decision does not depend on how large it is, but for one cheap pass of
-//! hashing when a prompt has a prefix.
+//! A [`Table`] holds the upstreams that can serve the same requests, for example
+//! one version of a model, and follows the configuration. The time of a decision
+//! does not depend on the size of the table, except for one cheap hash per
+//! upstream if the prompt has a prefix.
 //!
 //! ```
 //! use almondlock_base::{id::{Domain, Host, Region, Upstream}, time::Mono, unit::Tokens};
--- a/almondlock-policy/src/choice/pick.rs
+++ b/almondlock-policy/src/choice/pick.rs
@@ -1,4 +1,4 @@
-//! Ways of choosing.
+//! Strategies for selecting an upstream.
 
 use almondlock_base::time::Mono;
 use rand::Rng;
@@ -6,22 +6,22 @@
 use super::table::{Index, Query, Row, Table};
 use crate::prefix;
 
-/// Most candidates looked at in one decision, beside those for a prefix.
+/// Largest number of candidates in one decision, not counting those for a prefix.
 const MAX_CANDIDATES: usize = 8;
-/// Candidates that a prefix may add.
+/// Largest number of candidates that a prefix adds.
 const MAX_PREFIX_CANDIDATES: usize = 3;
-/// Attempts that an upstream may always have, whatever the average.
-const MIN_BOUND_ATTEMPTS: u64 = 4;
+/// Attempts added to the bound, so that a prefix is followed even while the average is low.
+const BOUND_MARGIN_ATTEMPTS: u64 = 4;
 
-/// A way of choosing an upstream.
+/// A strategy for selecting an upstream.
 pub trait Picker {
-    /// The upstream for an attempt, `None` when none may take it.
+    /// Returns the upstream for an attempt, `None` if no upstream may take it.
     fn pick<R>(&self, table: &Table, query: &Query<'_>, now: Mono, rng: &mut R) -> Option<Index>
     where
         R: Rng;
 }
 
-/// Any upstream that takes work, as a baseline.
+/// Selects any upstream that accepts work, as a baseline.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Random;
 
@@ -34,8 +34,8 @@
     }
 }
 
-/// The upstream whose last report was the lowest, as a baseline. It reads the
-/// reports as they came: entry hosts that heard the same choose the same.
+/// Selects the upstream with the fewest requests in flight by the last report, as a baseline.
+/// Reports don't decay, so entry hosts with the same reports select the same upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastReported;
 
@@ -49,7 +49,8 @@
     }
 }
 
-/// A few candidates from a subset, by expected time to the first token.
+/// Selects the lowest expected time to the first token among a few upstreams that are sampled
+/// from the host's subset.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sampling;
 
@@ -72,8 +73,8 @@
                 best.consider(table, query, slot, 0, now);
             }
         }
-        // All that was looked at failed lately, is excluded or leaving: any
-        // that takes work at all is better than a refusal.
+        // All candidates failed recently, are excluded or are leaving: any
+        // upstream that accepts work is better than a refusal.
         best.index.or_else(|| {
             pick_from_all(table, query, now, rng.random(), |row| {
                 expected_seconds(table, row, query, 0, now)
@@ -82,18 +83,21 @@
     }
 }
 
-/// The best candidate so far.
+/// The best candidate found so far.
 #[derive(Default)]
 struct Best {
-    /// Whether it is hot, and its expected time.
+    /// Whether the candidate is hot, and its requests in flight if so, otherwise its expected
+    /// seconds.
     rank: (bool, f64),
     index: Option<Index>,
 }
 
 impl Best {
-    /// Cold ones are compared by expected time. Hot ones are taken only when
-    /// all are hot, and then the one with least in flight: with many in
-    /// flight, old figures for the time say little (Prequal's rule).
+    /// Takes a candidate if it is better than the best one so far.
+    ///
+    /// Cold candidates are compared by expected time. A hot one is taken only if
+    /// all are hot, and then the one with the fewest requests in flight: with
+    /// many in flight, old reports of the waiting time say little (Prequal).
     fn consider(&mut self, table: &Table, query: &Query<'_>, slot: u32, saved: u64, now: Mono) {
         let Some((row, index)) = table.at(slot).zip(table.index(slot)) else {
             return;
@@ -117,9 +121,10 @@
     }
 }
 
-/// Different members of a subset, drawn at random. Where draws keep hitting the
-/// same or unusable ones, members are taken in order from a random place, so
-/// that a small or half-failed subset is looked at whole.
+/// Samples distinct usable members of a subset at random.
+///
+/// If random draws don't find enough, the rest is taken in order from a random position, so
+/// that every usable member of a small or partly failed subset can be found.
 fn sample_members<R>(
     table: &Table,
     chosen: &[u32],
@@ -153,20 +158,21 @@
     drawn.into_iter().take(count)
 }
 
-/// Whether an attempt may go there and there is no reason to go elsewhere.
+/// Whether an upstream may take an attempt, has not failed recently and is not kept free of
+/// prompts of this length.
 fn is_usable(row: &Row, index: Index, query: &Query<'_>, now: Mono) -> bool {
     row.may_take(query, index) && !row.load.is_avoided(now) && !row.is_closed_to(query)
 }
 
-/// Upstreams that may have the prompt's start cached, and the tokens that
-/// would save.
+/// Returns the upstreams that may have the prompt's prefix cached, each with the number of
+/// prompt tokens that it is expected to save.
 fn prefix_candidates(table: &Table, query: &Query<'_>) -> impl Iterator<Item = (u32, u64)> + use<> {
     let mut found: [Option<(u32, u64)>; MAX_PREFIX_CANDIDATES] = [None; MAX_PREFIX_CANDIDATES];
     if let Some((slot, blocks)) = table.hints.find_longest(query.prefix) {
         found[0] = Some((slot, prefix::covered_tokens(blocks).0));
     }
-    // The first block is what prompts share most often: hashing by it brings
-    // all that share it together, from every entry host.
+    // Prompts share the first block most often: hashing by it sends all prompts
+    // with the same first block to the same upstreams, from every entry host.
     if let Some(first) = query.prefix.first() {
         let whole = prefix::covered_tokens(query.prefix.len()).0;
         let assumed = whole * u64::from(table.config.assumed_hit_percent.min(100)) / 100;
@@ -181,19 +187,20 @@
     found.into_iter().flatten()
 }
 
-/// Bounded load: a popular prefix spills over to the second upstream, and then
-/// to all, before it overloads the first.
+/// Whether an upstream has room for further attempts with a cached prefix (consistent hashing
+/// with bounded loads): a popular prefix spills over to the second upstream, and then to all,
+/// before it overloads the first.
 fn is_within_bound(table: &Table, slot: u32) -> bool {
     let Some(row) = table.at(slot) else {
         return false;
     };
     let members = (table.local.chosen.len() as u64).max(1);
     let fair = table.average.outstanding * u64::from(table.config.bound_percent) / 100 / members;
-    u64::from(row.load.outstanding) <= fair + MIN_BOUND_ATTEMPTS
+    u64::from(row.load.outstanding) <= fair + BOUND_MARGIN_ATTEMPTS
 }
 
-/// Requests in flight there: what was reported, faded towards the average, and
-/// what was sent since.
+/// Returns the estimated number of requests in flight at an upstream: the reported number,
+/// decayed towards the average, plus this host's attempts since the report.
 fn in_flight(table: &Table, row: &Row, now: Mono) -> f64 {
     let weight = row.load.report_weight(now, table.config.half_life);
     let reported = f64::from(row.load.report.in_flight);
@@ -201,7 +208,7 @@
     (faded + f64::from(row.load.sent_since_report)).max(f64::from(row.load.outstanding))
 }
 
-/// Expected seconds to the first token.
+/// Returns the expected time to the first token, in seconds.
 fn expected_seconds(table: &Table, row: &Row, query: &Query<'_>, saved: u64, now: Mono) -> f64 {
     let weight = row.load.report_weight(now, table.config.half_life);
     let speed = match row.load.report.prefill_speed {
@@ -232,9 +239,10 @@
     wait + sent + prefill + distance + lacking
 }
 
-/// The cheapest of the subset in this region, then of the other, then of all;
-/// equal ones by a random starting point. Upstreams that failed lately are
-/// taken only when there is no other.
+/// Returns the upstream of the whole table with the lowest cost.
+///
+/// Healthy upstreams of this region that are open to prompts of this length come first, then
+/// all healthy ones, then all. `start` is random and breaks ties.
 fn pick_from_all<F>(
     table: &Table,
     query: &Query<'_>,
@@ -260,6 +268,7 @@
     .or_else(|| cheapest(table, query, start, &cost, all()))
 }
 
+/// Returns the upstream with the lowest cost among `slots`.
 fn cheapest<F, S>(table: &Table, query: &Query<'_>, start: u32, cost: &F, slots: S) -> Option<Index>
 where
     F: Fn(&Row) -> f64,
@@ -273,8 +282,8 @@
         if !row.may_take(query, index) {
             continue;
         }
-        // Multiplying by an odd number and adding a random one shuffles the
-        // slots, so that equal costs are spread evenly.
+        // Adding a random number and multiplying by an odd one permutes the
+        // slots, so that ties are broken evenly.
         let tie = slot.wrapping_add(start).wrapping_mul(0x9e37_79b1);
         let rank = (cost(row), tie);
         if best.is_none_or(|(least, _)| rank < least) {
--- a/almondlock-policy/src/choice/table.rs
+++ b/almondlock-policy/src/choice/table.rs
@@ -1,4 +1,4 @@
-//! The upstreams that can serve the same thing, and their load.
+//! The upstreams that can serve the same requests, and their load.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -15,34 +15,35 @@
 };
 use crate::length::Class;
 
-/// How choices are made.
+/// Parameters of the selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Upstreams of a region that one entry host works with.
+    /// Number of upstreams in the subset that one entry host sends to. There is one subset for
+    /// its region and one for all others.
     pub subset_size: usize,
-    /// Candidates drawn for a decision.
+    /// Number of candidates sampled for a decision.
     pub candidates: usize,
-    /// After how long a report counts half.
+    /// Time after which a report counts half.
     pub half_life: Duration,
-    /// The share of known upstreams that count as hot, in percent.
+    /// Share of the reports whose upstreams count as hot, in percent.
     pub hot_percent: u32,
-    /// What a prefix is taken to save at the upstream it hashes to when it is
-    /// not known whether it was processed there, in percent of its tokens.
+    /// Part of a prefix that is assumed to be cached at the upstream that it hashes to if
+    /// that is not known, in percent of its tokens.
     pub assumed_hit_percent: u32,
-    /// Prefixes remembered.
+    /// Number of prefix hashes whose last upstream is remembered.
     pub hint_limit: usize,
-    /// Prefill speed to assume for an upstream that has not told, in tokens
+    /// Prefill speed assumed for an upstream that has not reported it, in tokens
     /// per second.
     pub prefill_speed: u64,
-    /// The share of upstreams kept free of long prompts, in percent.
+    /// Share of the upstreams that are kept free of long prompts, in percent.
     pub short_only_percent: u32,
-    /// How much more than the average of its own attempts an entry host may
-    /// have at the upstream that a prefix hashes to, in percent.
+    /// Number of attempts that an entry host may have at an upstream for its cached prefix,
+    /// in percent of its average over the upstreams of its subset.
     pub bound_percent: u32,
-    /// How long an upstream that failed is passed over.
+    /// Time for which an upstream that failed is passed over.
     pub avoid_time: Duration,
-    /// Time added for an upstream in another failure domain, and ten times
-    /// that for another region.
+    /// Time added to the cost of an upstream in another failure domain. Ten times this is
+    /// added for another region.
     pub domain_cost: Duration,
 }
 
@@ -64,47 +65,49 @@
     }
 }
 
-/// The entry host that chooses.
+/// Identity and location of the entry host that selects upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Origin {
-    /// Its name.
+    /// Name of the host.
     pub host: Host,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: Domain,
-    /// Its region.
+    /// Region of the host.
     pub region: Region,
 }
 
-/// Where an upstream stands.
+/// Location of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Locality {
-    /// Its failure domain.
+    /// Failure domain of the upstream.
     pub domain: Domain,
-    /// Its region.
+    /// Region of the upstream.
     pub region: Region,
 }
 
-/// An upstream's place in a [`Table`]. Stays valid until the upstream is
-/// removed; what is asked or told of it after that is ignored.
+/// Handle of an upstream in a [`Table`]. It is valid until the upstream is removed; calls
+/// with it have no effect after that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Index {
     pub(super) slot: u32,
+    /// Tells successive upstreams in the same slot apart.
     pub(super) generation: u32,
 }
 
-/// What an attempt asks for.
+/// Properties of an attempt for which an upstream is selected.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Query<'a> {
     /// Length of the prompt.
     pub prompt: Tokens,
-    /// Most tokens of the answer.
+    /// Largest number of tokens in the answer.
     pub output: Tokens,
-    /// Hashes of the prompt's leading parts, as [`crate::prefix`] makes them.
+    /// Hashes of the prompt's leading parts, computed by [`crate::prefix::hashes`].
     pub prefix: &'a [u64],
     /// Upstreams that already failed or refused this request.
     pub excluded: &'a [Index],
 }
 
+/// One upstream of a [`Table`].
 #[derive(Debug)]
 pub(super) struct Row {
     name: Upstream,
@@ -113,53 +116,55 @@
     pub(super) same_region: bool,
     pub(super) same_domain: bool,
     pub(super) leaving: bool,
-    /// Whether long prompts are kept away. All entry hosts agree on it.
+    /// Whether the upstream is kept free of long prompts. All entry hosts agree on this.
     pub(super) short_only: bool,
-    /// Rendezvous key of the upstream.
+    /// Rendezvous hash of the upstream's name.
     key: u64,
-    /// Its score in this host's subset.
+    /// Rendezvous score of the upstream for this host's subset.
     score: u64,
     pub(super) load: Load,
 }
 
-/// Upstreams and what one entry host knows of them.
+/// Upstreams that can serve the same requests, with their load as one entry host knows it.
 #[derive(Debug)]
 pub struct Table {
     pub(super) config: Config,
     origin: Origin,
     pub(super) rows: Vec<Option<Row>>,
-    /// Rendezvous keys by slot, apart from the rows so that the pass over all
-    /// of them stays within a few cache lines. `None` for an empty slot.
+    /// Rendezvous keys by slot, `None` for an empty slot. They are stored apart from the rows
+    /// so that the pass over all of them touches few cache lines.
     keys: Vec<Option<u64>>,
     free: Vec<u32>,
     last_generation: u32,
     names: HashMap<Upstream, u32>,
+    /// Subset of the upstreams in this host's region.
     pub(super) local: Subset,
+    /// Subset of the upstreams in all other regions.
     pub(super) remote: Subset,
     pub(super) hints: Hints,
     pub(super) average: Average,
-    /// Where the search for something to probe goes on.
+    /// Position in the local subset at which the search for an upstream to probe continues.
     probe_cursor: usize,
 }
 
-/// Figures over the upstreams heard from lately.
+/// Running averages over the reports of all upstreams.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Average {
-    /// Mean wait in seconds.
+    /// Mean reported wait, in seconds.
     pub(super) wait: f64,
-    /// Mean number in flight.
+    /// Mean number of requests in flight.
     pub(super) in_flight: f64,
-    /// The number in flight above which an upstream is hot.
+    /// Number of requests in flight above which an upstream is hot.
     pub(super) hot_threshold: f64,
-    /// Own attempts that have not ended.
+    /// Attempts of this host that have not ended, at all upstreams.
     pub(super) outstanding: u64,
 }
 
-/// Gain of the running means.
+/// Weight of a new report in the running averages.
 const AVERAGE_GAIN: f64 = 0.05;
 
 impl Table {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(config: Config, origin: Origin) -> Table {
         Table {
             config,
@@ -177,8 +182,8 @@
         }
     }
 
-    /// Adds an upstream. One of the same name that stands elsewhere is
-    /// replaced; one that stands at the same place is kept with its load.
+    /// Adds an upstream. An existing one of the same name is kept with its load if its
+    /// location is the same, and replaced otherwise.
     pub fn insert(&mut self, name: &Upstream, locality: Locality) -> Index {
         if let Some(index) = self.find(name) {
             if self.row(index).is_some_and(|row| row.locality == locality) {
@@ -227,7 +232,7 @@
         index
     }
 
-    /// Takes an upstream out. Attempts under way there are no longer counted.
+    /// Removes an upstream. Its attempts in progress are no longer counted.
     pub fn remove(&mut self, name: &Upstream) {
         let Some(slot) = self.names.remove(name) else {
             return;
@@ -248,7 +253,7 @@
         self.free.push(slot);
     }
 
-    /// Says whether an upstream takes new work.
+    /// Sets whether an upstream is leaving, so that it gets no new attempts.
     pub fn set_leaving(&mut self, name: &Upstream, leaving: bool) {
         let index = self.find(name);
         if let Some(row) = index.and_then(|index| self.row_mut(index)) {
@@ -256,53 +261,53 @@
         }
     }
 
-    /// Where an upstream of this name is.
+    /// Returns the handle of the upstream with this name.
     pub fn find(&self, name: &Upstream) -> Option<Index> {
         let slot = *self.names.get(name)?;
         let generation = self.rows.get(slot as usize)?.as_ref()?.generation;
         Some(Index { slot, generation })
     }
 
-    /// The name of an upstream.
+    /// Returns the name of an upstream.
     pub fn name(&self, index: Index) -> Option<&Upstream> {
         self.row(index).map(|row| &row.name)
     }
 
-    /// The names of all upstreams. Proportional to the fleet: not for each
-    /// request.
+    /// Returns the names of all upstreams. The cost is proportional to the fleet: not to be
+    /// called for each request.
     pub fn names(&self) -> Vec<Upstream> {
         self.names.keys().cloned().collect()
     }
 
-    /// Whether an upstream takes work, as far as is known.
+    /// Whether an upstream is known and not leaving.
     pub fn may_take_work(&self, name: &Upstream) -> bool {
         let row = self.find(name).and_then(|index| self.row(index));
         row.is_some_and(|row| !row.leaving)
     }
 
-    /// Whether an upstream failed lately and is passed over while others will do.
+    /// Whether an upstream failed recently and is passed over as long as others are usable.
     pub fn is_avoided(&self, name: &Upstream, now: Mono) -> bool {
         let row = self.find(name).and_then(|index| self.row(index));
         row.is_some_and(|row| row.load.is_avoided(now))
     }
 
-    /// Free memory of an upstream, by its last report.
+    /// Returns the free engine memory of an upstream, from its last report.
     pub fn free_memory(&self, name: &Upstream) -> Option<Tokens> {
         let row = self.row(self.find(name)?)?;
         row.load.reported_at.map(|_| row.load.report.free_memory)
     }
 
-    /// How many upstreams there are.
+    /// Returns the number of upstreams.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there are none.
+    /// Whether the table has no upstreams.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// Notes what a sidecar told of its load.
+    /// Records the load that an upstream's sidecar reported.
     pub fn record_report(&mut self, index: Index, report: Report, now: Mono) {
         let hot = f64::from(100 - self.config.hot_percent.min(100)) / 100.0;
         let Some(row) = self.row_mut(index) else {
@@ -319,8 +324,8 @@
         let average = &mut self.average;
         average.wait += (report.wait.as_secs_f64() - average.wait) * AVERAGE_GAIN;
         average.in_flight += (in_flight - average.in_flight) * AVERAGE_GAIN;
-        // A running quantile: steps up by `hot` and down by the rest, so that
-        // it comes to rest where that share of the reports lies below it.
+        // A running quantile: it steps up by the part `hot` of a step and down by the rest,
+        // so that it settles where the part `hot` of the reports lies below it.
         let step = (average.in_flight * AVERAGE_GAIN).max(0.05);
         let above = in_flight > average.hot_threshold;
         average.hot_threshold += if above {
@@ -342,8 +347,8 @@
         self.average.outstanding += 1;
     }
 
-    /// Notes that an attempt's prompt was processed there: its first token
-    /// came, so the prompt's start is likely cached.
+    /// Records that the first token of an attempt arrived: the upstream has processed the
+    /// prompt and is likely to have its prefix cached.
     pub fn record_first_token(&mut self, index: Index, query: &Query<'_>) {
         let Some(row) = self.row_mut(index) else {
             return;
@@ -355,8 +360,8 @@
         }
     }
 
-    /// Counts an attempt as ended. `answered` says whether [`Table::record_first_token`]
-    /// was told of it.
+    /// Counts an attempt as ended. `answered` is whether [`Table::record_first_token`] was
+    /// called for it.
     pub fn record_end(&mut self, index: Index, prompt: Tokens, answered: bool) {
         let Some(row) = self.row_mut(index) else {
             return;
@@ -372,8 +377,8 @@
         self.average.outstanding -= u64::from(counted);
     }
 
-    /// Notes that an upstream could not be reached or failed, so that it is
-    /// passed over for a while.
+    /// Records that an upstream could not be reached or failed. It is passed over for
+    /// [`Config::avoid_time`].
     pub fn record_failure(&mut self, index: Index, now: Mono) {
         let until = now + self.config.avoid_time;
         if let Some(row) = self.row_mut(index) {
@@ -381,9 +386,9 @@
         }
     }
 
-    /// The next upstream of the subset whose last report is older than `age`,
-    /// to be probed. Goes round, so that one that never answers does not keep
-    /// the others from being asked.
+    /// Returns the next upstream of the local subset to probe: one whose last report is `age`
+    /// old or older. Successive calls go round the subset, so that an upstream that never
+    /// answers does not keep the others from being probed.
     pub fn next_stale(&mut self, age: Duration, now: Mono) -> Option<Index> {
         let chosen = &self.local.chosen;
         for step in 1..=chosen.len() {
@@ -415,8 +420,8 @@
         })
     }
 
-    /// The two upstreams that a prefix hashes to. All entry hosts find the
-    /// same ones.
+    /// Returns the slots of the two upstreams that a prefix hashes to, which are the same on
+    /// all entry hosts.
     pub(super) fn rendezvous(&self, prefix: u64) -> [Option<u32>; 2] {
         let mut best: [Option<(u64, u32)>; 2] = [None; 2];
         for (slot, key) in self.keys.iter().enumerate() {
@@ -445,12 +450,12 @@
 }
 
 impl Row {
-    /// Whether an attempt may go there at all.
+    /// Whether the upstream may be selected at all: it is not leaving and not excluded.
     pub(super) fn may_take(&self, query: &Query<'_>, index: Index) -> bool {
         !self.leaving && !query.excluded.contains(&index)
     }
 
-    /// Whether it is kept free of prompts this long.
+    /// Whether the upstream is kept free of prompts of this length.
     pub(super) fn is_closed_to(&self, query: &Query<'_>) -> bool {
         self.short_only && Class::of(query.prompt) >= Class::Long
     }
