--- a/almondlock-policy/src/outlier/detector.rs
+++ b/almondlock-policy/src/outlier/detector.rs
@@ -1,4 +1,4 @@
-//! Who is ejected, probed and reinstated, as one host decides.
+//! Decides for one host which upstreams are ejected, probed and reinstated.
 
 use std::{collections::HashMap, hash::Hash, time::Duration};
 
@@ -10,64 +10,71 @@
     stall::drop_untrusted,
 };
 
-/// Of a service's upstreams at most one in so many is ejected.
+/// At most one in this many upstreams of a service is ejected.
 const UPSTREAMS_PER_EJECTION: usize = 3;
-/// Between the probes that all hosts together send to an ejected upstream that hasn't answered
-/// since. An engine gets 1.2 short prompts a second otherwise: a probe each second fails as
-/// many requests as no ejection at all.
+/// Mean interval between the probes of all hosts together to an ejected upstream that has not
+/// answered since. Without ejection an engine gets 1.2 short prompts a second, so that probing it
+/// every second would fail nearly as many requests as no ejection.
 const PROBE_INTERVAL: Duration = Duration::from_millis(2_000);
-/// The same once it answers: it is to be back soon if it is well.
+/// Mean interval between probes once the upstream answers. It is short, so that a healthy upstream
+/// is reinstated soon.
 const ANSWERING_PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// Probes that one host must see answered in a row to reinstate an upstream. Of one that fails
-/// 45 requests in 100 nine in 100 pass.
+/// Number of this host's probes that must succeed in a row to reinstate an upstream. An upstream
+/// that fails 45 % of its requests passes that in 9 % of the cases.
 const MIN_OWN_PASSES: u32 = 4;
-/// The same over all hosts, within a window without a failure. All hosts know the same then,
-/// and reinstate it together.
+/// Number of answers to all hosts' probes, within a window without a failure, that reinstate an
+/// upstream. All hosts have the same reports and reinstate it together.
 const MIN_POOLED_PASSES: u32 = 3;
-/// An upstream that no request could probe for this long is reinstated: its service has none
-/// that may be repeated, or dozens of hosts share the probes and don't hear of their outcome.
+/// Time without a probe after which an upstream is reinstated. Its service may have no requests
+/// that can be repeated, or dozens of hosts share the probes without reports of the outcome.
 const EJECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How an upstream stands that is not as it should be.
+/// State of an upstream that is slower than others or ejected.
 #[derive(Clone, Copy, Debug)]
 struct Status {
+    /// Work that the upstream does per time, as a part of what it should do.
     rate: f64,
     ejection: Option<Ejection>,
 }
 
+/// State of an ejected upstream.
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
     since: Mono,
-    /// When it was last probed by this host, or ejected.
+    /// Time of this host's last probe, or of the ejection.
     last_probe: Mono,
-    /// The pause from then until this host's next probe, as a multiple of the usual one.
+    /// The start of the pause before this host's next probe, and its length as a multiple of the
+    /// mean interval.
     pause: (Mono, f64),
-    /// Probes of this host answered in a row.
+    /// Number of this host's probes answered in a row.
     passes: u32,
-    /// Answers to probes and no failures are known within the window.
+    /// Whether answers to probes and no failures are known within the window.
     is_answering: bool,
 }
 
-/// A change of what the host believes.
+/// An ejection or a reinstatement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change<K> {
-    /// The upstream.
+    /// The upstream concerned.
     pub key: K,
-    /// Whether it is ejected now.
+    /// Whether the upstream is ejected now. It is reinstated otherwise.
     pub is_ejected: bool,
-    /// What that rests on.
+    /// The finding behind the change.
     pub finding: Finding,
 }
 
-/// What a host knows of the upstreams' pace.
+/// Outlier detector of one host for all its upstreams.
 #[derive(Debug)]
 pub struct Detector<K> {
+    /// This host's own observations.
     windows: HashMap<K, Window>,
+    /// Pooled observations of all hosts, as last reported by a relay.
     reported: HashMap<K, Summary>,
+    /// Time of the last report.
     reported_at: Option<Mono>,
-    /// Those that are slower than others or ejected.
+    /// State of the upstreams that are slower than others or ejected.
     statuses: HashMap<K, Status>,
-    /// The host's own delays.
+    /// Delays of the host itself.
     pub stall: Stall,
 }
 
@@ -87,7 +94,7 @@
 where
     K: Clone + Eq + Hash,
 {
-    /// Takes in what this host observed. Times don't count while its timers are late.
+    /// Records an observation of this host. Times are ignored while the host is stalled.
     pub fn observe(&mut self, now: Mono, key: &K, sample: Sample) {
         if matches!(sample, Sample::Time(_)) && self.stall.is_stalled(now) {
             return;
@@ -102,20 +109,20 @@
         }
     }
 
-    /// A relay told what all hosts observed; that replaces what was told before.
+    /// Replaces the pooled observations of all hosts with new ones from a relay.
     pub fn replace_reported(&mut self, now: Mono, summaries: HashMap<K, Summary>) {
         self.reported_at = Some(now);
         self.reported = summaries;
     }
 
-    /// Another life of an upstream has begun.
+    /// Forgets an upstream, since it has been restarted.
     pub fn forget(&mut self, key: &K) {
         self.windows.remove(key);
         self.reported.remove(key);
         self.statuses.remove(key);
     }
 
-    /// Forgets upstreams that are gone.
+    /// Forgets the upstreams that aren't known any more.
     pub fn retain<F>(&mut self, is_known: F)
     where
         F: Fn(&K) -> bool,
@@ -125,7 +132,8 @@
         self.statuses.retain(|key, _| is_known(key));
     }
 
-    /// What this host has to report: its summaries as far as it trusts itself.
+    /// Returns the summaries that this host reports to relays, without those that it doesn't
+    /// trust.
     pub fn report(&mut self, now: Mono) -> Vec<(K, Summary)> {
         self.windows.retain(|_, window| !window.is_expired(now));
         let entries = self.windows.iter();
@@ -139,7 +147,7 @@
             .collect()
     }
 
-    /// Work that an upstream does in a time, against what it should.
+    /// Returns the work that an upstream does per time, as a part of what it should do.
     pub fn rate(&self, key: &K) -> f64 {
         self.statuses.get(key).map_or(1.0, |status| status.rate)
     }
@@ -155,8 +163,8 @@
         self.statuses.values().any(|s| s.ejection.is_some())
     }
 
-    /// Takes the right to probe an ejected upstream with a request, if its turn has come.
-    /// `hosts` counts all hosts, this one included.
+    /// Returns whether a request should be sent to an ejected upstream as a probe now, and
+    /// schedules the next probe if so. `hosts` is the number of all hosts, with this one.
     pub fn try_probe<R>(&mut self, now: Mono, key: &K, hosts: usize, rng: &mut R) -> bool
     where
         R: RngCore,
@@ -177,8 +185,8 @@
         true
     }
 
-    /// A request ended. Gives whether it was a probe: it was sent at a time when the
-    /// upstream was ejected.
+    /// Records the outcome of a request, and returns whether it was a probe: it was sent after
+    /// the upstream was ejected.
     pub fn record_probe(&mut self, key: &K, sent: Mono, is_passed: bool) -> bool {
         let status = self.statuses.get_mut(key);
         let ejection = status.and_then(|status| status.ejection.as_mut());
@@ -189,18 +197,20 @@
         true
     }
 
+    /// Whether a relay has reported within the window.
     fn has_fresh_reports(&self, now: Mono) -> bool {
         self.reported_at.is_some_and(|at| now.since(at) < WINDOW)
     }
 
-    /// Judges the upstreams of a service anew, and gives what has changed.
+    /// Evaluates the upstreams of a service anew, ejects and reinstates them, and returns the
+    /// changes.
     pub fn review<R>(&mut self, now: Mono, members: &[K], rng: &mut R) -> Vec<Change<K>>
     where
         R: RngCore,
     {
         let found = self.evaluate(now, members);
         let mut changes = Vec::new();
-        // Without those that are reinstated: what they did before counts no more.
+        // Reinstated upstreams are left out, since their earlier observations don't count.
         let mut others: Vec<(&K, &Finding)> = Vec::new();
         for (key, finding) in members.iter().zip(&found) {
             self.update_answering(now, key, finding, rng);
@@ -233,7 +243,8 @@
         changes
     }
 
-    /// What own observations and reported ones say, the worse of both.
+    /// Returns a finding for each upstream, the worse one of this host's own observations and of
+    /// the reported ones.
     fn evaluate(&self, now: Mono, members: &[K]) -> Vec<Finding> {
         let own = members.iter().map(|key| self.windows.get(key));
         let own = own.map(|window| window.map(|w| w.summarise(now)).unwrap_or_default());
@@ -257,45 +268,49 @@
             .collect()
     }
 
-    /// What was reported of an upstream, if it is fresh and several hosts observed it.
+    /// Returns the reported summary of an upstream if it is fresh and from several hosts, and an
+    /// empty one otherwise.
     fn reported_summary(&self, now: Mono, key: &K) -> Summary {
         let summary = self.fresh_report(now, key);
         Some(summary).filter(|a| a.hosts >= 2).unwrap_or_default()
     }
 
+    /// Returns the reported summary of an upstream if it is fresh, and an empty one otherwise.
     fn fresh_report(&self, now: Mono, key: &K) -> Summary {
         let summary = self.reported.get(key).copied();
         let fresh = summary.filter(|summary| now.since(summary.newest) < WINDOW);
         fresh.unwrap_or_default()
     }
 
-    /// Notes whether an ejected upstream answers the probes of all hosts.
+    /// Records whether an ejected upstream answers the probes of all hosts.
     fn update_answering<R>(&mut self, now: Mono, key: &K, finding: &Finding, rng: &mut R)
     where
         R: RngCore,
     {
-        // One host's word is enough here: it makes the others probe sooner.
+        // The report of one host is enough here: it only makes the others probe sooner.
         let summary = self.fresh_report(now, key);
         let status = self.statuses.get_mut(key);
         if let Some(ejection) = status.and_then(|status| status.ejection.as_mut()) {
-            // What was observed before the ejection is too old by now.
+            // Observations from before the ejection are older than the window.
             let is_over = now.since(ejection.since) >= WINDOW;
             let is_well = summary.capped_failures == 0 && !finding.is_outlier;
             let is_answering = is_over && is_well && summary.answers > 0;
             if is_answering != ejection.is_answering {
                 ejection.is_answering = is_answering;
-                // Drawn anew: hosts that have not probed yet are those with long pauses.
+                // The pause is drawn anew, since the hosts that have not probed yet are those
+                // with long pauses.
                 ejection.pause = (now, draw_multiple(rng));
             }
         }
     }
 
+    /// Whether an ejected upstream is to be reinstated.
     fn may_reinstate(&self, now: Mono, key: &K, finding: &Finding) -> bool {
         let status = self.statuses.get(key);
         let Some(ejection) = status.and_then(|status| status.ejection) else {
             return false;
         };
-        // What was observed before the ejection is too old by now.
+        // Observations from before the ejection are older than the window.
         let is_over = now.since(ejection.since) >= WINDOW;
         let summary = self.reported_summary(now, key);
         let passed = summary.answers >= MIN_POOLED_PASSES && summary.capped_failures == 0;
@@ -308,8 +323,8 @@
             || is_expired
     }
 
-    /// Ejects the worst outliers, at most `most` in all, and reinstates the best of those beyond
-    /// that.
+    /// Ejects the worst outliers, up to `most` ejected upstreams in all. If more are ejected, the
+    /// best of them are reinstated.
     fn eject<R>(
         &mut self,
         now: Mono,
@@ -328,7 +343,7 @@
         outliers.sort_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
         outliers.truncate(room);
         let mut changes = Vec::new();
-        // More than that are left ejected once others leave or are evacuated.
+        // More than `most` may be ejected, since other upstreams have left or are evacuated.
         ejected.sort_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
         for (key, finding) in ejected.into_iter().skip(most) {
             if let Some(status) = self.statuses.get_mut(key) {
@@ -363,10 +378,10 @@
     }
 }
 
-/// Between two probes of one host, of so many.
+/// Returns the mean interval between two probes of one host, out of `hosts`.
 fn probe_interval(has_fresh_reports: bool, is_answering: bool, hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts.max(1)).unwrap_or(u32::MAX);
-    // Without reports the others wouldn't know that it answers.
+    // Without reports the other hosts don't know that the upstream answers.
     let pause = match has_fresh_reports && is_answering {
         true => ANSWERING_PROBE_INTERVAL,
         false => PROBE_INTERVAL,
@@ -374,8 +389,9 @@
     pause.saturating_mul(hosts)
 }
 
-/// A multiple of a pause, exponentially distributed: the probes of all hosts together come at
-/// the intended rate from the start, also when the usual pause changes.
+/// Draws the length of a pause as a multiple of the mean interval. The multiple is exponentially
+/// distributed, so that all hosts together probe at the intended rate from the start, and also
+/// after the mean interval changes.
 fn draw_multiple<R>(rng: &mut R) -> f64
 where
     R: RngCore,
--- a/almondlock-policy/src/outlier/finding.rs
+++ b/almondlock-policy/src/outlier/finding.rs
@@ -1,47 +1,50 @@
-//! Which upstreams of a service are outliers.
+//! Finds the outliers among the upstreams of a service.
 //!
-//! Each is compared with the others of its service at the same time: a fleet that is busy, or
-//! fails as a whole, has no outliers.
+//! An upstream is compared with the others of its service at the same time: a service whose
+//! upstreams are all busy or all failing has no outliers.
 
 use almondlock_base::time::Mono;
 
 use super::{Summary, summary::failure_bounds};
 
-/// The weight of times without which nothing is said of an upstream's speed. Expectations are
-/// wrong by a few hundred milliseconds for one request in ten; the median of some isn't.
+/// Least total weight of times for a finding about an upstream's speed. Expectations are wrong by
+/// a few hundred milliseconds for one request in ten, but the median of several times isn't.
 const MIN_TIME_WEIGHT: u32 = 6;
-/// Other upstreams that one is compared with, itself included, at the least.
+/// Least number of upstreams for a comparison.
 const MIN_COMPARED: usize = 3;
-/// Below this an upstream counts as no slower than the others: it is within the usual error.
+/// Slowness below which an upstream counts as no slower than the others, since it is within the
+/// usual error.
 const MIN_SLOWNESS: f64 = 1.5;
-/// From here on it is ejected. A first event takes most of its objective where it should take
-/// less than half.
+/// Slowness from which on an upstream is an outlier. A first event then takes most of its
+/// objective, where it should take less than half.
 const EJECTION_SLOWNESS: f64 = 3.0;
-/// Failures without which nothing is said, of one host's observations and of several hosts'.
+/// Least number of failures for a finding from this host's own observations.
 const MIN_OWN_FAILURES: u32 = 3;
+/// Least number of failures for a finding from the observations of several hosts.
 const MIN_POOLED_FAILURES: u32 = 2;
-/// An upstream fails often if at least this part of its requests fails: beyond it the budget of
-/// further attempts, 0.2 of requests, doesn't cover a service of which all fail as often.
+/// Least part of an upstream's requests that fails for it to be an outlier. Beyond this, the retry
+/// budget of 0.2 of the requests doesn't cover a service whose upstreams all fail as often.
 const MIN_FAILURE_SHARE: f64 = 0.15;
-/// How much larger its share of failures must be than the service's median.
+/// Least difference between an outlier's share of failures and the median of its service.
 const MIN_EXCESS_SHARE: f64 = 0.2;
-/// Of a service whose other upstreams may fail this part of requests none is an outlier: it
-/// fails as a whole. More than where a third of the upstreams always fail.
+/// Upper bound of the other upstreams' share of failures from which on no upstream is an outlier,
+/// since the service fails as a whole. It is above a third, so that a third of the upstreams can
+/// fail all requests and still be outliers.
 const SERVICE_FAILURE_SHARE: f64 = 0.37;
-/// The least rate that placement divides by.
+/// Least rate of an upstream. Placement divides by it.
 const MIN_RATE: f64 = 0.1;
 
-/// Whose observations a finding rests on.
+/// The source of the observations behind a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// This host's.
+    /// This host's own observations.
     Own,
-    /// Several hosts', as a relay reported them.
+    /// The observations of several hosts, as reported by a relay.
     Reported,
 }
 
 impl Source {
-    /// The word used in logs.
+    /// Returns the name used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Source::Own => "own",
@@ -50,27 +53,27 @@
     }
 }
 
-/// What was found of an upstream.
+/// The result of comparing an upstream with the others of its service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finding {
-    /// Work that it does in a time, against what it should. At most 1.
+    /// Work that the upstream does per time, as a part of what it should do. At most 1.
     pub rate: f64,
-    /// The part of its requests that failed.
+    /// Part of the upstream's requests that failed.
     pub failure_share: f64,
-    /// How many times slower it is than the others of its service.
+    /// How many times slower the upstream is than the median of its service.
     pub slowness: f64,
-    /// Requests and times that this rests on.
+    /// Number of observed requests plus the weight of observed times.
     pub observations: u32,
-    /// Whose they are.
+    /// Source of the observations.
     pub source: Source,
-    /// When the newest of them was made.
+    /// Time of the newest observation.
     pub newest: Mono,
-    /// It is far slower, or fails often.
+    /// Whether the upstream is far slower than the others or fails often.
     pub is_outlier: bool,
 }
 
-/// Finds the outliers among the upstreams of a service, given the summaries of all of them in
-/// the order of the result, and in `all` those of either source.
+/// Compares the upstreams of a service, and returns one finding for each, in the order of
+/// `summaries`. `all` has the summaries of both sources, in the same order.
 pub fn find_outliers(summaries: &[Summary], source: Source, all: [&[Summary]; 2]) -> Vec<Finding> {
     let timed = summaries.iter().filter(|summary| summary.time_weight > 0);
     let usual = median(timed.map(|summary| summary.slowness));
@@ -114,8 +117,8 @@
     findings.collect()
 }
 
-/// Whether the others fail as well. With two observed requests or so of each upstream a fleet
-/// that fails half of all has some that failed all of theirs.
+/// Whether the other upstreams fail as well. With about two observed requests for each upstream,
+/// a service that fails half of all requests has some upstreams that failed all of theirs.
 fn others_fail(summaries: &[Summary], index: usize) -> bool {
     let others = summaries.iter().enumerate().filter(|(i, _)| *i != index);
     let others = others.map(|(_, summary)| (summary.answers, summary.capped_failures));
@@ -124,8 +127,8 @@
         && failure_bounds(failures, answers + failures).1 >= SERVICE_FAILURE_SHARE
 }
 
-/// The median, the upper one of two: what half of a service shows is usual. None if there are
-/// too few to compare.
+/// Returns the median, the upper one of two, since what half of the upstreams show counts as
+/// normal. `None` if there are too few values to compare.
 fn median<I>(values: I) -> Option<f64>
 where
     I: Iterator<Item = f64>,
--- a/almondlock-policy/src/outlier/mod.rs
+++ b/almondlock-policy/src/outlier/mod.rs
@@ -1,17 +1,17 @@
-//! Upstreams judged by how fast and how often they answer.
+//! Passive outlier detection: finds and ejects upstreams that are slower than others or fail.
 //!
 //! **Load pattern.** An upstream runs at a seventh of its speed for seconds, fails part of its
-//! requests while its health check passes, or changes between both states each second. One
-//! entry host of dozens sends it a request every few seconds, so its own observations come too
-//! late: all hosts' observations count together.
+//! requests while its health check passes, or alternates between both states every second. Each
+//! of dozens of entry hosts sends it a request only every few seconds, so that a host's own
+//! observations come too late. The observations of all hosts are therefore pooled.
 //!
-//! | module | decides |
+//! | module | question |
 //! |---|---|
-//! | [`window`] | what one host has observed of an upstream lately |
-//! | [`summary`] | how several hosts' observations count together |
+//! | [`window`] | what has one host observed of an upstream recently |
+//! | [`summary`] | how are several hosts' observations pooled |
 //! | [`finding`] | which upstreams of a service are outliers |
-//! | [`stall`] | whether the host itself is what was slow |
-//! | [`detector`] | who is ejected, probed and reinstated |
+//! | [`stall`] | is the host itself slow or cut off |
+//! | [`detector`] | which upstreams are ejected, probed and reinstated |
 
 pub mod detector;
 pub mod finding;
@@ -29,23 +29,24 @@
     window::Window,
 };
 
-/// Observations older than this don't count.
+/// Age beyond which observations don't count.
 pub const WINDOW: Duration = Duration::from_secs(3);
 
-/// What one request showed.
+/// One observation of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Sample {
-    /// It was answered.
+    /// A request was answered.
     Answer,
-    /// It failed by the upstream's fault.
+    /// A request failed through the upstream's fault.
     Failure,
-    /// Something took this many times as long as expected.
+    /// Part of a request took this many times as long as expected.
     Time(f64),
 }
 
 impl Sample {
-    /// A time against what was expected. `slack` is an error of the expectation that is
-    /// usual, so that short times aren't judged by it.
+    /// Creates a sample from an observed and an expected time. `slack` is the usual error of
+    /// the expectation. It is added to both times, so that the error doesn't dominate short
+    /// ones.
     pub fn time(observed: Duration, expected: Duration, slack: Duration) -> Sample {
         let expected = (expected + slack).as_secs_f64().max(1e-3);
         Sample::Time((observed + slack).as_secs_f64() / expected)
--- a/almondlock-policy/src/outlier/stall.rs
+++ b/almondlock-policy/src/outlier/stall.rs
@@ -1,4 +1,4 @@
-//! Whether the host itself is what was slow.
+//! Detects that the host itself, not its upstreams, is slow or cut off.
 
 use std::time::Duration;
 
@@ -6,43 +6,45 @@
 
 use super::Summary;
 
-/// A timer that fires this much too late delays what the host observes by as much as the
-/// shortest objectives allow for a first event's own part.
+/// Delay of a timer from which on the host counts as stalled. The shortest objectives leave about
+/// this much time for the first event itself.
 const MIN_STALL: Duration = Duration::from_millis(120);
-/// Times observed within this span after a late timer don't count: a request that was under
-/// way meanwhile has been answered by then, or is judged by later ones.
+/// Time after a late timer for which observed times don't count. Requests that were in progress
+/// during the stall have been answered by then, or later ones count in their place.
 const STALL_EFFECT: Duration = Duration::from_millis(500);
-/// Upstreams that must have been observed for them to be compared with each other.
+/// Least number of observed upstreams for which the host can suspect itself.
 const MIN_OBSERVED: usize = 3;
-/// An upstream looks slow from here on.
+/// Slowness from which on an upstream looks slow.
 const SLOW_FACTOR: f64 = 2.0;
-/// A host of which this part of all requests fails is cut off itself. Hosts that doubt
-/// themselves don't report: a lower part would leave out those that happen to see more of an
-/// outage than others, and make the outage look smaller.
+/// Part of a host's requests that fail from which on the host counts as cut off itself. Such a
+/// host reports no failures: a lower limit would exclude hosts that happen to see more of an
+/// outage than others, and the outage would look smaller than it is.
 const CUT_OFF_SHARE: f64 = 0.7;
 
-/// What a host knows of its own delays.
+/// Recent delays of the host itself, as its timers show them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stall {
+    /// Time until which observed times don't count.
     until: Option<Mono>,
 }
 
 impl Stall {
-    /// A timer fired so much too late.
+    /// Records that a timer fired `by` too late.
     pub fn note_delay(&mut self, now: Mono, by: Duration) {
         if by >= MIN_STALL {
             self.until = Some(now + STALL_EFFECT);
         }
     }
 
-    /// Whether the times that it observes now are its own fault.
+    /// Whether the times that the host observes now may be due to its own delay.
     pub fn is_stalled(&self, now: Mono) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 }
 
-/// What is left of a host's own summaries of its upstreams when it suspects itself: most
-/// upstreams look slow to it, or failing.
+/// Removes from a host's own summaries what it doesn't trust: the times if most upstreams look
+/// slow, and the outcomes of requests if nearly all of them failed. The cause is then more likely
+/// the host itself.
 pub fn drop_untrusted(summaries: &mut [Summary]) {
     let timed = summaries.iter().filter(|summary| summary.time_weight > 0);
     let slow = timed
@@ -65,6 +67,7 @@
     }
 }
 
+/// Whether `count` is more than half of `all`, with enough upstreams observed.
 const fn is_majority(count: usize, all: usize) -> bool {
     all >= MIN_OBSERVED && count * 2 > all
 }
--- a/almondlock-policy/src/outlier/summary.rs
+++ b/almondlock-policy/src/outlier/summary.rs
@@ -1,33 +1,34 @@
-//! How several hosts' observations of one upstream count together.
+//! Summaries of the observations of one upstream, and how those of several hosts are pooled.
 //!
-//! **Failure.** A host reports wrong data. What one host reports counts at most as much as what
-//! all others report together, so that its report alone has no weight, and besides one honest
-//! report it has the weight of one.
+//! **Failure.** A host reports wrong data. The report of one host therefore counts at most as
+//! much as all others together: alone it has no weight, and beside a single correct report it
+//! has the same weight as that.
 
 use almondlock_base::time::Mono;
 
-/// A standard normal deviate: the true share of failures is below the lower bound in one case
-/// of ten, and above the upper one.
+/// Standard normal deviate of the bounds: the true share of failures is below the lower bound in
+/// one case of ten, and above the upper bound in one of ten.
 const NORMAL_DEVIATE: f64 = 1.28;
 
-/// What was observed of an upstream within the window.
+/// Summary of what was observed of an upstream within [`WINDOW`](super::WINDOW).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Summary {
-    /// How many hosts observed it.
+    /// Number of hosts that observed the upstream.
     pub hosts: u32,
-    /// Requests that it answered.
+    /// Number of requests that the upstream answered.
     pub answers: u32,
-    /// Requests that failed by its fault.
+    /// Number of requests that failed through the upstream's fault.
     pub failures: u32,
-    /// The same, at most one of each host: for what a service does as a whole, of which one
-    /// host's wrong report must not count for much.
+    /// Number of failures, with at most one from each host in a pooled summary. It tells whether
+    /// a service fails as a whole, where one host's wrong report must not count for much.
     pub capped_failures: u32,
-    /// The weight of the times that were compared with what was expected: one for each that
-    /// was as expected, more for longer ones.
+    /// Total weight of the observed times: 1 for a time that was as expected, more for longer
+    /// ones.
     pub time_weight: u32,
-    /// Their weighted median, as a multiple of what was expected. 1 without any.
+    /// Weighted median of the observed times, as a multiple of the expected ones. 1 if no time
+    /// was observed.
     pub slowness: f64,
-    /// When the newest observation was made.
+    /// Time of the newest observation.
     pub newest: Mono,
 }
 
@@ -46,12 +47,12 @@
 }
 
 impl Summary {
-    /// Several hosts' summaries as one.
+    /// Pools the summaries of several hosts into one.
     pub fn pool(summaries: &[Summary]) -> Summary {
         let counts = |count: fn(&Summary) -> u32| summaries.iter().map(count).collect::<Vec<_>>();
         let requests: u32 = summaries.iter().map(Summary::requests).sum();
         let answers = summaries.iter().map(|summary| {
-            // One always counts, and any besides another host's failures.
+            // At least one answer counts, and at most as many as other hosts have requests.
             summary.answers.min((requests - summary.requests()).max(1))
         });
         let failures = cap_counts(&counts(|summary| summary.failures));
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Requests of which it is known how they ended.
+    /// Returns the number of requests whose outcome is known.
     pub const fn requests(&self) -> u32 {
         self.answers + self.failures
     }
 
-    /// The part of the requests that failed.
+    /// Returns the part of the requests that failed.
     pub fn failure_share(&self) -> f64 {
         match self.requests() {
             0 => 0.0,
@@ -96,13 +97,14 @@
         }
     }
 
-    /// A lower bound of the part that fails in the long run.
+    /// Returns a lower bound of the part of the requests that fails in the long run.
     pub fn failure_share_bound(&self) -> f64 {
         failure_bounds(self.failures, self.requests()).0
     }
 }
 
-/// Bounds of the part that fails in the long run (Wilson's score interval).
+/// Returns the lower and the upper bound of the part of the requests that fails in the long run
+/// (Wilson score interval).
 pub(super) fn failure_bounds(failures: u32, requests: u32) -> (f64, f64) {
     if requests == 0 {
         return (0.0, 1.0);
@@ -116,7 +118,7 @@
     ((centre - spread) / scale, (centre + spread) / scale)
 }
 
-/// Counts of which none is larger than the sum of the others.
+/// Reduces each count to at most the sum of the others.
 fn cap_counts(counts: &[u32]) -> Vec<u32> {
     let total: u32 = counts.iter().sum();
     counts
--- a/almondlock-policy/src/outlier/window.rs
+++ b/almondlock-policy/src/outlier/window.rs
@@ -1,4 +1,4 @@
-//! What one host has observed of an upstream lately.
+//! Recent observations of one upstream by one host.
 
 use std::collections::VecDeque;
 
@@ -6,26 +6,26 @@
 
 use super::{Sample, Summary, WINDOW};
 
-/// Samples of a kind that are kept for an upstream: those of a window at an engine that writes
-/// a few of the host's streams.
+/// Largest number of requests and of times that are kept for an upstream. It is enough for a
+/// window at an engine that writes a few of the host's streams.
 const MAX_SAMPLES: usize = 64;
 
-/// A time has its multiple as its weight, up to this. An upstream that becomes seven times
-/// slower gives a seventh of the times: counted alike, those from before would outnumber them
-/// until nearly all of the window has passed.
+/// Largest weight of a time. A time is weighted by its multiple of the expected one, since an
+/// upstream that becomes seven times slower yields a seventh of the times: with equal weights,
+/// the earlier times would outnumber them until nearly all of the window has passed.
 const MAX_WEIGHT: f64 = 10.0;
 
 /// Recent observations of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
-    /// Requests, and whether they were answered. In order of time.
+    /// Times at which requests ended and whether they were answered, oldest first.
     requests: VecDeque<(Mono, bool)>,
-    /// Times as multiples of what was expected. In order of time.
+    /// Observed times as multiples of the expected ones, oldest first.
     times: VecDeque<(Mono, f64)>,
 }
 
 impl Window {
-    /// Takes in an observation.
+    /// Adds an observation.
     pub fn observe(&mut self, now: Mono, sample: Sample) {
         match sample {
             Sample::Answer => push_bounded(&mut self.requests, (now, true)),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether everything in it is too old.
+    /// Whether all observations are older than the window.
     pub fn is_expired(&self, now: Mono) -> bool {
         let newest = [
             self.requests.back().map(|(at, _)| *at),
@@ -43,7 +43,7 @@
         newest.iter().flatten().all(|at| now.since(*at) >= WINDOW)
     }
 
-    /// What it comes to now.
+    /// Summarises the observations that are not older than the window.
     pub fn summarise(&self, now: Mono) -> Summary {
         let is_fresh = |at: &Mono| now.since(*at) < WINDOW;
         let mut summary = Summary::default();
@@ -62,7 +62,7 @@
         times.sort_unstable_by(f64::total_cmp);
         let weight = |multiple: &f64| multiple.min(MAX_WEIGHT);
         let total: f64 = times.iter().map(weight).sum();
-        // A window holds few times; their weights are bounded.
+        // The number of times and their weights are bounded, so the sum fits.
         summary.time_weight = total.round() as u32;
         let mut passed = 0.0;
         let median = times.iter().find(|multiple| {
@@ -75,6 +75,7 @@
     }
 }
 
+/// Appends an entry, and drops the oldest one if there are too many.
 fn push_bounded<T>(entries: &mut VecDeque<T>, entry: T) {
     if entries.len() >= MAX_SAMPLES {
         entries.pop_front();
