--- a/almondlock-policy/src/share/assessment.rs
+++ b/almondlock-policy/src/share/assessment.rs
@@ -1,38 +1,38 @@
-//! Which organisations are over their share of a service's engines.
+//! Finds the organisations that are over their share of a service's engines.
 
 use std::{collections::HashMap, hash::Hash, time::Duration};
 
 use super::{Standing, Unlisted, Usage, level};
 
-/// Reading time that engines are promised, in the mean, below which it isn't contended: half
-/// of 250 ms, the time within which most short prompts have to have their first event. What
-/// is refused while there is less to read can't be served by taking time from others.
+/// Mean reading time assigned to an engine below which reading isn't contended: half of 250 ms,
+/// within which most short prompts have to have their first event. A prompt that is refused
+/// while there is less to read can't be served by taking time from others.
 const MIN_CONTENDED_READING: Duration = Duration::from_millis(125);
 
-/// Slots of an engine that don't count as capacity. Hosts place requests by counts that are
-/// up to 40 ms old, so that an engine may be full while the mean one has a slot free.
+/// Number of an engine's slots that don't count as capacity. Hosts place requests by counts that
+/// are up to 40 ms old, so that an engine may be full while the average one has a free slot.
 const UNCOUNTED_SLOTS: u32 = 1;
 
-/// A service's engines.
+/// Capacity of a service's engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Capacity {
-    /// How many there are.
+    /// Number of engines.
     pub engines: u32,
-    /// Their slots together.
+    /// Number of slots of all engines together.
     pub slots: u32,
 }
 
-/// What is shared.
+/// A resource that organisations share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
-    /// Requests that the engines process concurrently.
+    /// Slots for requests that the engines process concurrently.
     Slots,
-    /// Milliseconds of reading.
+    /// Reading time of the engines, in milliseconds.
     Reading,
 }
 
 impl Resource {
-    /// The word used in logs.
+    /// Returns the name used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Resource::Slots => "slots",
@@ -40,11 +40,11 @@
         }
     }
 
-    /// How much of it there is to share out. None: it isn't contended, whatever is asked
-    /// for. `used` is what all organisations have.
+    /// Returns the amount to share out, or `None` if the resource isn't contended whatever the
+    /// demand. `used` is what all organisations use together.
     ///
-    /// Engines have no fixed amount of reading: what they are promised when prompts are
-    /// refused is what can be read in time.
+    /// Engines have no fixed amount of reading time. The amount assigned to them while prompts
+    /// are refused is what can be read in time.
     fn capacity(self, capacity: Capacity, used: f64) -> Option<f64> {
         let Capacity { engines, slots } = capacity;
         match self {
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether an organisation waits for it. A prompt that was sent waits for a slot, if the
-    /// engines have none; reading time it was promised.
+    /// Whether an organisation waits for the resource. A request without a first event may wait
+    /// for a slot at its engine, but its reading time has been assigned.
     fn is_waited_for(self, count: &Usage) -> bool {
         match self {
             Resource::Slots => count.unread + count.queued > 0,
@@ -68,6 +68,7 @@
         }
     }
 
+    /// Returns the amount that an organisation uses.
     fn used(self, count: &Usage) -> f64 {
         f64::from(match self {
             Resource::Slots => count.slots,
@@ -75,6 +76,7 @@
         })
     }
 
+    /// Returns the amount that an organisation uses and waits for.
     fn demand(self, count: &Usage) -> f64 {
         let queued = f64::from(match self {
             Resource::Slots => count.queued,
@@ -84,27 +86,27 @@
     }
 }
 
-/// By how much an organisation is over its share.
+/// The excess of an organisation over its share of a resource.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Excess<K> {
-    /// Of what.
+    /// Resource of which the organisation has too much.
     pub resource: Resource,
-    /// What it has.
+    /// Amount that the organisation uses.
     pub used: f64,
-    /// Its share. Positive.
+    /// Share of the organisation. Invariant: positive.
     pub share: f64,
-    /// The organisation with the least of it that waits. None: one that isn't listed.
+    /// Waiting organisation that uses the least of the resource, `None` if it isn't listed.
     pub least_served: Option<K>,
 }
 
 impl<K> Excess<K> {
-    /// The excess as a part of the share.
+    /// Returns the excess as a multiple of the share.
     pub fn ratio(&self) -> f64 {
         (self.used - self.share) / self.share
     }
 }
 
-/// The organisations that are over their share. Invariant: empty without contention.
+/// The organisations that are over their share. Invariant: none is without contention.
 #[derive(Clone, Debug)]
 pub struct Assessment<K> {
     over: HashMap<K, Excess<K>>,
@@ -122,7 +124,7 @@
 where
     K: Copy + Eq + Hash,
 {
-    /// Judges organisations by what they have and wait for.
+    /// Assesses organisations by what they use and wait for.
     pub fn new(capacity: Capacity, counts: &[(K, Usage)], rest: Unlisted) -> Assessment<K> {
         let mut over: HashMap<K, Excess<K>> = HashMap::new();
         for resource in [Resource::Slots, Resource::Reading] {
@@ -136,12 +138,12 @@
         Assessment { over }
     }
 
-    /// By how much an organisation is over its share, if it is.
+    /// Returns the excess of an organisation, `None` if it is within its share.
     pub fn excess(&self, key: &K) -> Option<&Excess<K>> {
         self.over.get(key)
     }
 
-    /// How an organisation stands. Within if nothing is known of it.
+    /// Returns whether an organisation is over its share. One without known usage is within it.
     pub fn standing(&self, key: &K) -> Standing {
         self.excess(key)
             .map_or(Standing::Within, |excess| Standing::Over {
@@ -149,14 +151,14 @@
             })
     }
 
-    /// Whether nobody is over.
+    /// Whether no organisation is over its share.
     pub fn is_empty(&self) -> bool {
         self.over.is_empty()
     }
 }
 
-/// Organisations that have more of a resource than the max-min level, while one that has
-/// less waits.
+/// Returns the organisations that use more of a resource than the max-min level while one that
+/// uses less waits.
 fn find_excesses<K>(
     resource: Resource,
     capacity: Capacity,
--- a/almondlock-policy/src/share/mod.rs
+++ b/almondlock-policy/src/share/mod.rs
@@ -1,23 +1,23 @@
-//! Fair shares of the engines among organisations.
+//! Max-min fair sharing of the engines among organisations.
 //!
 //! **Load pattern.** Organisations of unequal size share the engines of a service. One of
-//! them sends several times its usual rate, or repeats each refused request at once. First
-//! come, first served, it gets capacity in proportion to what it sends, and the requests of
-//! all others are late.
+//! them sends several times its usual rate, or repeats each refused request at once. With
+//! first come, first served, it gets capacity in proportion to what it sends, and the
+//! requests of all others are late.
 //!
 //! **Max-min fairness.** Under contention, no organisation has more than a common level as
 //! long as another one that has less waits. The level is found by water filling
-//! ([`level`]): whoever asks for less than the level has all it asks for, and what it leaves
-//! raises the level for the others.
+//! ([`level`]): an organisation that demands less than the level gets all it demands, and
+//! the remainder raises the level for the others.
 //!
-//! **Two resources.** Slots and reading time are judged separately ([`Assessment`]): an
+//! **Two resources.** Slots and reading time are assessed separately ([`Assessment`]): an
 //! organisation is over its share if it is over in either of them.
 //!
-//! **Contention.** Slots are contended once the requests that have one or wait for one are
-//! more than all slots but one of each engine, and an organisation below the level waits.
-//! Long prompts keep engines reading in usual times too, for seconds each, so that reading
+//! **Contention.** Slots are contended once the requests that have a slot or wait for one
+//! outnumber all slots but one of each engine, and an organisation below the level waits.
+//! Long prompts keep engines reading for seconds each at normal times too, so reading time
 //! is contended only once a prompt of an organisation below the level waits at a host or was
-//! refused, while engines are busy.
+//! refused while engines are busy.
 
 mod assessment;
 mod level;
@@ -31,42 +31,44 @@
     rank::demoted_rank,
 };
 
-/// How an organisation stands with its share.
+/// Whether an organisation is over its share.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Standing {
-    /// It has no more than its share, or that isn't known.
+    /// The organisation has no more than its share, or its usage isn't known.
     #[default]
     Within,
-    /// It has more, and another one that has less waits.
+    /// The organisation has more than its share, and another one that has less waits.
     Over {
-        /// By how much, as a part of its share.
+        /// Excess over the share, as a multiple of the share.
         by: f64,
     },
 }
 
-/// What an organisation has at the engines of a service, and what it waits for.
+/// What an organisation uses of a service's engines, and what it waits for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Usage {
-    /// Requests sent to an engine that have not ended.
+    /// Number of requests that were sent to an engine and have not ended.
     pub slots: u32,
-    /// Of those, the ones whose first event has not come.
+    /// Number of those requests whose first event has not come.
     pub unread: u32,
-    /// Milliseconds of reading that those take, on all engines together.
+    /// Reading time of the requests without a first event, in milliseconds, on all engines
+    /// together.
     pub reading: u32,
-    /// Requests that wait for a slot, at a host or at a caller that was told to return.
+    /// Number of requests that wait for a slot, at a host or at a caller that was told to return.
     pub queued: u32,
-    /// Milliseconds of reading of prompts that wait for engines' time in the same way.
+    /// Reading time, in milliseconds, of the prompts that wait for engines' time at a host or at a
+    /// caller that was told to return.
     pub queued_reading: u32,
 }
 
 impl Usage {
-    /// Adds another count.
+    /// Adds another usage.
     pub fn add(&mut self, other: &Usage) {
         self.merge(other, u32::saturating_add);
     }
 
-    /// Takes out what was added before.
+    /// Subtracts a usage that was added before.
     pub fn subtract(&mut self, other: &Usage) {
         self.merge(other, u32::saturating_sub);
     }
@@ -76,7 +78,7 @@
         *self == Usage::default()
     }
 
-    /// Orders counts by what is in flight, then by what waits.
+    /// Returns a key that orders usages by what is in flight, then by what waits.
     pub fn sort_key(&self) -> (u32, u32, u32) {
         (self.slots, self.reading, self.queued)
     }
@@ -93,12 +95,12 @@
     }
 }
 
-/// Organisations that are not listed one by one.
+/// The organisations that are not listed one by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Unlisted {
-    /// How many there are.
+    /// Number of the unlisted organisations.
     pub organisations: u32,
-    /// What they have together. Each counts with an equal part.
+    /// Usage of the unlisted organisations together. Each is assumed to have an equal part.
     pub count: Usage,
 }
--- a/almondlock-policy/src/slots/mod.rs
+++ b/almondlock-policy/src/slots/mod.rs
@@ -1,18 +1,20 @@
-//! Which short prompts get an engine's concurrency slots when these are scarce.
+//! Allocates engines' concurrency slots to short prompts while slots are scarce.
 //!
 //! **Load pattern.** Short prompts arrive for some seconds at 1.0 to 1.3 times the rate at
 //! which slots become free. First come, first served makes nearly all of them slightly
 //! late, since the backlog lasts as long as the burst. Here a prompt that can no longer
 //! meet its objective gives way to those that still can, and waits at the host.
 //!
-//! **Who hands on a slot.** A host learns of the end of its own streams at once, of others'
-//! up to 40 ms later. A slot that one of its own streams leaves goes to its own next
-//! waiting prompt, so hosts don't compete for it. Of slots that are seen free without
-//! having been its own, a host takes its portion within the age of its knowledge.
+//! **Slots that become free.** A host learns of the end of its own streams at once, and of
+//! other hosts' streams up to 40 ms later. The slot of one of its own streams goes to its
+//! own next waiting prompt, so that hosts don't compete for it. Of the other slots that it
+//! sees free, a host takes its share, spread over the time until it would learn that
+//! another host has taken them.
 //!
-//! **Bounds.** A prompt that waits is sent at the latest after a part of its caller's
-//! patience. So many late ones are taken that sending them delays at most a tenth of the
-//! rest; others are refused at once and told when the line will have emptied.
+//! **Bounds.** A waiting prompt is sent after a fixed part of its caller's patience at the
+//! latest. Late prompts are accepted only in such numbers that sending them delays at most a
+//! tenth of the rest. Further ones are refused at once and told when the queue is expected
+//! to be empty.
 
 mod occupancy;
 mod queue;
@@ -28,60 +30,61 @@
     queue::{Prompt, Ticket},
 };
 
-/// How old a host's knowledge of other hosts' requests is at most, as a rule.
+/// Usual upper limit of the age of a host's information about other hosts' requests.
 pub const STATE_AGE: Duration = Duration::from_millis(40);
 
-/// The time after its arrival at which a prompt is sent at the latest. Callers leave after
-/// 2 s; what is left is for engine queues, reading and the first pass.
+/// Time after its arrival at which a waiting prompt is sent at the latest. Callers give up after
+/// 2 s; the remaining time is for engine queues, reading and the first pass.
 const MAX_WAIT: Duration = Duration::from_millis(1_400);
 
-/// The probability with which prompts may meet at a free slot before slots count as scarce.
+/// Probability that two prompts are sent to the same free slot from which on slots are scarce.
 const MAX_COLLISION_PROBABILITY: f64 = 0.1;
 
-/// The time after which a refused prompt comes back at the latest. Mixes of requests last
-/// about nine seconds.
+/// Longest time after which a refused prompt is told to return. Bursts of requests last about
+/// nine seconds.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(9);
 
-/// The time for which a slot counts as seen free: another host that has taken it tells so
-/// one such age later than it was told of it.
+/// Time for which a slot that another host takes is seen as free: that host learns of the slot
+/// one [`STATE_AGE`] after it became free, and its request is known here another one later.
 const FREE_SLOT_TIME: Duration = STATE_AGE.saturating_mul(2);
 
-/// The part of the slots that late prompts may take from those in time. The fraction in time
-/// may be 0.1 below what slots sustain; the rest of that is for prompts that meet at an
-/// engine or were counted as in time and weren't.
+/// Part of the slots that late prompts may take from those in time. The fraction of prompts in
+/// time may be 0.1 below what the slots sustain. The remaining 0.04 is for prompts that meet at
+/// an engine, or that were expected to be in time and are not.
 const LATE_SLOT_SHARE: f64 = 0.06;
 
-/// What becomes of a prompt.
+/// The decision on a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is sent now.
+    /// The prompt is sent now.
     Send,
-    /// It waits at the host until it is granted a slot.
+    /// The prompt waits at the host until it is granted a slot.
     Wait(Ticket),
-    /// It is refused without having run.
+    /// The prompt is refused without having run.
     Refuse {
-        /// When slots are expected to be free for it, from now.
+        /// Time until slots are expected to be free for the prompt.
         retry_after: Duration,
     },
 }
 
-/// One host's decisions on slots of one service.
+/// Allocates the slots of one service's engines to the prompts of one host.
 #[derive(Debug, Default)]
 pub struct Allocator {
     occupancy: Occupancy,
     commitments: Commitments,
     queue: Queue,
-    // Slots seen free that this host may still take. Invariant: not negative.
+    // Number of free slots that this host may still take. Invariant: not negative.
     credit: f64,
+    // Time at which `credit` was last updated.
     credited: Mono,
-    // When the last one that was refused comes back.
+    // Time at which the prompt refused last was told to return.
     last_return: Mono,
 }
 
 impl Allocator {
-    /// Takes in what is known of the engines: on each placement, from the figures that it
-    /// is made with. `hold` is how long a stream keeps its slot, `hosts` how many other
-    /// hosts there are.
+    /// Updates the occupancy of the engines. It is called on each placement, with the load
+    /// information that the placement uses. `hold` is the time for which a stream keeps its
+    /// slot, `hosts` the number of other hosts.
     pub fn update<I>(&mut self, now: Mono, engines: I, hold: Duration, hosts: usize)
     where
         I: IntoIterator<Item = Engine>,
@@ -89,23 +92,23 @@
         self.occupancy = Occupancy::of(now, engines, hold, hosts);
     }
 
-    /// What was last taken in.
+    /// Returns the occupancy as last updated.
     pub const fn occupancy(&self) -> &Occupancy {
         &self.occupancy
     }
 
-    /// How many prompts wait.
+    /// Returns the number of waiting prompts.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// One of this host's requests takes a slot until the given time, by forecast.
+    /// Records that one of this host's requests has a slot, which is expected to end at `until`.
     pub fn commit(&mut self, until: Mono) -> Commitment {
         self.commitments.add(until)
     }
 
-    /// It has ended, and leaves its slot to the prompt that is named. `has_slot`: no request
-    /// that queues at its engine takes the slot.
+    /// Records the end of a request, and returns the waiting prompt that gets its slot, if any.
+    /// `has_slot` is whether the slot is free: no request that queues at the engine takes it.
     pub fn release(&mut self, now: Mono, commitment: Commitment, has_slot: bool) -> Option<Ticket> {
         let is_known = self.commitments.remove(commitment);
         (is_known && has_slot)
@@ -113,7 +116,7 @@
             .flatten()
     }
 
-    /// Decides on a prompt. `has_slot`: the engine chosen for it has a free one.
+    /// Decides on a prompt. `has_slot` is whether the engine chosen for it has a free slot.
     pub fn decide<R>(&mut self, now: Mono, prompt: &Prompt, has_slot: bool, rng: &mut R) -> Verdict
     where
         R: RngCore,
@@ -132,7 +135,7 @@
         let slack = prompt.latest_start().since(now);
         let ahead = f64::from(self.queue.timely_count(now));
         let is_late = (ahead + 1.0) / rate > slack.as_secs_f64();
-        // The line is for slots in which a prompt is in time. A late one doesn't need these.
+        // The queue is for slots in which a prompt is in time. A late one doesn't need these.
         if is_late && has_slot && self.has_spare() {
             return Verdict::Send;
         }
@@ -148,7 +151,7 @@
             true => self.queue.late_count(now),
             false => self.queue.len(),
         };
-        // Lines are far shorter than the integers that an `f64` holds exactly.
+        // The queue is far shorter than the integers that an `f64` holds exactly.
         let is_full = in_queue as f64 >= most;
         if is_full {
             let retry_after = self.estimate_retry_after(now, LATE_SLOT_SHARE * rate);
@@ -157,8 +160,8 @@
         Verdict::Wait(self.queue.push(now, prompt, is_late, patience))
     }
 
-    /// When a refused prompt finds room, if late ones get so many slots in a second: after
-    /// those that wait and those that were refused before it.
+    /// Returns the time until a refused prompt finds room, if late prompts get `rate` slots per
+    /// second: after the waiting prompts and those that were refused before it.
     fn estimate_retry_after(&mut self, now: Mono, rate: f64) -> Duration {
         let each = Duration::from_secs_f64(1.0 / rate);
         self.last_return = self.last_return.max(now + MAX_WAIT) + each;
@@ -167,8 +170,11 @@
         self.last_return.since(now)
     }
 
-    /// The prompts that are sent now: for slots that are seen free, this host's portion of
-    /// them; a late one for those of backlogged engines; those that have waited for as long as they may; all if no engine is known.
+    /// Removes the prompts that are sent now from the queue and returns them.
+    ///
+    /// These are the prompts that have waited for as long as they may, those that get this
+    /// host's share of the free slots, and one late prompt if backlogged engines have free
+    /// slots. If no engine is known, all prompts are sent.
     pub fn grant<R>(&mut self, now: Mono, rng: &mut R) -> Vec<Ticket>
     where
         R: RngCore,
@@ -186,22 +192,22 @@
         granted
     }
 
-    /// Whether a prompt waits that may have a slot which is seen free. Late ones may while
-    /// more are free than come to prompts at other hosts that are still in time.
+    /// Whether a waiting prompt may get a free slot. A late prompt may get one while more slots
+    /// are free than prompts that are still in time arrive at other hosts.
     fn may_grant(&self, now: Mono) -> bool {
         let is_left = f64::from(self.occupancy.free) > self.unseen_arrivals();
         self.queue.has_urgent(now) || is_left && self.queue.len() > 0
     }
 
-    /// Takes one of the slots that are seen free, if this host's portion has one left.
+    /// Takes one of the free slots if this host's share has one left.
     fn take_slot<R>(&mut self, now: Mono, rng: &mut R) -> bool
     where
         R: RngCore,
     {
         let free = self.own_share() * f64::from(self.occupancy.free);
         let age = now.since(self.credited).min(STATE_AGE);
-        // Hosts that saw the same slots become free at the same time differ in when they
-        // take one.
+        // The factor is random, so that hosts which see the same slots become free don't take
+        // them at the same time.
         let drawn = 0.5 + rng.random::<f64>();
         let gained = free * drawn * age.as_secs_f64() / FREE_SLOT_TIME.as_secs_f64();
         self.credited = now;
@@ -217,57 +223,59 @@
         is_taken
     }
 
-    /// Everything that waits, since the host stops or others' requests aren't known.
+    /// Removes all waiting prompts and returns them, since the host stops or the requests of
+    /// other hosts aren't known.
     pub fn drain(&mut self) -> Vec<Ticket> {
         self.queue.drain()
     }
 
-    /// A prompt waits no more: its caller has left.
+    /// Removes a waiting prompt whose caller has left.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.queue.remove(ticket);
     }
 
-    /// A prompt that was granted a slot left before it was sent: the next one gets it.
+    /// Returns the next prompt, which gets the slot of a prompt that was granted one and left
+    /// before it was sent.
     pub fn grant_next(&mut self, now: Mono) -> Option<Ticket> {
         self.queue.pop(now)
     }
 
-    /// Slots that become free for this host's prompts, per second.
+    /// Returns the number of slots that become free for this host's prompts, per second.
     pub fn slot_rate(&self, now: Mono, within: Duration) -> f64 {
         let own = f64::from(self.commitments.count_ending_within(now, within));
         let own = own / within.as_secs_f64().max(f64::EPSILON);
         let all = self.occupancy.release_rate() * self.own_share();
-        // At least one in a second: a host without streams has a portion all the same.
+        // At least one per second, since a host without streams has a share as well.
         own.max(all).max(1.0)
     }
 
-    /// This host's part of all requests, or half an equal part if it has less.
+    /// Returns this host's part of all requests, and at least half of an equal part.
     fn own_share(&self) -> f64 {
         let used = f64::from(self.occupancy.in_use.max(1));
         let own = f64::from(self.commitments.len()) / used;
         own.max(self.occupancy.equal_share() / 2.0).min(1.0)
     }
 
-    /// Whether so few slots are free that hosts which choose on the same knowledge would
-    /// often choose the same one: a prompt meets another one there with the probability of
-    /// those that arrive unseen divided by those slots.
+    /// Whether so few slots are free that hosts with the same load information would often choose
+    /// the same one. The probability that a prompt meets another one at its slot is the number of
+    /// unseen arrivals divided by the number of free slots.
     pub fn is_scarce(&self) -> bool {
         self.unseen_arrivals() > MAX_COLLISION_PROBABILITY * f64::from(self.occupancy.free)
     }
 
-    /// More slots are seen free than prompts arrive unseen, twice over since some of them
+    /// Whether at least twice as many slots are free as there are unseen arrivals, some of which
     /// choose the same engine.
     fn has_plenty(&self) -> bool {
         f64::from(self.occupancy.free) > self.unseen_arrivals() * 2.0
     }
 
-    /// More slots of backlogged engines are free than prompts arrive unseen.
+    /// Whether more slots of backlogged engines are free than there are unseen arrivals.
     fn has_spare(&self) -> bool {
         f64::from(self.occupancy.backlogged_free) > self.unseen_arrivals()
     }
 
-    /// Prompts that arrive at all hosts within the age of what they know: with all slots in
-    /// use, as many as slots become free.
+    /// Returns the number of prompts that arrive at all hosts within the age of their load
+    /// information. While all slots are in use, as many arrive as slots become free.
     fn unseen_arrivals(&self) -> f64 {
         self.occupancy.release_rate() * STATE_AGE.as_secs_f64()
     }
--- a/almondlock-policy/src/slots/occupancy.rs
+++ b/almondlock-policy/src/slots/occupancy.rs
@@ -1,44 +1,46 @@
-//! What the engines' slots are committed to, and when they become free.
+//! How many of the engines' slots are in use, and when this host's own become free.
 
 use std::{collections::BTreeSet, time::Duration};
 
 use almondlock_base::time::Mono;
 
-/// What is known of one engine.
+/// Load of one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Engine {
-    /// Requests that it processes concurrently.
+    /// Number of requests that the engine processes concurrently.
     pub slots: u32,
-    /// Streams that it writes, of all hosts.
+    /// Number of streams that the engine writes, for all hosts.
     pub streams: u32,
-    /// Requests whose answer hasn't begun, of all hosts.
+    /// Number of requests whose answer hasn't begun, from all hosts.
     pub waiting: u32,
-    /// It has so much to read that a short prompt would be late whatever its slots.
+    /// Whether the engine has so much to read that a short prompt would be late there, even in a
+    /// free slot.
     pub is_backlogged: bool,
 }
 
-/// The sums over all engines, as last seen.
+/// Slots of all engines together, as last updated.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Occupancy {
-    /// When they were seen.
+    /// Time of the update.
     pub seen_at: Mono,
-    /// Slots of engines that aren't backlogged.
+    /// Number of slots of the engines that aren't backlogged.
     pub slots: u32,
-    /// Those of them that no request has.
+    /// Number of those slots that are free.
     pub free: u32,
-    /// Free slots of engines that are backlogged.
+    /// Number of free slots of backlogged engines.
     pub backlogged_free: u32,
-    /// Requests that have a slot or queue for one at an engine.
+    /// Number of requests that have a slot or queue for one at an engine.
     pub in_use: u32,
-    /// Those of them that queue.
+    /// Number of requests that queue for a slot at an engine.
     pub queued: u32,
-    /// How long a request has its slot.
+    /// Time for which a request keeps its slot.
     pub hold_time: Duration,
-    /// Other hosts.
+    /// Number of other hosts.
     pub other_hosts: usize,
 }
 
 impl Occupancy {
+    /// Sums up the load of all engines.
     pub(super) fn of<I>(now: Mono, engines: I, hold: Duration, hosts: usize) -> Occupancy
     where
         I: IntoIterator<Item = Engine>,
@@ -69,27 +71,27 @@
         })
     }
 
-    /// Slots that become free in a second, over all hosts.
+    /// Returns the number of slots that become free per second, for all hosts together.
     pub fn release_rate(&self) -> f64 {
         let running = self.in_use.saturating_sub(self.queued);
         f64::from(running) / self.hold_time.as_secs_f64().max(1e-3)
     }
 
-    /// The part of the slots that each host has if all have the same.
+    /// Returns the part of the slots that each host has if all have the same number.
     pub(super) fn equal_share(&self) -> f64 {
         // Hosts are far fewer than an `f64` counts exactly.
         1.0 / (self.other_hosts as f64 + 1.0)
     }
 }
 
-/// A slot that one of this host's requests has.
+/// A slot that one of this host's requests has, until the expected end of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Commitment {
     until: Mono,
     number: u64,
 }
 
-/// When this host's own requests end, by forecast.
+/// Slots of this host's own requests, ordered by their expected ends.
 #[derive(Debug, Default)]
 pub(super) struct Commitments {
     commitments: BTreeSet<Commitment>,
@@ -97,6 +99,7 @@
 }
 
 impl Commitments {
+    /// Adds a slot that is expected to become free at `until`.
     pub(super) fn add(&mut self, until: Mono) -> Commitment {
         self.last_number += 1;
         let number = self.last_number;
@@ -105,6 +108,7 @@
         commitment
     }
 
+    /// Removes a slot, and returns whether it was known.
     pub(super) fn remove(&mut self, commitment: Commitment) -> bool {
         self.commitments.remove(&commitment)
     }
@@ -113,7 +117,8 @@
         to_u32(self.commitments.len())
     }
 
-    /// How many end within a time. Those that were to have ended may do so at any moment.
+    /// Returns the number of slots that are expected to become free within a time. Overdue ones
+    /// count, since they may become free at any moment.
     pub(super) fn count_ending_within(&self, now: Mono, within: Duration) -> u32 {
         let until = now + within;
         let last = Commitment {
