--- a/almondlock-policy/src/cell.rs
+++ b/almondlock-policy/src/cell.rs
@@ -1,24 +1,24 @@
-//! Which engines an entry host decides about first.
+//! Divides a service's engines into cells, from which an entry host uses its own first.
 //!
 //! **Load pattern.** A hundred entry hosts send to a hundred engines, two requests
-//! a second each. What a host knows of the others' work is some tens of milliseconds
-//! old, in which two dozen prompts come at all hosts together. When an engine becomes
-//! free, or joins the short streams, it looks idle to every host at once, and all of
-//! them take it: the last of twelve prompts that came within 60 ms waited 0.9 s at
-//! an engine, while others had nothing to read.
+//! a second each. A host's information about the others' requests is some tens of
+//! milliseconds old, and two dozen prompts arrive at all hosts within that time. When
+//! an engine becomes free, or is assigned to short prompts, it looks idle to every
+//! host at the same time, and all of them choose it: the last of twelve prompts that
+//! arrived within 60 ms waited 0.9 s at an engine, while others had nothing to read.
 //!
-//! **Cells.** So the engines are divided into cells, and a host places what comes to
-//! it in the cell of its own failure domain, as long as that is not much later than
-//! elsewhere. A cell has a fifth of the hosts and of the engines, and what comes
-//! within the age of a host's knowledge is a few prompts. A cell is not made smaller
-//! than what the largest prompts need, [`MIN_ENGINES`] engines; a failure domain with fewer
-//! shares a cell with others, and one with many more is divided.
+//! **Cells.** The engines are therefore divided into cells, and a host places its
+//! prompts in the cell of its own failure domain, as long as that is not much later
+//! than another cell. A cell has a fifth of the hosts and of the engines, and only a
+//! few prompts arrive in it within the age of a host's information. A cell has at
+//! least the engines that the largest prompts need, [`MIN_ENGINES`]. A failure domain
+//! with fewer shares a cell with others, and one with many more is divided.
 //!
-//! **Overflow.** Failure domains get unlike shares of the callers and lose engines.
-//! A host compares its own cell with two others drawn at random, and takes the better
-//! of these if it is sooner by [`OVERFLOW_MARGIN`]. Two are enough to find one that is not
-//! crowded ("power of two choices"), and as each host draws its own, they don't all
-//! choose the same.
+//! **Overflow.** Failure domains have unequal shares of the callers, and lose engines.
+//! A host compares its own cell with two others drawn at random, and uses the better
+//! one of these if it is sooner by [`OVERFLOW_MARGIN`]. Two are enough to find one that
+//! is not crowded ("power of two choices"), and since each host draws its own, they
+//! don't all choose the same.
 
 use std::{
     collections::BTreeMap,
@@ -29,27 +29,27 @@
 use almondlock_base::id::{Domain, Upstream};
 use rand::{RngCore, seq::index};
 
-/// The fewest engines in a cell: a prompt may be read by 16 of them, and the short
-/// streams need some of their own.
+/// Least number of engines in a cell: a prompt may be read by 16 of them, and short
+/// prompts need some engines of their own.
 pub const MIN_ENGINES: usize = 20;
 
-/// Engines of one failure domain that make a second cell there.
+/// Number of engines for each cell of a divided failure domain.
 const SPLIT_ENGINES: usize = 2 * MIN_ENGINES;
 
-/// How much sooner another cell must be done to be taken: a pass of an engine with
-/// streams and parts. Below that, an engine's own streams make more difference than
-/// what is known of others.
+/// Time by which another cell must be sooner to be used instead of a host's own. It is
+/// one pass of an engine that writes streams and reads parts of prompts. A smaller
+/// difference is less than the effect of an engine's own streams.
 pub const OVERFLOW_MARGIN: Duration = Duration::from_millis(80);
 
-/// Other cells that a host looks at for each prompt.
+/// Number of other cells that a host compares for each prompt.
 const SAMPLED_CELLS: usize = 2;
 
-/// The cells of a list of engines as one host sees them: each engine's cell, by its
-/// place in the list. The host's own cell is number 0.
+/// Returns the cell number of each engine, in the order of `engines`. The host's own
+/// cell is number 0.
 ///
-/// All hosts that are given the same list divide it in the same way; `host` is any
-/// number that differs between hosts, and decides which cell of its failure domain is
-/// a host's own.
+/// All hosts divide the same list in the same way, but number the cells differently.
+/// `own` is the host's failure domain. `host` is any number that differs between hosts;
+/// it selects the host's own cell if its failure domain has several.
 pub fn assign<'a, I>(engines: I, own: &Domain, host: u64) -> Vec<usize>
 where
     I: IntoIterator<Item = (&'a Upstream, &'a Domain)>,
@@ -60,8 +60,8 @@
         *domains.entry(domain).or_default() += 1;
     }
     let small: usize = domains.values().filter(|count| **count < MIN_ENGINES).sum();
-    // Those that are too small share a cell, with the smallest of the others if need
-    // be.
+    // Failure domains that are too small share a cell. If it is still too small, the
+    // smallest of the other domains joins it.
     let smallest = domains.iter().filter(|(_, count)| **count >= MIN_ENGINES);
     let smallest = smallest.min_by_key(|(_, count)| **count).map(|(d, _)| *d);
     let joined = smallest.filter(|_| small > 0 && small < MIN_ENGINES);
@@ -78,7 +78,8 @@
         (size / SPLIT_ENGINES).max(1) as u64
     };
     let own_group = domains.get_key_value(own).map(|(own, _)| group(own));
-    // Hosts of a failure domain without engines, as when it is evacuated, share the others.
+    // Hosts of a failure domain without engines, for example while it is evacuated, are
+    // distributed over the other cells.
     let shared = usize::try_from(host % sizes.len().max(1) as u64).unwrap_or(0);
     let own_group = own_group.or_else(|| sizes.keys().nth(shared).copied());
     let own_key = own_group.map(|group| (group, host % parts(&group)));
@@ -94,15 +95,15 @@
     cells.collect()
 }
 
-/// A number that all hosts give to an engine of this name.
+/// Hashes an engine's name. All hosts get the same result.
 fn hash_name(name: &Upstream) -> u64 {
-    // Its keys are fixed, unlike those of a hash map.
+    // `DefaultHasher::new` has fixed keys, unlike the hasher of a `HashMap`.
     let mut hasher = std::hash::DefaultHasher::new();
     name.as_str().hash(&mut hasher);
     hasher.finish()
 }
 
-/// Which of the other cells to look at, out of so many.
+/// Draws the cells to compare with a host's own, as positions among the `others`.
 pub fn sample_others<R>(others: usize, rng: &mut R) -> Vec<usize>
 where
     R: RngCore,
--- a/almondlock-policy/src/choice/hint.rs
+++ b/almondlock-policy/src/choice/hint.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct Hints {
     capacity: usize,
-    // Invariant: `order` holds each key of `places` once.
     upstreams: HashMap<u64, u32>,
+    // Prefix hashes, oldest first. Invariant: holds each key of `upstreams` once.
     order: VecDeque<u64>,
 }
 
--- a/almondlock-policy/src/fill.rs
+++ b/almondlock-policy/src/fill.rs
@@ -1,24 +1,25 @@
-//! Choosing an engine on knowledge that is some time old.
+//! Selects an engine on stale load information.
 //!
-//! **Load pattern.** Many hosts choose from the same knowledge until they are told of
-//! each other's choices. If each takes the engine that looks best, all take the same
-//! one: an engine that becomes idle gets every prompt of the next moments, and the
+//! **Load pattern.** Many hosts choose with the same load information until they learn
+//! of each other's choices. If each one chooses the engine that looks best, all choose
+//! the same: an engine that becomes idle gets every prompt of the next moments, and the
 //! last of these waits for all others.
 //!
-//! **Filling up.** The prompts that come at all hosts within the age of what they know
-//! are too many for the best engine. Together they fill the engines up to one level,
-//! the lowest ones most; so each host draws an engine with the probability of what it
-//! takes to reach that level (M. Dahlin, "Interpreting stale load information", 2000).
-//! With few prompts that is the least loaded engine or its equals, with many it is any
-//! of them, and nothing needs to be set for the number of hosts.
+//! **Water filling.** The prompts that arrive at all hosts within the age of the load
+//! information are too many for the best engine. Ideally they would fill the engines up
+//! to one common level, so the least loaded ones get the most. Each host therefore draws
+//! an engine with a probability proportional to the work that raises it to that level
+//! (M. Dahlin, "Interpreting stale load information", 2000). With few prompts that is
+//! one of the least loaded engines, with many it is any engine. The number of hosts
+//! doesn't have to be configured.
 
 use rand::{Rng, RngCore};
 
-/// Draws among engines, given with the seconds until a new prompt is read there, for
-/// one of the prompts that come within the age of these figures. `work` are the seconds
-/// of reading that all of those bring.
+/// Draws the engine for a prompt, and returns it with its cost.
 ///
-/// Gives the engine and its seconds.
+/// `costs` has the seconds until a new prompt is read on an engine, and the engine. `work`
+/// is the reading time, in seconds, of all prompts that arrive at all hosts within the age
+/// of these costs.
 pub fn draw<R>(costs: &[(f64, usize)], work: f64, rng: &mut R) -> Option<(f64, usize)>
 where
     R: RngCore,
@@ -33,11 +34,12 @@
             return Some((*cost, *engine));
         }
     }
-    // Nothing but rounding is left.
+    // Only reached through rounding errors.
     order.first().copied()
 }
 
-/// The cost up to which this much work fills the engines, the least cost first.
+/// Returns the level of cost up to which `work` fills the engines, given in ascending order
+/// of cost.
 fn fill_level(order: &[(f64, usize)], work: f64) -> f64 {
     let mut sum = 0.0;
     let mut level = 0.0;
--- a/almondlock-policy/src/length.rs
+++ b/almondlock-policy/src/length.rs
@@ -1,10 +1,10 @@
-//! How long a prompt is, and what that makes of it.
+//! Estimates prompt lengths in tokens and classifies prompts by length.
 //!
-//! The length of a prompt decides more than anything else what happens to it.
-//! The entry has only its bytes: counting tokens exactly would need each
-//! model's tokenizer there, and its time for each of up to six megabytes. An
-//! [`Estimator`] keeps the ratio of bytes to tokens of each model instead, and
-//! corrects it by what engines report of the prompts they ran.
+//! The handling of a prompt depends on its length more than on anything else.
+//! The entry knows only its length in bytes: an exact count would need each
+//! model's tokenizer, and would take its time for up to six megabytes. Instead,
+//! an [`Estimator`] keeps the ratio of bytes to tokens of each model, and
+//! corrects it by the token counts that engines report.
 //!
 //! ```
 //! use almondlock_base::{id::Model, unit::Tokens};
@@ -34,7 +34,7 @@
 /// The longest prompt of class [`Class::Long`].
 pub const LONG_LIMIT: Tokens = Tokens(262_144);
 
-/// Prompts that are treated alike.
+/// Class of prompts by length. Prompts of a class are treated alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
     /// Up to [`SHORT_LIMIT`]: a fraction of a second of prefill.
@@ -43,7 +43,7 @@
     Medium,
     /// Up to [`LONG_LIMIT`]: many seconds of prefill.
     Long,
-    /// Longer than that, perhaps longer than one engine holds.
+    /// Longer than [`LONG_LIMIT`], possibly too long for the memory of one engine.
     Huge,
 }
 
@@ -51,7 +51,7 @@
     /// Every class, shortest first.
     pub const ALL: [Class; 4] = [Class::Short, Class::Medium, Class::Long, Class::Huge];
 
-    /// The class of a prompt of this length.
+    /// Returns the class of a prompt of this length.
     ///
     /// ```
     /// use almondlock_base::unit::Tokens;
@@ -69,12 +69,12 @@
         }
     }
 
-    /// The class's place in [`Class::ALL`].
+    /// Returns the position of the class in [`Class::ALL`].
     pub const fn index(self) -> usize {
         self as usize
     }
 
-    /// The name used in metrics.
+    /// Returns the name used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Class::Short => "short",
@@ -85,34 +85,35 @@
     }
 }
 
-/// Bytes a token stands for until an engine has reported.
+/// Number of bytes per token that is assumed until an engine has reported.
 const BYTES_PER_TOKEN: f64 = 4.0;
-/// Bounds of the ratio, so that a wrong report can't make a prompt vanish or
-/// fill the fleet.
+/// Range of the number of bytes per token. It limits the effect of a wrong report, which could
+/// otherwise make a prompt seem empty or too large for the fleet.
 const BYTES_PER_TOKEN_RANGE: std::ops::RangeInclusive<f64> = 0.5..=16.0;
-/// How much a report counts against what was known.
+/// Weight of a new report in the running average.
 const REPORT_WEIGHT: f64 = 0.02;
-/// Prompts with fewer bytes say little: what surrounds a prompt weighs too much.
+/// Length in bytes below which reports are ignored, since the template around a short prompt
+/// dominates its token count.
 const MIN_SAMPLE_BYTES: u64 = 1_024;
-/// Models whose ratio is kept. More than a fleet serves; a bound against
-/// made-up names.
+/// Largest number of models whose ratio is kept. It is more than a fleet serves, and bounds the
+/// memory that made-up names can take.
 const MAX_MODELS: usize = 1_024;
 
-/// Estimates tokens from bytes.
+/// Estimates the number of tokens from the number of bytes.
 #[derive(Clone, Debug, Default)]
 pub struct Estimator {
-    // Invariant: every ratio lies within `BYTES_RANGE`.
+    // Bytes per token of each model. Invariant: within `BYTES_PER_TOKEN_RANGE`.
     ratios: HashMap<Model, f64>,
 }
 
 impl Estimator {
-    /// How many tokens a prompt of this many bytes has, about.
+    /// Returns the estimated number of tokens in a prompt of this many bytes.
     pub fn estimate_tokens(&self, model: &Model, bytes: u64) -> Tokens {
         let ratio = self.ratios.get(model).copied().unwrap_or(BYTES_PER_TOKEN);
         Tokens((bytes as f64 / ratio).ceil() as u64)
     }
 
-    /// Learns from a prompt that an engine counted.
+    /// Adjusts the ratio of a model by the number of tokens that an engine counted.
     pub fn observe(&mut self, model: &Model, bytes: u64, tokens: Tokens) {
         if bytes < MIN_SAMPLE_BYTES || tokens == Tokens::ZERO {
             return;
--- a/almondlock-policy/src/prefix.rs
+++ b/almondlock-policy/src/prefix.rs
@@ -1,11 +1,12 @@
-//! Hashes of a prompt's leading parts.
+//! Hashes of a prompt's leading parts, its prefixes.
 //!
-//! Two prompts that begin alike share their first hashes, and an upstream that
-//! processed one has the shared part cached. The number of hashes is bounded:
-//! equal blocks would need two thousand of them for a million tokens, or would
-//! tell nothing of what comes after the first few. So the parts grow by
-//! about a quarter each: 32 hashes reach from 512 to over a million tokens, and
-//! a shared start is recognised to within a quarter of its length.
+//! Two prompts with a common prefix share their first hashes, and an upstream
+//! that processed one of them is likely to have the common prefix cached. The
+//! number of hashes per prompt is bounded. Blocks of equal size would need two
+//! thousand hashes for a million tokens, or would cover only the beginning of a
+//! long prompt. Therefore each prefix is about a quarter longer than the one
+//! before: 32 hashes range from 512 to over a million tokens, and the length of
+//! a common prefix is found to within a quarter.
 //!
 //! ```
 //! use almondlock_policy::prefix;
@@ -20,15 +21,15 @@
 
 use almondlock_base::unit::Tokens;
 
-/// Most hashes of one prompt.
+/// Largest number of hashes for one prompt.
 pub const MAX_HASHES: usize = 32;
-/// Bytes of the first part.
+/// Length of the shortest prefix, in bytes.
 const FIRST_PART_BYTES: u64 = 2_048;
-/// Bytes taken for one token. Only scales the sizes given by [`covered_tokens`]; the
-/// parts themselves are cut by bytes, the same for every model.
+/// Number of bytes per token that [`covered_tokens`] assumes. The prefixes themselves are
+/// defined in bytes, and are the same for every model.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Where each part ends, in bytes.
+/// Length of each prefix, in bytes.
 const PART_ENDS: [u64; MAX_HASHES] = part_ends();
 
 const fn part_ends() -> [u64; MAX_HASHES] {
@@ -43,8 +44,8 @@
     ends
 }
 
-/// The hashes of a prompt's leading parts, shortest part first. A prompt
-/// shorter than the first part has none: it is not worth routing by.
+/// Returns the hashes of a prompt's prefixes, shortest first. A prompt that is shorter than the
+/// first prefix has none, since caching it would save too little.
 pub fn hashes(prompt: &[u8]) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
     let mut hashes = Vec::new();
@@ -65,7 +66,7 @@
     hashes
 }
 
-/// About how many tokens the first `count` hashes cover.
+/// Returns the approximate number of tokens that the first `count` hashes cover.
 pub const fn covered_tokens(count: usize) -> Tokens {
     if count == 0 {
         return Tokens::ZERO;
--- a/almondlock-policy/src/startup.rs
+++ b/almondlock-policy/src/startup.rs
@@ -1,46 +1,47 @@
-//! What a host does with prompts in the first moments after its start.
+//! Holds prompts back in the first moments after a host's start.
 //!
-//! **Load pattern.** All hosts lose power at once. Callers that were cut off are back as soon as
-//! a listener is, with those that come anyway: two seconds' worth of requests within a few
-//! tenths of a second. The first ones are placed before the host has heard what the others have
-//! under way, so that dozens of hosts send to the same engine. And the long prompts among them
-//! are read in parts by nearly all engines, half a second on each, so that every short prompt
-//! that comes after them is late, though it could have been read in between.
+//! **Load pattern.** All hosts lose power at once. Callers that were cut off return as soon as
+//! a host listens again, together with the usual ones: two seconds' worth of requests arrive
+//! within a few tenths of a second. The first ones are placed before the host knows which
+//! requests the other hosts have in progress, so that dozens of hosts send to the same engine.
+//! The long prompts among them are read in parts by nearly all engines, half a second on each,
+//! so that every short prompt that arrives later is late, though it could have been read first.
 //!
-//! **Order.** Prompts wait until loads are known, which takes a way to a relay and back. Long
-//! ones wait besides for a part of their objective, which is many times that of short ones, and
-//! let these go first.
+//! **Order.** Prompts wait until the loads of other hosts are known, which takes a round trip to
+//! a relay. Long prompts also wait for a part of their objective, which is many times that of
+//! short ones, and let the short ones go first.
 
 use std::time::Duration;
 
-/// How long a prompt waits at the most until loads of other hosts are known: a round of the
-/// relay and the ways, twice.
+/// Longest time that a prompt waits until the loads of other hosts are known: twice the relay's
+/// interval and the network delay.
 const MAX_LOADS_WAIT: Duration = Duration::from_millis(50);
 
-/// Of its objective, the part that a prompt may wait for.
+/// Part of its objective for which a prompt may wait.
 const MAX_OBJECTIVE_SHARE: f64 = 1.0 / 8.0;
 
-/// A prompt that takes one engine longer than this is long: its parts delay the short prompts
-/// of many engines.
+/// Reading time on one engine above which a prompt is long: its parts delay the short prompts on
+/// many engines.
 const LONG_READING: Duration = Duration::from_secs(1);
 
-/// What is known of a prompt that is about to be placed.
+/// Properties of a prompt that is about to be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// The time since the host's start.
+    /// Time since the host's start.
     pub host_age: Duration,
-    /// The time since the prompt's arrival.
+    /// Time since the prompt's arrival.
     pub waited: Duration,
-    /// When its first event should be there, from its arrival.
+    /// Time from the prompt's arrival within which its first event should be sent.
     pub objective: Duration,
-    /// The time that one engine would take to read it.
+    /// Time that one engine would take to read the prompt.
     pub reading_time: Duration,
-    /// Loads of other hosts are known, or there is nobody to tell them.
+    /// Whether the loads of other hosts are known, or there are none to report them.
     pub knows_loads: bool,
 }
 
-/// How much longer a prompt waits, in a host that settles for so long after its start. None:
-/// it is placed now. Asked again when loads become known.
+/// Returns the time for which a prompt is still held back, `None` if it is placed now. `settling`
+/// is the time after the host's start during which prompts are held back. To be called again
+/// when loads become known.
 pub fn hold_time(settling: Duration, prompt: &Prompt) -> Option<Duration> {
     let most = match (prompt.reading_time > LONG_READING, prompt.knows_loads) {
         (true, _) => settling,
