--- a/almondlock-cli/src/session.rs
+++ b/almondlock-cli/src/session.rs
@@ -8,7 +8,7 @@
 use almondlock_base::{Ran, unit::Revision};
 use almondlock_state::{
     api::{
-        Failure, History, Models, Operators, Organisations, Planned, Plans, Problem, Propose,
+        Failure, History, Models, Operators, Organisations, Planned, Plans, Problem, Proposal,
         Replicas, Status, Upstreams, Watch,
     },
     intent::Intent,
@@ -116,7 +116,7 @@
 
     /// Proposes, shows the plan, and confirms it when told to.
     async fn propose(&self, intent: Intent, key: Option<String>) -> Result<(), Problem> {
-        let propose = Propose {
+        let propose = Proposal {
             number: self.settings.number.clone(),
             intent,
         };
--- a/almondlock-cli/src/view.rs
+++ b/almondlock-cli/src/view.rs
@@ -5,7 +5,7 @@
 use almondlock_base::{time::Wall, unit::Revision};
 use almondlock_state::{
     api::{
-        History, Models, Operators, Organisations, Planned, Plans, Replicas, Standing, Status,
+        History, Models, Observation, Operators, Organisations, Planned, Plans, Replicas, Status,
         Summary, UpstreamRow, Upstreams, Watch,
     },
     config::{Change, Kind, Registration},
@@ -29,7 +29,7 @@
     fn show(&self, paint: Paint) -> String {
         let mut text = String::new();
         let leader = self
-            .standing
+            .observation
             .leader
             .map_or_else(|| paint.bad("none known"), |leader| paint.good(&id(leader)));
         let current = if self.current {
@@ -38,7 +38,7 @@
             paint.bad("NOT CURRENT: as this replica knew it last")
         };
         let _ = writeln!(text, "state      {current}");
-        let _ = writeln!(text, "leader     {leader}, term {}", self.standing.term);
+        let _ = writeln!(text, "leader     {leader}, term {}", self.observation.term);
         let _ = writeln!(
             text,
             "revision   {}, {}",
@@ -63,7 +63,7 @@
         for table in [
             domains(self),
             models(self),
-            replicas(&self.replicas, &self.standing),
+            replicas(&self.replicas, &self.observation),
         ] {
             section(&mut text, &table);
         }
@@ -81,7 +81,7 @@
 }
 
 fn in_force(status: &Status, paint: Paint) -> String {
-    match status.standing.in_force {
+    match status.observation.in_force {
         Some(lowest) if lowest >= status.revision => paint.good("in force everywhere"),
         Some(lowest) => paint.busy(&format!("the furthest behind acts on {lowest}")),
         None => "not known who is behind".to_owned(),
@@ -110,7 +110,7 @@
 
 type Known = std::collections::BTreeMap<replica::Id, replica::Replica>;
 
-fn replicas(known: &Known, standing: &Standing) -> Table {
+fn replicas(known: &Known, standing: &Observation) -> Table {
     let mut table = Table::new(["REPLICA", "ADDRESS", "ADMIN", "DOMAIN", "HOLDS", ""]);
     for (number, replica) in known {
         let leads = standing.leader == Some(*number);
@@ -133,7 +133,7 @@
 
 fn laggards(status: &Status) -> Table {
     let mut table = Table::new(["BEHIND", "LIFE", "REVISION"]);
-    for process in &status.standing.laggards {
+    for process in &status.observation.laggards {
         let revision = process.revision.to_string();
         table.row([
             process.host.to_string(),
@@ -146,7 +146,7 @@
 
 fn refusals(status: &Status) -> Table {
     let mut table = Table::new(["CODE", "REFUSALS"]);
-    for (code, count) in &status.standing.refusals {
+    for (code, count) in &status.observation.refusals {
         table.row([code.to_string(), count.to_string()]);
     }
     table
@@ -274,7 +274,7 @@
 
 impl Show for Replicas {
     fn show(&self, _: Paint) -> String {
-        replicas(&self.replicas, &self.standing).to_string()
+        replicas(&self.replicas, &self.observation).to_string()
     }
 }
 
@@ -375,7 +375,7 @@
         plan.id, plan.number, plan.message
     );
     let _ = writeln!(text, "  what      {}", intent(&plan.intent));
-    let _ = writeln!(text, "  rests on  revision {}", plan.base);
+    let _ = writeln!(text, "  rests on  revision {}", plan.base_revision);
     if plan.revision > Revision::ZERO {
         let _ = writeln!(text, "  reached   revision {}", plan.revision);
     }
--- a/almondlock-cli/tests/lost_answer.rs
+++ b/almondlock-cli/tests/lost_answer.rs
@@ -7,11 +7,11 @@
 
 use almondlock_base::{Code, Ran};
 use almondlock_cli::client::{Asker, Question};
-use almondlock_state::api::{Planned, Problem, Propose};
+use almondlock_state::api::{Planned, Problem, Proposal};
 use replica::{Asked, Fake, failure, nobody, planned, run};
 
 fn number(asked: &Asked) -> String {
-    serde_json::from_str::<Propose>(&asked.1).unwrap().number
+    serde_json::from_str::<Proposal>(&asked.1).unwrap().number
 }
 
 /// The first replica makes the change, and its connection breaks before the
--- a/almondlock-control/src/admin.rs
+++ b/almondlock-control/src/admin.rs
@@ -21,7 +21,7 @@
 
 use almondlock_base::{Code, time::Wall, unit::Revision};
 use almondlock_state::{
-    api::Standing,
+    api::Observation,
     command::{Command, Reply},
     machine::Machine,
 };
@@ -87,7 +87,7 @@
     fn changed(&self, after: Revision, wait: Duration) -> impl Future<Output = ()>;
 
     /// What this replica knows of itself.
-    fn standing(&self) -> impl Future<Output = Standing>;
+    fn standing(&self) -> impl Future<Output = Observation>;
 
     /// The present time.
     fn now(&self) -> Wall;
--- a/almondlock-control/src/admin/access.rs
+++ b/almondlock-control/src/admin/access.rs
@@ -34,7 +34,7 @@
 pub(super) fn check(machine: &Machine, key: &str, least: Role) -> Result<String, Problem> {
     let (name, operator) = machine
         .tables()
-        .operator(key)
+        .find_operator(key)
         .ok_or(Code::Unauthenticated)?;
     if operator.role < least {
         let message = format!("this needs role {least}; {name} is {}", operator.role);
--- a/almondlock-control/src/admin/look.rs
+++ b/almondlock-control/src/admin/look.rs
@@ -88,7 +88,7 @@
     let look = |machine: &Machine, _| {
         Ok(Replicas {
             replicas: machine.tables().replicas.clone(),
-            standing,
+            observation: standing,
         })
     };
     respond(read(&request, backend.get_ref(), Role::Viewer, look).await)
--- a/almondlock-control/src/admin/plans.rs
+++ b/almondlock-control/src/admin/plans.rs
@@ -2,7 +2,7 @@
 
 use almondlock_base::Code;
 use almondlock_state::{
-    api::{Planned, Plans, Problem, Propose, Standing, Summary, Undo, masked},
+    api::{Observation, Planned, Plans, Problem, Proposal, Summary, Undo, mask_hashes},
     command::{Command, Reply},
     intent::Intent,
     machine::Machine,
@@ -58,7 +58,7 @@
     B: Backend,
 {
     let proposed = async {
-        let Propose { number, intent } = parse(body).await?;
+        let Proposal { number, intent } = parse(body).await?;
         submit(&request, backend.get_ref(), number, intent).await
     };
     respond(proposed.await)
@@ -76,8 +76,8 @@
     let wanted = intent.clone();
     let look = move |machine: &Machine, operator: String| {
         let least = match wanted {
-            Intent::Undo { plan } => find(machine, plan)?.role(),
-            other => other.role(),
+            Intent::Undo { plan } => find(machine, plan)?.required_role(),
+            other => other.required_role(),
         };
         suffices(machine, operator, least)
     };
@@ -110,7 +110,7 @@
             return submit(&request, backend, number, Intent::Undo { plan }).await;
         }
         let look = move |machine: &Machine, operator: String| {
-            let least = find(machine, plan)?.role();
+            let least = find(machine, plan)?.required_role();
             suffices(machine, operator, least)
         };
         let operator = read(&request, backend, Role::Operator, look).await?;
@@ -145,11 +145,11 @@
     }
 }
 
-fn planned(plan: Plan, standing: &Standing) -> Planned {
+fn planned(plan: Plan, standing: &Observation) -> Planned {
     let changed = plan.revision > almondlock_base::unit::Revision::ZERO;
     let reached = standing.in_force.map(|lowest| lowest >= plan.revision);
     let in_force = reached.filter(|_| changed);
-    let plan = masked(plan);
+    let plan = mask_hashes(plan);
     Planned { plan, in_force }
 }
 
--- a/almondlock-control/src/backend.rs
+++ b/almondlock-control/src/backend.rs
@@ -10,7 +10,7 @@
 use almondlock_node::{Handle, clock};
 use almondlock_spread::view::View;
 use almondlock_state::{
-    api::{Process, Standing},
+    api::{Observation, Process},
     command::{Command, Reply},
     machine::Machine,
 };
@@ -55,9 +55,9 @@
     }
 
     /// What the tree of processes reports: who is behind, and by how much.
-    fn spreading(&self) -> Standing {
+    fn spreading(&self) -> Observation {
         let Some(node) = self.node.get() else {
-            return Standing::default();
+            return Observation::default();
         };
         let summary = node.summary();
         let laggards = summary.laggards.into_iter().map(|peer| Process {
@@ -66,11 +66,11 @@
             revision: peer.revision,
             version: peer.version,
         });
-        Standing {
+        Observation {
             in_force: Some(summary.lowest),
             processes: summary.processes,
             laggards: laggards.collect(),
-            ..Standing::default()
+            ..Observation::default()
         }
     }
 
@@ -131,15 +131,15 @@
         let _ = tokio::time::timeout(wait, changed).await;
     }
 
-    async fn standing(&self) -> Standing {
+    async fn standing(&self) -> Observation {
         let Ok(status) = self.remote.status().await else {
-            return Standing::default();
+            return Observation::default();
         };
         let leader = status.members.iter();
         let leader = leader.clone().find(|m| Some(m.address) == status.leader);
         let matched = status.members.iter();
         let matched = matched.filter_map(|m| Some((m.id.0, status.last.0.saturating_sub(m.lag?))));
-        Standing {
+        Observation {
             replica: status.id.0,
             leader: leader.map(|m| m.id.0),
             term: status.term.0,
--- a/almondlock-control/src/driver.rs
+++ b/almondlock-control/src/driver.rs
@@ -10,8 +10,8 @@
 use almondlock_state::{
     command::Command,
     plan::{
-        self, Advance,
-        next::{Action, due},
+        self, Transition,
+        next::{Action, due_actions},
     },
     replica::{self as members, Member},
 };
@@ -30,7 +30,7 @@
             continue;
         }
         let now = clock::wall();
-        for action in replica.state(|machine| due(machine, now)) {
+        for action in replica.state(|machine| due_actions(machine, now)) {
             act(&replica, action).await;
         }
         copy_members(&replica).await;
@@ -50,8 +50,8 @@
             member,
         } => {
             let advance = match change(replica, &member).await {
-                Ok(()) => Advance::Finish,
-                Err(refusal) => Advance::Fail {
+                Ok(()) => Transition::Finish,
+                Err(refusal) => Transition::Fail {
                     message: refusal.to_string(),
                 },
             };
@@ -60,11 +60,11 @@
     }
 }
 
-async fn step(replica: &Replica, plan: plan::Id, index: usize, advance: Advance) {
+async fn step(replica: &Replica, plan: plan::Id, index: usize, advance: Transition) {
     let command = Command::Step {
         plan,
         index,
-        advance,
+        transition: advance,
         at: clock::wall(),
     };
     if let Err(refusal) = replica.propose(command).await {
--- a/almondlock-control/tests/backend/mod.rs
+++ b/almondlock-control/tests/backend/mod.rs
@@ -11,7 +11,7 @@
 use almondlock_base::{time::Wall, unit::Revision};
 use almondlock_control::admin::{Backend, Failure, serve};
 use almondlock_state::{
-    api::{Standing, Undo},
+    api::{Observation, Undo},
     command::{Command, Reply},
     machine::Machine,
     operator::{Operator, Role, hash},
@@ -114,13 +114,13 @@
         }
     }
 
-    async fn standing(&self) -> Standing {
+    async fn standing(&self) -> Observation {
         let in_force = Some(*self.revision.borrow());
-        Standing {
+        Observation {
             replica: 1,
             leader: Some(1),
             in_force,
-            ..Standing::default()
+            ..Observation::default()
         }
     }
 
--- a/almondlock-state/examples/state_slopes.rs
+++ b/almondlock-state/examples/state_slopes.rs
@@ -241,7 +241,7 @@
         start.elapsed()
     );
     let start = Instant::now();
-    let due = almondlock_state::plan::due(&machine, Wall::from_millis(2_000)).len();
+    let due = almondlock_state::plan::due_actions(&machine, Wall::from_millis(2_000)).len();
     println!("what is due ({due} steps): {:?}", start.elapsed());
     snapshot("880 upstreams and a rollout", &machine)
 }
--- a/almondlock-state/src/api.rs
+++ b/almondlock-state/src/api.rs
@@ -99,7 +99,7 @@
 /// A proposal.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Propose {
+pub struct Proposal {
     /// The operator's number for the change.
     pub number: String,
     /// What is wanted.
@@ -117,7 +117,7 @@
 
 /// Shortens the hashes of keys: nobody needs a whole one back, and a hash of a
 /// key that was not made by chance may be guessed.
-pub fn masked(mut plan: Plan) -> Plan {
+pub fn mask_hashes(mut plan: Plan) -> Plan {
     plan.intent.mask();
     for stage in &mut plan.stages {
         if let plan::Step::Apply(effect) = &mut stage.step {
@@ -196,10 +196,10 @@
             id: plan.id,
             number: plan.number.clone(),
             operator: plan.operator.clone(),
-            proposed: plan.proposed,
+            proposed: plan.proposed_at,
             intent,
             state: plan.state,
-            done: plan.done(),
+            done: plan.completed_count(),
             steps: plan.stages.len(),
             message: plan.message.clone(),
         }
@@ -225,7 +225,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
-pub struct Standing {
+pub struct Observation {
     /// The replica that answers.
     pub replica: replica::Id,
     /// The leader, when it knows one.
@@ -255,7 +255,8 @@
     /// The revision of the configuration.
     pub revision: Revision,
     /// What the replica knows of itself.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub observation: Observation,
     /// The replicas.
     pub replicas: BTreeMap<replica::Id, Replica>,
     /// How many organisations there are.
@@ -292,12 +293,12 @@
 
 impl Status {
     /// What the state tells.
-    pub fn new(machine: &Machine, standing: Standing, current: bool) -> Status {
+    pub fn new(machine: &Machine, standing: Observation, current: bool) -> Status {
         let config = machine.config();
         let row = |(name, known): (&Model, &Definition)| ModelRow {
             name: name.clone(),
             version: known.version.clone(),
-            serving: rollout::serving(config, name).count(),
+            serving: rollout::serving_upstreams(config, name).count(),
         };
         let mut domains = BTreeMap::new();
         for known in config.upstreams.values() {
@@ -312,7 +313,7 @@
         Status {
             current,
             revision: config.revision,
-            standing,
+            observation: standing,
             replicas: machine.tables().replicas.clone(),
             organisations: config.organisations.len(),
             models: config.models.iter().map(row).collect(),
@@ -429,8 +430,8 @@
     /// By number.
     pub replicas: BTreeMap<replica::Id, Replica>,
     /// What the replica that answers knows.
-    #[serde(default)]
-    pub standing: Standing,
+    #[serde(default, rename = "standing")]
+    pub observation: Observation,
 }
 
 /// All operators, without their keys.
@@ -475,7 +476,7 @@
 
 impl Watch {
     /// What the state tells.
-    pub fn new(machine: &Machine, standing: &Standing) -> Watch {
+    pub fn new(machine: &Machine, standing: &Observation) -> Watch {
         let open = machine.plans().iter().filter(|plan| !plan.state.is_over());
         Watch {
             revision: machine.config().revision,
--- a/almondlock-state/src/command.rs
+++ b/almondlock-state/src/command.rs
@@ -24,7 +24,7 @@
     instance::Instance,
     intent::Intent,
     operator::Operator,
-    plan::{self, Advance, Plan},
+    plan::{self, Plan, Transition},
     replica::{self, Replica},
 };
 
@@ -110,6 +110,7 @@
         /// The attempt that will run it.
         holder: Attempt,
         /// Milliseconds to remember it after its end.
+        #[serde(rename = "keep")]
         keep: u64,
         /// The leader's time.
         at: Wall,
@@ -244,7 +245,8 @@
         /// Which step.
         index: usize,
         /// How.
-        advance: Advance,
+        #[serde(rename = "advance")]
+        transition: Transition,
         /// The leader's time.
         at: Wall,
     },
--- a/almondlock-state/src/intent.rs
+++ b/almondlock-state/src/intent.rs
@@ -74,7 +74,7 @@
         /// The version to come.
         version: Version,
         /// How many of a hundred upstreams must go on serving.
-        #[serde(default = "default_keep")]
+        #[serde(default = "default_keep", rename = "keep")]
         keep: u8,
     },
     /// An adapter callers may ask for, or another version of it.
@@ -204,7 +204,7 @@
     }
 
     /// The least role that may ask for it.
-    pub const fn role(&self) -> Role {
+    pub const fn required_role(&self) -> Role {
         match self {
             Intent::AddReplica { .. }
             | Intent::RemoveReplica { .. }
--- a/almondlock-state/src/machine.rs
+++ b/almondlock-state/src/machine.rs
@@ -32,7 +32,7 @@
     plan::{
         self,
         compile::Error as Refusal,
-        execute::{Context, Proposal},
+        execute::{Executor, Proposal},
     },
     poison, registration,
     replica::{self, Replica},
@@ -310,7 +310,7 @@
 
     fn on_plan(&mut self, command: Command, changes: &mut Changes) -> Result<Reply, Refusal> {
         let clock = self.clock;
-        let mut context = Context {
+        let mut context = Executor {
             tables: &mut self.tables,
             plans: &mut self.plans,
             history: &mut self.history,
@@ -342,7 +342,7 @@
             Command::Step {
                 plan,
                 index,
-                advance,
+                transition: advance,
                 at,
             } => {
                 context.now = clock.max(at);
--- a/almondlock-state/src/plan.rs
+++ b/almondlock-state/src/plan.rs
@@ -32,12 +32,12 @@
 };
 use serde::{Deserialize, Serialize};
 
-pub use self::next::{Action, due, next};
+pub use self::next::{Action, due_actions, next_action};
 use crate::{
     intent::Intent,
     operator::Role,
     replica::Member,
-    tables::{Effect, Part},
+    tables::{Effect, Resource},
 };
 
 /// A plan's number. Counts up.
@@ -159,7 +159,7 @@
     }
 
     /// Whether it is begun and not ended.
-    pub const fn is_under_way(&self) -> bool {
+    pub const fn is_in_progress(&self) -> bool {
         matches!(self, Progress::Begun { .. } | Progress::Ordered { .. })
     }
 }
@@ -168,7 +168,7 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Advance {
+pub enum Transition {
     /// Begin it: drain the upstream, or ask for the membership change.
     Begin,
     /// Tell the drained upstream to load.
@@ -227,22 +227,26 @@
     /// Who proposed it.
     pub operator: String,
     /// When.
-    pub proposed: Wall,
+    #[serde(rename = "proposed")]
+    pub proposed_at: Wall,
     /// What is wanted.
     pub intent: Intent,
     /// The revision that it was computed on.
-    pub base: Revision,
+    #[serde(rename = "base")]
+    pub base_revision: Revision,
     /// The count of effects that it was computed on.
-    pub sequence: u64,
+    #[serde(rename = "sequence")]
+    pub base_sequence: u64,
     /// What it touches.
-    pub parts: Vec<Part>,
+    #[serde(rename = "parts")]
+    pub resources: Vec<Resource>,
     /// What will be done, in this order.
     pub stages: Vec<Stage>,
     /// What to know before.
     pub risk: Risk,
     /// How many upstreams of the model a rollout must leave serving.
-    #[serde(default)]
-    pub keep: usize,
+    #[serde(default, rename = "keep")]
+    pub min_serving: usize,
     /// Where it stands.
     pub state: State,
     /// The revision of its last effect.
@@ -255,23 +259,23 @@
 
 impl Plan {
     /// Steps that are begun and not ended.
-    pub fn under_way(&self) -> impl Iterator<Item = (usize, &Stage)> {
+    pub fn stages_in_progress(&self) -> impl Iterator<Item = (usize, &Stage)> {
         let stages = self.stages.iter().enumerate();
-        stages.filter(|(_, stage)| stage.progress.is_under_way())
+        stages.filter(|(_, stage)| stage.progress.is_in_progress())
     }
 
     /// Whether it is changing this part, or will.
-    pub fn touches(&self, part: &Part) -> bool {
+    pub fn modifies(&self, part: &Resource) -> bool {
         let upgrades = |(_, stage): (usize, &Stage)| match &stage.step {
-            Step::Upgrade { upstream, .. } => Part::drain(upstream) == *part,
+            Step::Upgrade { upstream, .. } => Resource::drain(upstream) == *part,
             _ => false,
         };
-        self.parts.contains(part) || self.under_way().any(upgrades)
+        self.resources.contains(part) || self.stages_in_progress().any(upgrades)
     }
 
     /// The least role that may carry it out. Told by what it does, not by its
     /// intent: undoing a change of operators is one, too.
-    pub fn role(&self) -> Role {
+    pub fn required_role(&self) -> Role {
         let admin = |step: &Step| {
             matches!(
                 step,
@@ -286,7 +290,7 @@
     }
 
     /// Steps that ended well.
-    pub fn done(&self) -> usize {
+    pub fn completed_count(&self) -> usize {
         self.stages
             .iter()
             .filter(|stage| stage.progress == Progress::Done)
--- a/almondlock-state/src/plan/compile.rs
+++ b/almondlock-state/src/plan/compile.rs
@@ -19,14 +19,14 @@
     limit,
     operator::{Operator, Role, is_hash},
     replica::{self, Member, Replica},
-    tables::{Effect, Part, Tables},
+    tables::{Effect, Resource, Tables},
 };
 
 /// What an intent comes to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Draft {
     /// What is touched.
-    pub parts: Vec<Part>,
+    pub resources: Vec<Resource>,
     /// The steps.
     pub stages: Vec<Stage>,
     /// The risk.
@@ -97,21 +97,21 @@
     };
     let stages = steps.into_iter().map(stage).collect();
     Draft {
-        parts,
+        resources: parts,
         stages,
         risk,
     }
 }
 
-fn parts(steps: &[Step]) -> Vec<Part> {
+fn parts(steps: &[Step]) -> Vec<Resource> {
     let part = |step: &Step| match step {
-        Step::Apply(effect) => Some(effect.part()),
-        Step::Member(_) => Some(Part::replicas()),
+        Step::Apply(effect) => Some(effect.resource()),
+        Step::Member(_) => Some(Resource::replicas()),
         // Only while it is under way, lest a rollout of hours keep operators
         // from draining an upstream; see `Plan::touches`.
         Step::Upgrade { .. } => None,
     };
-    let mut parts: Vec<Part> = steps.iter().filter_map(part).collect();
+    let mut parts: Vec<Resource> = steps.iter().filter_map(part).collect();
     parts.sort();
     parts.dedup();
     parts
@@ -463,10 +463,11 @@
             message: "stop the plan first".to_owned(),
         });
     }
-    let touched = plan
-        .parts
-        .iter()
-        .find(|part| tables.moved(part, plan.sequence, plan.id).is_some());
+    let touched = plan.resources.iter().find(|part| {
+        tables
+            .modified_since(part, plan.base_sequence, plan.id)
+            .is_some()
+    });
     if let Some(part) = touched {
         let message = format!("{part} has changed since; change it back by a plan of its own");
         return Err(Error {
--- a/almondlock-state/src/plan/execute.rs
+++ b/almondlock-state/src/plan/execute.rs
@@ -8,7 +8,7 @@
 use almondlock_base::{Code, time::Wall, unit::Revision};
 
 use super::{
-    Advance, Id, Plan, Progress, State, Step,
+    Id, Plan, Progress, State, Step, Transition,
     compile::{Error, compile},
     rollout, table,
 };
@@ -21,7 +21,7 @@
 
 /// The state that a plan's command works on.
 #[derive(Debug)]
-pub struct Context<'a> {
+pub struct Executor<'a> {
     /// What plans change.
     pub tables: &'a mut Tables,
     /// The plans.
@@ -45,7 +45,7 @@
     pub operator: String,
 }
 
-impl Context<'_> {
+impl Executor<'_> {
     /// Makes a plan of an intent, or finds the one that was made of it before.
     pub fn propose(&mut self, proposal: Proposal) -> Result<Id, Error> {
         if let Some(known) = self.plans.known(&proposal.number, &proposal.intent)? {
@@ -55,7 +55,7 @@
         let draft = compile(self.tables, self.plans, &proposal.intent, self.now)?;
         let keep = match &proposal.intent {
             Intent::Rollout { model, keep, .. } => {
-                rollout::least(&self.tables.config, model, *keep)
+                rollout::min_serving(&self.tables.config, model, *keep)
             }
             _ => 0,
         };
@@ -63,14 +63,14 @@
             id: self.plans.next_id(),
             number: proposal.number,
             operator: proposal.operator,
-            proposed: self.now,
+            proposed_at: self.now,
             intent: proposal.intent,
-            base: self.tables.config.revision,
-            sequence: self.tables.sequence,
-            parts: draft.parts,
+            base_revision: self.tables.config.revision,
+            base_sequence: self.tables.sequence,
+            resources: draft.resources,
             stages: draft.stages,
             risk: draft.risk,
-            keep,
+            min_serving: keep,
             state: State::Proposed,
             revision: Revision::ZERO,
             message: String::new(),
@@ -114,15 +114,18 @@
                 message,
             })
         };
-        for part in &plan.parts {
-            if let Some(touch) = self.tables.moved(part, plan.sequence, plan.id) {
+        for part in &plan.resources {
+            if let Some(touch) = self
+                .tables
+                .modified_since(part, plan.base_sequence, plan.id)
+            {
                 return stale(format!(
                     "{part} changed at revision {}; the plan rests on revision {}",
-                    touch.revision, plan.base
+                    touch.revision, plan.base_revision
                 ));
             }
             let mut others = self.plans.active().filter(|other| other.id != plan.id);
-            if let Some(other) = others.find(|other| other.touches(part)) {
+            if let Some(other) = others.find(|other| other.modifies(part)) {
                 return stale(format!("{part} is being changed by plan {}", other.id));
             }
         }
@@ -171,12 +174,12 @@
     }
 
     /// Takes one step further.
-    pub fn advance(&mut self, id: Id, index: usize, advance: Advance) -> Result<(), Error> {
+    pub fn advance(&mut self, id: Id, index: usize, advance: Transition) -> Result<(), Error> {
         let mut plan = self.find(id)?;
         if plan.state.is_over() || plan.state == State::Proposed {
             return Err(rollout::refusal(&format!("the plan is {}", plan.state)));
         }
-        if let Advance::Halt { message } = advance {
+        if let Transition::Halt { message } = advance {
             plan.message = message;
             self.halt(&mut plan);
             self.go_on(plan);
@@ -188,14 +191,18 @@
             .ok_or_else(|| Error::bad("no such step"))?;
         let (step, progress) = (stage.step.clone(), stage.progress.clone());
         let next = match (&step, advance) {
-            (Step::Member(_) | Step::Upgrade { .. }, Advance::Begin) => self.begin(&plan, index)?,
-            (Step::Member(member), Advance::Finish) if progress.is_under_way() => {
+            (Step::Member(_) | Step::Upgrade { .. }, Transition::Begin) => {
+                self.begin(&plan, index)?
+            }
+            (Step::Member(member), Transition::Finish) if progress.is_in_progress() => {
                 self.tables.apply_member(member, plan.id);
                 Progress::Done
             }
-            (Step::Upgrade { .. }, Advance::Order) => self.order(&mut plan, &step, &progress)?,
-            (Step::Upgrade { .. }, Advance::Finish) => self.finish(&mut plan, &step, &progress)?,
-            (_, Advance::Fail { message }) if progress.is_under_way() => {
+            (Step::Upgrade { .. }, Transition::Order) => self.order(&mut plan, &step, &progress)?,
+            (Step::Upgrade { .. }, Transition::Finish) => {
+                self.finish(&mut plan, &step, &progress)?
+            }
+            (_, Transition::Fail { message }) if progress.is_in_progress() => {
                 self.fail(&mut plan, &step);
                 Progress::Failed { message }
             }
@@ -228,7 +235,7 @@
         if loaded.is_none_or(|(name, loaded)| name != model || loaded == version) {
             return Ok(Progress::Skipped);
         }
-        if let Some(obstacle) = rollout::obstacle(self.tables, self.plans, plan, index) {
+        if let Some(obstacle) = rollout::upgrade_obstacle(self.tables, self.plans, plan, index) {
             return Err(rollout::refusal(obstacle));
         }
         let drain = self.tables.config.drains.get(upstream);
@@ -262,7 +269,7 @@
         let known = known.ok_or_else(|| rollout::refusal("the upstream isn't registered"))?;
         let (drained, first) = match progress {
             Progress::Begun { since, drained }
-                if self.now.since(*since) >= rollout::DRAIN_SPREAD =>
+                if self.now.since(*since) >= rollout::DRAIN_PROPAGATION =>
             {
                 (*drained, None)
             }
@@ -275,7 +282,7 @@
         let what = (model, version);
         let issued = self.tables.orders.issue(upstream, known, what, self.now);
         let order = issued.ok_or_else(|| rollout::refusal("an earlier order may still arrive"))?;
-        let limit = rollout::load_limit(&self.tables.config);
+        let limit = rollout::load_timeout(&self.tables.config);
         let until = first.unwrap_or(order.until + limit);
         self.change(plan, Change::Order(upstream.clone(), Some(order)));
         Ok(Progress::Ordered { until, drained })
@@ -303,7 +310,7 @@
                 version,
             },
             true,
-        ) = (step, progress.is_under_way())
+        ) = (step, progress.is_in_progress())
         else {
             return Err(rollout::refusal("the step isn't under way"));
         };
@@ -345,7 +352,7 @@
                 (Step::Member(_), Progress::Failed { message }) => Some(message.clone()),
                 _ => None,
             });
-        let trouble = member.or_else(|| rollout::trouble(self.tables, plan));
+        let trouble = member.or_else(|| rollout::halt_reason(self.tables, plan));
         if let Some(message) = trouble.filter(|_| plan.state == State::Running) {
             plan.message = message;
             self.halt(plan);
@@ -385,7 +392,7 @@
             State::Running if plan.stages.iter().all(|stage| stage.progress.is_ended()) => {
                 State::Done
             }
-            State::Stopping if plan.under_way().next().is_some() => return,
+            State::Stopping if plan.stages_in_progress().next().is_some() => return,
             State::Stopping if plan.message.is_empty() => State::Stopped,
             State::Stopping => State::Failed,
             _ => return,
--- a/almondlock-state/src/plan/next.rs
+++ b/almondlock-state/src/plan/next.rs
@@ -6,7 +6,7 @@
 
 use almondlock_base::time::Wall;
 
-use super::{Advance, Plan, Progress, State, Step, execute::is_due, rollout};
+use super::{Plan, Progress, State, Step, Transition, execute::is_due, rollout};
 use crate::{command::Command, limit, machine::Machine, order, replica::Member};
 
 /// What the leader has to do.
@@ -27,13 +27,13 @@
 }
 
 /// The first thing due, if any.
-pub fn next(machine: &Machine, now: Wall) -> Option<Action> {
-    due(machine, now).into_iter().next()
+pub fn next_action(machine: &Machine, now: Wall) -> Option<Action> {
+    due_actions(machine, now).into_iter().next()
 }
 
 /// Everything that is due now. Doing one of them may undo the need for another:
 /// what is refused when applied is simply dropped.
-pub fn due(machine: &Machine, now: Wall) -> Vec<Action> {
+pub fn due_actions(machine: &Machine, now: Wall) -> Vec<Action> {
     let mut actions = Vec::new();
     if now.since(machine.clock()) >= limit::SWEEP_INTERVAL {
         actions.push(Action::Propose(Command::Expire { at: now }));
@@ -45,21 +45,21 @@
 }
 
 fn of_plan(machine: &Machine, plan: &Plan, now: Wall, actions: &mut Vec<Action>) {
-    let step = |index: usize, advance: Advance| {
+    let step = |index: usize, advance: Transition| {
         Action::Propose(Command::Step {
             plan: plan.id,
             index,
-            advance,
+            transition: advance,
             at: now,
         })
     };
     if plan.state == State::Running
-        && let Some(message) = rollout::trouble(machine.tables(), plan)
+        && let Some(message) = rollout::halt_reason(machine.tables(), plan)
     {
-        actions.push(step(0, Advance::Halt { message }));
+        actions.push(step(0, Transition::Halt { message }));
         return;
     }
-    for (index, stage) in plan.under_way() {
+    for (index, stage) in plan.stages_in_progress() {
         match &stage.step {
             Step::Member(member) => {
                 let (plan, member) = (plan.id, member.clone());
@@ -81,7 +81,7 @@
         let upgrade = matches!(plan.stages[*index].step, Step::Upgrade { .. });
         plan.state == State::Running && (!upgrade || may_begin(machine, plan, *index))
     });
-    actions.extend(begins.map(|index| step(index, Advance::Begin)));
+    actions.extend(begins.map(|index| step(index, Transition::Begin)));
 }
 
 fn may_begin(machine: &Machine, plan: &Plan, index: usize) -> bool {
@@ -89,10 +89,10 @@
         return true;
     };
     let gone = !machine.config().upstreams.contains_key(upstream);
-    gone || rollout::obstacle(machine.tables(), machine.plans(), plan, index).is_none()
+    gone || rollout::upgrade_obstacle(machine.tables(), machine.plans(), plan, index).is_none()
 }
 
-fn of_upgrade(machine: &Machine, stage: &super::Stage, now: Wall) -> Option<Advance> {
+fn of_upgrade(machine: &Machine, stage: &super::Stage, now: Wall) -> Option<Transition> {
     let Step::Upgrade {
         upstream,
         model,
@@ -105,27 +105,27 @@
     let known = config.upstreams.get(upstream);
     let loaded = known.and_then(|known| known.model.as_ref());
     if loaded.is_some_and(|(name, loaded)| name == model && loaded == version) {
-        return Some(Advance::Finish);
+        return Some(Transition::Finish);
     }
     let ready = known.is_some_and(|known| now >= machine.tables().orders.ready(upstream, known));
     match &stage.progress {
         Progress::Begun { since, .. } => {
             let waited = now.since(*since);
-            let limit = rollout::load_limit(config) + order::LIFETIME + order::MARGIN;
+            let limit = rollout::load_timeout(config) + order::LIFETIME + order::MARGIN;
             if waited >= limit {
                 let message = "it was gone while it was drained".to_owned();
-                return Some(Advance::Fail { message });
+                return Some(Transition::Fail { message });
             }
-            (ready && waited >= rollout::DRAIN_SPREAD).then_some(Advance::Order)
+            (ready && waited >= rollout::DRAIN_PROPAGATION).then_some(Transition::Order)
         }
         Progress::Ordered { until, .. } if now >= *until => {
             let message = format!("it didn't register with {version} in time");
-            Some(Advance::Fail { message })
+            Some(Transition::Fail { message })
         }
         Progress::Ordered { .. } => {
             let issuer = config.orders.get(upstream).map(|order| order.issuer);
             let orphaned = known.is_some_and(|known| Some(known.incarnation) != issuer);
-            (orphaned && ready).then_some(Advance::Order)
+            (orphaned && ready).then_some(Transition::Order)
         }
         _ => None,
     }
--- a/almondlock-state/src/plan/risk.rs
+++ b/almondlock-state/src/plan/risk.rs
@@ -52,7 +52,7 @@
             }
         }
         Change::Model(name, None) => {
-            let serving = rollout::serving(config, name).count();
+            let serving = rollout::serving_upstreams(config, name).count();
             risk.affected.push(format!(
                 "all callers of {name}; {serving} upstreams are left idle"
             ));
@@ -158,8 +158,8 @@
     width: usize,
     risk: &mut Risk,
 ) {
-    let serving = rollout::serving(config, model).count();
-    let seconds = rollout::load_time(config).as_secs() + rollout::DRAIN_SPREAD.as_secs();
+    let serving = rollout::serving_upstreams(config, model).count();
+    let seconds = rollout::load_time(config).as_secs() + rollout::DRAIN_PROPAGATION.as_secs();
     // The first one goes alone, the others `width` at a time.
     let rounds = match upstreams.len() {
         0 => 0,
--- a/almondlock-state/src/plan/rollout.rs
+++ b/almondlock-state/src/plan/rollout.rs
@@ -27,16 +27,16 @@
 };
 use crate::{
     config::{Change, Config, Definition, Registration, rollout_setting},
-    tables::{Effect, Part, Tables},
+    tables::{Effect, Resource, Tables},
 };
 
 /// The setting that says how many loads may be under way at a time.
 pub const LOADS_SETTING: &str = "weight-store/loads";
 /// The setting that says how many seconds one load takes.
-pub const SECONDS_SETTING: &str = "weight-store/seconds";
+pub const LOAD_SECONDS_SETTING: &str = "weight-store/seconds";
 
 /// A drain is known everywhere after this; then the upstream is told to load.
-pub const DRAIN_SPREAD: Duration = Duration::from_secs(5);
+pub const DRAIN_PROPAGATION: Duration = Duration::from_secs(5);
 
 /// What the reason of a drain that a rollout made begins with.
 pub(super) const REASON: &str = "rollout by plan ";
@@ -49,18 +49,18 @@
 const BORNE: usize = 20;
 
 /// Loads that the weight store bears at a time.
-pub fn loads(config: &Config) -> usize {
+pub fn max_concurrent_loads(config: &Config) -> usize {
     let loads = setting(config, LOADS_SETTING, LOADS).clamp(1, 1_000);
     usize::try_from(loads).unwrap_or(1)
 }
 
 /// How long one load takes.
 pub fn load_time(config: &Config) -> Duration {
-    Duration::from_secs(setting(config, SECONDS_SETTING, SECONDS).clamp(1, 86_400))
+    Duration::from_secs(setting(config, LOAD_SECONDS_SETTING, SECONDS).clamp(1, 86_400))
 }
 
 /// How long a load may take before it counts as failed.
-pub fn load_limit(config: &Config) -> Duration {
+pub fn load_timeout(config: &Config) -> Duration {
     load_time(config) * PATIENCE
 }
 
@@ -77,7 +77,10 @@
 }
 
 /// Upstreams that new requests for the model may be given to.
-pub fn serving<'a>(config: &'a Config, model: &'a Model) -> impl Iterator<Item = &'a Upstream> {
+pub fn serving_upstreams<'a>(
+    config: &'a Config,
+    model: &'a Model,
+) -> impl Iterator<Item = &'a Upstream> {
     let serves = |known: &Registration| {
         version_of(known, model).is_some_and(|version| config.serves(model, version))
     };
@@ -87,7 +90,7 @@
 }
 
 /// How many upstreams must go on serving.
-pub fn least(config: &Config, model: &Model, keep: u8) -> usize {
+pub fn min_serving(config: &Config, model: &Model, keep: u8) -> usize {
     let loaded = config
         .upstreams
         .values()
@@ -107,8 +110,8 @@
         return Err(Error::bad("keep is a number of a hundred"));
     }
     let todo = in_turns(config, model, version);
-    let count = serving(config, model).count();
-    if !todo.is_empty() && count > 0 && count <= least(config, model, keep) {
+    let count = serving_upstreams(config, model).count();
+    if !todo.is_empty() && count > 0 && count <= min_serving(config, model, keep) {
         let message = format!(
             "{count} upstreams serve {model}; to keep {keep} of 100 leaves none to upgrade"
         );
@@ -123,9 +126,9 @@
     let mut draft = draft(tables, steps);
     let width = width(config, model, keep);
     risk::of_upgrades(config, model, &todo, width, &mut draft.risk);
-    draft.parts.push(Part::model(model));
-    draft.parts.sort();
-    draft.parts.dedup();
+    draft.resources.push(Resource::model(model));
+    draft.resources.sort();
+    draft.resources.dedup();
     Ok(draft)
 }
 
@@ -198,14 +201,14 @@
 
 /// How many upstreams of the model the plan may have out of service at a time.
 fn width(config: &Config, model: &Model, keep: u8) -> usize {
-    let spare = serving(config, model)
+    let spare = serving_upstreams(config, model)
         .count()
-        .saturating_sub(least(config, model, keep));
-    spare.min(loads(config)).max(1)
+        .saturating_sub(min_serving(config, model, keep));
+    spare.min(max_concurrent_loads(config)).max(1)
 }
 
 /// Why the upgrade at `index` can't begin now; `None` when it can.
-pub fn obstacle(
+pub fn upgrade_obstacle(
     tables: &Tables,
     plans: &table::Table,
     plan: &Plan,
@@ -219,27 +222,31 @@
     };
     let config = &tables.config;
     let upgrade = |step: &Step| matches!(step, Step::Upgrade { .. });
-    let under_way = |plan: &Plan| plan.under_way().filter(|(_, s)| upgrade(&s.step)).count();
-    if plans.active().map(under_way).sum::<usize>() >= loads(config) {
+    let under_way = |plan: &Plan| {
+        plan.stages_in_progress()
+            .filter(|(_, s)| upgrade(&s.step))
+            .count()
+    };
+    if plans.active().map(under_way).sum::<usize>() >= max_concurrent_loads(config) {
         return Some("the weight store has enough to do");
     }
     let upgraded = |stage: &&super::Stage| upgrade(&stage.step) && stage.progress == Progress::Done;
     if under_way(plan) > 0 && plan.stages.iter().find(upgraded).is_none() {
         return Some("the first upstream goes alone");
     }
-    let still = serving(config, model)
+    let still = serving_upstreams(config, model)
         .filter(|name| *name != upstream)
         .count();
     // Drained by an operator or gone, it takes nothing away from what serves.
-    let takes_away = serving(config, model).any(|name| name == upstream);
-    if takes_away && still < plan.keep {
+    let takes_away = serving_upstreams(config, model).any(|name| name == upstream);
+    if takes_away && still < plan.min_serving {
         return Some("too few would go on serving");
     }
     None
 }
 
 /// Why a rollout must stop by itself.
-pub fn trouble(tables: &Tables, plan: &Plan) -> Option<String> {
+pub fn halt_reason(tables: &Tables, plan: &Plan) -> Option<String> {
     let (mut good, mut bad, mut last) = (0, 0, "");
     for stage in &plan.stages {
         let Step::Upgrade {
--- a/almondlock-state/src/plan/table.rs
+++ b/almondlock-state/src/plan/table.rs
@@ -137,7 +137,7 @@
             .plans
             .values_mut()
             .filter(|plan| plan.state == State::Proposed);
-        for plan in waiting.filter(|plan| now.since(plan.proposed) >= limit::PROPOSAL_LIFETIME) {
+        for plan in waiting.filter(|plan| now.since(plan.proposed_at) >= limit::PROPOSAL_LIFETIME) {
             plan.state = State::Lapsed;
         }
         self.shrink();
@@ -145,7 +145,7 @@
 
     /// The lowest count of effects that a remembered plan was computed on.
     pub fn lowest_sequence(&self) -> Option<u64> {
-        self.plans.values().map(|plan| plan.sequence).min()
+        self.plans.values().map(|plan| plan.base_sequence).min()
     }
 }
 
--- a/almondlock-state/src/tables.rs
+++ b/almondlock-state/src/tables.rs
@@ -34,46 +34,46 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Part(pub String);
+pub struct Resource(pub String);
 
-impl fmt::Display for Part {
+impl fmt::Display for Resource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl Part {
+impl Resource {
     /// All replicas: their number matters to each change of one.
-    pub fn replicas() -> Part {
-        Part("replicas".to_owned())
+    pub fn replicas() -> Resource {
+        Resource("replicas".to_owned())
     }
 
     /// An upstream's place in or out of service.
-    pub fn drain<N>(name: N) -> Part
+    pub fn drain<N>(name: N) -> Resource
     where
         N: fmt::Display,
     {
-        Part(format!("upstream/{name}"))
+        Resource(format!("upstream/{name}"))
     }
 
     /// A model.
-    pub fn model<N>(name: N) -> Part
+    pub fn model<N>(name: N) -> Resource
     where
         N: fmt::Display,
     {
-        Part(format!("model/{name}"))
+        Resource(format!("model/{name}"))
     }
 }
 
 impl Effect {
     /// What it touches.
-    pub fn part(&self) -> Part {
+    pub fn resource(&self) -> Resource {
         let text = match self {
             Effect::Config(Change::Organisation(name, _)) => format!("organisation/{name}"),
-            Effect::Config(Change::Model(name, _)) => return Part::model(name),
+            Effect::Config(Change::Model(name, _)) => return Resource::model(name),
             Effect::Config(Change::Service(name, _)) => format!("service/{name}"),
             Effect::Config(Change::Upstream(name, _)) => format!("registration/{name}"),
-            Effect::Config(Change::Drain(name, _)) => return Part::drain(name),
+            Effect::Config(Change::Drain(name, _)) => return Resource::drain(name),
             Effect::Config(Change::Quarantine(print, _)) => format!("quarantine/{print}"),
             Effect::Config(Change::Setting(name, _)) => format!("setting/{name}"),
             Effect::Config(Change::Order(name, _)) => format!("order/{name}"),
@@ -82,9 +82,9 @@
             Effect::Config(Change::Instance(name, _)) => format!("instance/{name}"),
             Effect::Config(Change::Evacuation(name, _)) => format!("domain/{name}"),
             Effect::Operator(name, _) => format!("operator/{name}"),
-            Effect::Replica(..) => return Part::replicas(),
+            Effect::Replica(..) => return Resource::replicas(),
         };
-        Part(text)
+        Resource(text)
     }
 
     /// The effect that would put back what is there now.
@@ -133,7 +133,7 @@
 /// When a part was touched last.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Touch {
+pub struct Modification {
     /// The count of effects at that time.
     pub sequence: u64,
     /// The revision at that time.
@@ -157,14 +157,14 @@
     pub orders: order::Table,
     /// Counts effects up, since not each of them makes a revision.
     pub sequence: u64,
-    touched: BTreeMap<Part, Touch>,
+    touched: BTreeMap<Resource, Modification>,
 }
 
 impl Tables {
     /// Applies an effect, and gives the change of the configuration it made. A delta whose
     /// base isn't held does nothing; publications are checked before they come here.
     pub fn apply(&mut self, effect: Effect, plan: Option<plan::Id>) -> Option<(Revision, Change)> {
-        let part = effect.part();
+        let part = effect.resource();
         let change = match effect {
             Effect::Config(change) => {
                 self.config.apply(change.clone()).ok()?;
@@ -183,7 +183,7 @@
         let (sequence, revision) = (self.sequence, self.config.revision);
         self.touched.insert(
             part,
-            Touch {
+            Modification {
                 sequence,
                 revision,
                 plan,
@@ -218,7 +218,12 @@
     }
 
     /// When a part was touched after `sequence`, by others than `plan`.
-    pub fn moved(&self, part: &Part, sequence: u64, plan: plan::Id) -> Option<&Touch> {
+    pub fn modified_since(
+        &self,
+        part: &Resource,
+        sequence: u64,
+        plan: plan::Id,
+    ) -> Option<&Modification> {
         let touch = self.touched.get(part)?;
         (touch.sequence > sequence && touch.plan != Some(plan)).then_some(touch)
     }
@@ -230,7 +235,7 @@
     }
 
     /// The operator whose key has this hash.
-    pub fn operator(&self, hash: &str) -> Option<(&str, &Operator)> {
+    pub fn find_operator(&self, hash: &str) -> Option<(&str, &Operator)> {
         let mut all = self.operators.iter();
         let found = all.find(|(_, operator)| operator.key == hash)?;
         Some((found.0, found.1))
--- a/almondlock-state/tests/far_behind.rs
+++ b/almondlock-state/tests/far_behind.rs
@@ -13,7 +13,7 @@
     config,
     intent::Intent,
     machine::{Applied, Machine},
-    plan::{Action, due},
+    plan::{Action, due_actions},
 };
 use common::{add, attempt, claim_command, engine, organisation, pass_time, share, upstream, wall};
 use proptest::{
@@ -178,7 +178,7 @@
     pass_time(&mut machine, common::HOUR);
     let now = wall(2 * common::HOUR);
     let mut steps = 0;
-    while let Some(Action::Propose(command)) = due(&machine, now).into_iter().next() {
+    while let Some(Action::Propose(command)) = due_actions(&machine, now).into_iter().next() {
         machine.apply(command);
         steps += 1;
     }
--- a/almondlock-state/tests/paced_rollout.rs
+++ b/almondlock-state/tests/paced_rollout.rs
@@ -12,7 +12,7 @@
     config::Order,
     intent::Intent,
     machine::Machine,
-    plan::{Action, Advance, Id, Plan, Progress, State, due, rollout},
+    plan::{Action, Id, Plan, Progress, State, Transition, due_actions, rollout},
 };
 use common::{
     MINUTE, SECOND, announce, change, code, engine, model, planned, propose, upstream, version,
@@ -77,11 +77,11 @@
     /// A second passes: the leader does what is due, engines do as told.
     fn tick(&mut self) {
         self.now += SECOND;
-        for action in due(&self.machine, wall(self.now)) {
+        for action in due_actions(&self.machine, wall(self.now)) {
             if let Action::Propose(command) = action {
                 self.machine.apply(command);
             }
-            let serving = rollout::serving(self.machine.config(), &model()).count();
+            let serving = rollout::serving_upstreams(self.machine.config(), &model()).count();
             self.fewest = self.fewest.min(serving);
         }
         let orders: Vec<_> = self.machine.config().orders.clone().into_iter().collect();
@@ -134,7 +134,7 @@
 fn whole_rollout() {
     let mut fleet = Fleet::new();
     let plan = fleet.rollout("1", "v2");
-    assert_eq!((plan.state, plan.keep), (State::Running, 3));
+    assert_eq!((plan.state, plan.min_serving), (State::Running, 3));
     fleet.run(plan.id, 1_000);
     assert_eq!(fleet.plan(plan.id).state, State::Done);
     assert_eq!(fleet.versions(), ["v2"; 6]);
@@ -158,7 +158,7 @@
     assert!(plan.message.contains("1 of 1 fail"), "{}", plan.message);
     assert_eq!(fleet.fewest, 5);
     assert_eq!(
-        rollout::serving(fleet.machine.config(), &model()).count(),
+        rollout::serving_upstreams(fleet.machine.config(), &model()).count(),
         5
     );
 }
@@ -169,7 +169,7 @@
 fn dying_engines() {
     let mut fleet = Fleet::new();
     let plan = fleet.rollout("1", "v2");
-    while fleet.plan(plan.id).done() < 2 {
+    while fleet.plan(plan.id).completed_count() < 2 {
         fleet.tick();
     }
     let (upstream, incarnation) = (upstream("u0"), Incarnation(1));
@@ -198,7 +198,7 @@
     assert_eq!(fleet.plan(plan.id).state, State::Stopped);
     assert!(fleet.machine.config().drains.is_empty());
     assert_eq!(
-        rollout::serving(fleet.machine.config(), &model()).count(),
+        rollout::serving_upstreams(fleet.machine.config(), &model()).count(),
         6
     );
     let back = change(
@@ -237,14 +237,14 @@
     let plan = fleet.rollout("1", "v2");
     while !fleet.plan(plan.id).state.is_over() {
         fleet.now += SECOND;
-        let actions = due(&fleet.machine, wall(fleet.now));
+        let actions = due_actions(&fleet.machine, wall(fleet.now));
         for action in actions.iter().chain(&actions) {
             if let Action::Propose(command) = action {
                 fleet.machine.apply(command.clone());
             }
         }
         fleet.tick();
-        let under_way = fleet.plan(plan.id).under_way().count();
+        let under_way = fleet.plan(plan.id).stages_in_progress().count();
         assert!(under_way <= 2, "more loads than the weight store bears");
     }
     assert_eq!(fleet.plan(plan.id).state, State::Done);
@@ -284,14 +284,14 @@
     let plan = fleet.rollout("1", "v2");
     let at = wall(fleet.now);
     for (index, advance) in [
-        (6, Advance::Begin),
-        (1, Advance::Order),
-        (1, Advance::Finish),
+        (6, Transition::Begin),
+        (1, Transition::Order),
+        (1, Transition::Finish),
     ] {
         let step = Command::Step {
             plan: plan.id,
             index,
-            advance,
+            transition: advance,
             at,
         };
         let reply = fleet.machine.apply(step).reply;
--- a/almondlock-state/tests/replaced_replica.rs
+++ b/almondlock-state/tests/replaced_replica.rs
@@ -10,7 +10,7 @@
     intent::Intent,
     machine::Machine,
     operator::{Operator, Role, hash},
-    plan::{Action, Advance, Id, State, due},
+    plan::{Action, Id, State, Transition, due_actions},
     replica::{self, Member, Replica},
 };
 use common::{change, code, planned, propose, wall};
@@ -47,7 +47,7 @@
 }
 
 fn asked(machine: &Machine) -> Vec<Member> {
-    let members = due(machine, wall(1))
+    let members = due_actions(machine, wall(1))
         .into_iter()
         .filter_map(|action| match action {
             Action::Member { member, .. } => Some(member),
@@ -56,11 +56,11 @@
     members.collect()
 }
 
-fn step(machine: &mut Machine, plan: Id, index: usize, advance: Advance) {
+fn step(machine: &mut Machine, plan: Id, index: usize, advance: Transition) {
     let step = Command::Step {
         plan,
         index,
-        advance,
+        transition: advance,
         at: wall(1),
     };
     assert_eq!(code(&machine.apply(step).reply), None);
@@ -77,19 +77,19 @@
         replica: replica(2),
     };
     let plan = change(&mut machine, "1", intent, 1);
-    step(&mut machine, plan.id, 0, Advance::Begin);
+    step(&mut machine, plan.id, 0, Transition::Begin);
     assert_eq!(asked(&machine), [Member::Add(replica(2))]);
     let mut machine = Machine::restore(&machine.snapshot()).unwrap();
     assert_eq!(asked(&machine), [Member::Add(replica(2))]);
-    step(&mut machine, plan.id, 0, Advance::Finish);
+    step(&mut machine, plan.id, 0, Transition::Finish);
     let replicas = members(&[(11, 1), (12, 2), (13, 3), (99, 2)]);
     machine.apply(Command::Replicas {
         replicas,
         at: wall(1),
     });
-    step(&mut machine, plan.id, 1, Advance::Begin);
+    step(&mut machine, plan.id, 1, Transition::Begin);
     assert_eq!(asked(&machine), [Member::Remove(12)]);
-    step(&mut machine, plan.id, 1, Advance::Finish);
+    step(&mut machine, plan.id, 1, Transition::Finish);
     assert_eq!(
         machine.plans().get(plan.id).map(|plan| plan.state),
         Some(State::Done)
@@ -136,9 +136,9 @@
         replica: replica(4),
     };
     let plan = change(&mut machine, "1", intent, 1);
-    step(&mut machine, plan.id, 0, Advance::Begin);
+    step(&mut machine, plan.id, 0, Transition::Begin);
     let message = "it doesn't catch up".to_owned();
-    step(&mut machine, plan.id, 0, Advance::Fail { message });
+    step(&mut machine, plan.id, 0, Transition::Fail { message });
     assert_eq!(
         machine.plans().get(plan.id).map(|plan| plan.state),
         Some(State::Failed)
