--- a/almondlock-gateway/src/backoff.rs
+++ b/almondlock-gateway/src/backoff.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     dialect::Dialect,
-    life::{Course, Request},
     pick::Lack,
+    request::{History, Request},
     upstream::Head,
     worker::{Target, Worker},
 };
@@ -18,7 +18,7 @@
     D: Dialect,
 {
     /// Takes in what an upstream asks with an answer.
-    pub(crate) fn hear_backoff(&self, upstream: &Upstream, head: &Head) {
+    pub(crate) fn apply_backoff_headers(&self, upstream: &Upstream, head: &Head) {
         let names = self.dialect.names();
         // Another instance answers, and speaks for itself.
         if head.status == 421 {
@@ -49,13 +49,13 @@
     pub(crate) fn open_targets(
         &self,
         request: &Request,
-        course: &Course,
+        history: &History,
         now: Mono,
     ) -> Result<Vec<Target>, Lack> {
-        let known = self.known();
+        let known = self.snapshot();
         let targets = known.instances.get(&request.service).into_iter().flatten();
         let targets: Vec<&Target> = targets
-            .filter(|target| !course.refused.contains(&target.name))
+            .filter(|target| !history.refused.contains(&target.name))
             .collect();
         let open = targets.iter();
         let open = open.filter(|target| self.backoff(now, &target.name).is_none());
--- a/almondlock-gateway/src/response.rs
+++ b/almondlock-gateway/src/response.rs
@@ -9,13 +9,13 @@
 };
 
 use crate::{
-    life::{End, Whole},
+    request::{Refusal, Response},
     upstream::Head,
     worker::Worker,
 };
 
 /// Headers that concern one connection only, or that are written anew.
-pub(crate) const HOP: [&str; 11] = [
+pub(crate) const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -35,17 +35,17 @@
     let mut builder = HttpResponse::build(status);
     for (name, value) in &head.headers {
         let name = name.to_ascii_lowercase();
-        if !HOP.contains(&name.as_str()) && name != "date" {
+        if !HOP_BY_HOP.contains(&name.as_str()) && name != "date" {
             builder.header(name.as_str(), &value[..]);
         }
     }
     builder
 }
 
-pub(crate) fn whole_response<D>(
+pub(crate) fn complete_response<D>(
     worker: &Worker<D>,
     id: &str,
-    whole: Whole,
+    whole: Response,
     arrived: Mono,
 ) -> HttpResponse {
     let spent = clock::mono().since(arrived);
@@ -60,7 +60,12 @@
 }
 
 /// The answer to a request that ends here.
-pub(crate) fn refusal<D>(worker: &Worker<D>, id: &str, end: &End, arrived: Mono) -> HttpResponse {
+pub(crate) fn refusal_response<D>(
+    worker: &Worker<D>,
+    id: &str,
+    end: &Refusal,
+    arrived: Mono,
+) -> HttpResponse {
     let spent = clock::mono().since(arrived);
     let code = end.code;
     worker
--- a/almondlock-gateway/src/standing.rs
+++ b/almondlock-gateway/src/standing.rs
@@ -9,13 +9,13 @@
 };
 
 use almondlock_base::{id::Service, time::Mono};
-use almondlock_policy::share::{Capacity, Resource, Standing, rank};
+use almondlock_policy::share::{Capacity, Resource, Standing, demoted_rank};
 
 use crate::{
     dialect::Dialect,
     exchange::shares::{Envelope, PERIOD, Report, Tag},
-    life::{LAST, Request},
     load::Key,
+    request::{LAST_RANK, Request},
     rules::Organisation,
     share::{Claim, Finding, Known, Ledger, Notices, OTHERS},
     worker::Worker,
@@ -48,7 +48,7 @@
     pub(crate) fn standing(&self, now: Mono, request: &Request) -> Standing {
         self.finding(now, request)
             .map_or(Standing::Within, |finding| Standing::Over {
-                by: finding.excess.by(),
+                by: finding.excess.ratio(),
             })
     }
 
@@ -69,7 +69,7 @@
         if self.finding(now, request).is_none() {
             return own;
         }
-        let behind = rank(own, kind, kinds, LAST);
+        let behind = demoted_rank(own, kind, kinds, LAST_RANK);
         if behind != own {
             self.note_deprioritised(request, now, "ranked behind");
         }
@@ -119,10 +119,10 @@
 
     /// The reading time of a request's prompt, on all engines together.
     fn reading(&self, request: &Request) -> Option<Duration> {
-        let known = self.known();
+        let known = self.snapshot();
         let service = known.rules.as_ref()?.service(&request.service)?;
         let speed = service.engine.as_ref()?;
-        Some(speed.reading(request.demand?.prompt))
+        Some(speed.reading_time(request.demand?.prompt))
     }
 
     /// Logs and counts a request that others are served before, since its organisation is
@@ -143,7 +143,7 @@
         tracing::info!(
             request = %request.id, organisation = %organisation.name, action,
             resource = excess.resource.as_str(), used = excess.used, share = excess.share,
-            age_ms = finding.age.as_millis(), behind = %self.behind(excess.behind), suppressed,
+            age_ms = finding.age.as_millis(), behind = %self.behind(excess.least_served), suppressed,
             "deprioritised"
         );
     }
@@ -162,7 +162,7 @@
         let (number, is_empty) = (number.wrapping_add(1), counts.is_empty());
         self.shares.reported.set((now, number, is_empty));
         let report = Report {
-            host: self.host,
+            host: self.host_number,
             number,
             counts,
         };
@@ -180,7 +180,7 @@
         let Some(totals) = envelope.open(relay) else {
             return;
         };
-        let known = self.known();
+        let known = self.snapshot();
         let capacity = |service: Key| {
             let mut services = known.instances.iter();
             let found = services.find(|(name, _)| Key::named(name.as_str()) == service);
@@ -197,9 +197,9 @@
     /// Whether shares are computed: the settings ask for it, and there are organisations to
     /// share among.
     fn are_shares_in_force(&self) -> bool {
-        self.features.shares
+        self.features.fair_shares
             && self
-                .known()
+                .snapshot()
                 .rules
                 .as_ref()
                 .is_some_and(|rules| rules.has_several_organisations())
