--- a/almondlock-bench/examples/configuration_delta.rs
+++ b/almondlock-bench/examples/configuration_delta.rs
@@ -125,7 +125,7 @@
         Document::new(2, changed(&old)),
     );
     let (base, new) = match form {
-        Form::One => (Some(old.joined()), new.joined()),
+        Form::One => (Some(old.into_single_piece()), new.into_single_piece()),
         Form::Pieces => (None, new),
         Form::Delta => (Some(old), new),
     };
--- a/almondlock-bench/examples/slopes/fleet.rs
+++ b/almondlock-bench/examples/slopes/fleet.rs
@@ -208,7 +208,7 @@
         let section = format!(
             "data = data-{n}\n[replica]\nadmin = {admin}\nmembers = {}\noperator_key = {}\n",
             members.join(", "),
-            almondlock_state::operator::hash(OPERATOR_KEY),
+            almondlock_state::operator::hash_key(OPERATOR_KEY),
         );
         self.process(Role::Replica, &format!("control-{n}"), n, inner, &section)
     }
@@ -272,7 +272,7 @@
 }
 
 async fn configure(api: &Api) -> Result<(), Box<dyn Error>> {
-    let hash = almondlock_state::operator::hash(CALLER_KEY);
+    let hash = almondlock_state::operator::hash_key(CALLER_KEY);
     let intents = [
         json!({"intent": "add-organisation", "name": "acme"}),
         json!({"intent": "add-key", "organisation": "acme", "hash": hash}),
--- a/almondlock-cli/src/request.rs
+++ b/almondlock-cli/src/request.rs
@@ -9,7 +9,7 @@
 use almondlock_base::{id, unit::Tokens};
 use almondlock_state::{
     intent::{self, Intent},
-    operator::{Role, hash, is_hash},
+    operator::{Role, hash_key, is_key_hash},
     plan,
     replica::{self, Replica},
 };
@@ -248,12 +248,12 @@
 /// The hash of a new key, and the key itself unless it was made elsewhere.
 fn new_key(given: Option<String>, random: [u8; 32]) -> Result<(String, Option<String>), Usage> {
     match given {
-        Some(text) if is_hash(&text) => Ok((text, None)),
+        Some(text) if is_key_hash(&text) => Ok((text, None)),
         Some(_) => Err(Usage("a hash is 64 hexadecimal digits".to_owned())),
         None => {
             let digits: String = random.iter().map(|byte| format!("{byte:02x}")).collect();
             let key = format!("al-{digits}");
-            Ok((hash(&key), Some(key)))
+            Ok((hash_key(&key), Some(key)))
         }
     }
 }
--- a/almondlock-cli/tests/command_line.rs
+++ b/almondlock-cli/tests/command_line.rs
@@ -12,7 +12,7 @@
 };
 use almondlock_state::{
     intent::{Intent, Limits},
-    operator::{Role, hash},
+    operator::{Role, hash_key},
     plan,
     replica::Replica,
 };
@@ -113,7 +113,7 @@
 fn new_keys() {
     let Prepared { request, key } = prepared("operator set boris --role viewer").unwrap();
     let key = key.unwrap();
-    let (name, hash) = ("boris".to_owned(), hash(&key));
+    let (name, hash) = ("boris".to_owned(), hash_key(&key));
     let intent = Intent::SetOperator {
         name,
         hash,
--- a/almondlock-control/src/admin/access.rs
+++ b/almondlock-control/src/admin/access.rs
@@ -4,7 +4,7 @@
 use almondlock_state::{
     api::Problem,
     machine::Machine,
-    operator::{Role, hash},
+    operator::{Role, hash_key},
 };
 use ntex::{http::header::AUTHORIZATION, web::HttpRequest};
 
@@ -27,7 +27,7 @@
     if !fits {
         return Err(Code::Unauthenticated.into());
     }
-    Ok(hash(key.trim()))
+    Ok(hash_key(key.trim()))
 }
 
 /// The name of the operator whose key it is, if the role suffices.
--- a/almondlock-control/src/directory.rs
+++ b/almondlock-control/src/directory.rs
@@ -94,7 +94,7 @@
     /// Publishes a configuration; one that isn't newer changes nothing.
     pub async fn publish(&self, document: Document) -> Result<Revision, Failure> {
         if !self.deltas {
-            return self.publish_whole(document.joined()).await;
+            return self.publish_whole(document.into_single_piece()).await;
         }
         let held = |state: &Machine| state.config().document.clone();
         let held = self.remote.look(held).await.ok().flatten();
@@ -102,7 +102,7 @@
         tracing::info!(
             version = document.version,
             base = publication.base(),
-            bytes = publication.bytes(),
+            bytes = publication.text_bytes(),
             of = document.len(),
             "configuration proposed"
         );
--- a/almondlock-control/src/driver.rs
+++ b/almondlock-control/src/driver.rs
@@ -76,7 +76,8 @@
 async fn copy_members(replica: &Replica) {
     let members = replica.status().members.into_iter();
     let members = members.map(|peer| (peer.id.0, peer.address, peer.domain));
-    let Some(replicas) = replica.state(|machine| members::changed(machine, members)) else {
+    let Some(replicas) = replica.state(|machine| members::changed_replicas(machine, members))
+    else {
         return;
     };
     let at = clock::wall();
--- a/almondlock-control/src/replica/core.rs
+++ b/almondlock-control/src/replica/core.rs
@@ -400,7 +400,7 @@
             let mut state = State::restore(data)
                 .map_err(|e| Refusal::new(Code::StorageFailed, e.to_string()))?;
             // The view shares its text with the state before.
-            state.share(&self.state);
+            state.share_document(&self.state);
             self.state = state;
             self.applied = index;
             self.snapshot_at = index;
--- a/almondlock-control/src/replica/instances.rs
+++ b/almondlock-control/src/replica/instances.rs
@@ -5,7 +5,7 @@
 use almondlock_node::clock;
 use almondlock_state::{
     command::{Command, Reply},
-    instance::{Beat, Heartbeat, Instance},
+    instance::{Disposition, Heartbeat, Instance},
     limit,
 };
 
@@ -37,13 +37,13 @@
         let beat = self.state(|state| {
             let mut roster = self.inner.roster.borrow_mut();
             let named = (&upstream, sequence);
-            roster.beat(clock::mono(), state.config(), named, &instance)
+            roster.receive(clock::mono(), state.config(), named, &instance)
         });
         match beat {
-            Beat::Known => return Ok(Taken::Decided(None)),
-            Beat::Leaving(revision) => return Ok(Taken::Decided(Some(revision))),
-            Beat::News => {}
-            Beat::Full => {
+            Disposition::Unchanged => return Ok(Taken::Decided(None)),
+            Disposition::Leaving(revision) => return Ok(Taken::Decided(Some(revision))),
+            Disposition::Changed => {}
+            Disposition::Full => {
                 let instances = limit::MAX_INSTANCES;
                 tracing::error!(instance = %upstream, instances, "instance not entered, the table is full");
                 return Err(Refusal::of(Code::LimitReached));
@@ -104,7 +104,9 @@
         }
         let now = clock::mono();
         let mut roster = self.inner.roster.borrow_mut();
-        heartbeats.iter().for_each(|heard| roster.hear(now, heard));
+        heartbeats
+            .iter()
+            .for_each(|heard| roster.receive_relayed(now, heard));
     }
 
     /// An instance says that it is gone.
@@ -128,7 +130,7 @@
         let lease = self.inner.config.instance_lease;
         let lapsed = self.state(|state| {
             let mut roster = self.inner.roster.borrow_mut();
-            roster.lapsed(clock::mono(), lease, state.config())
+            roster.find_silent(clock::mono(), lease, state.config())
         });
         for upstream in lapsed {
             tracing::info!(instance = %upstream, lease_ms = lease.as_millis(), "instance silent, withdrawn");
--- a/almondlock-control/tests/backend/mod.rs
+++ b/almondlock-control/tests/backend/mod.rs
@@ -14,7 +14,7 @@
     api::{Observation, Undo},
     command::{Command, Reply},
     machine::Machine,
-    operator::{Operator, Role, hash},
+    operator::{Operator, Role, hash_key},
 };
 use ntex::{client::Client, http::Method, time::Millis};
 use serde_json::Value;
@@ -40,7 +40,7 @@
     pub(crate) fn new() -> Memory {
         let mut machine = Machine::new();
         let operator = |name: &str, role| {
-            let key = hash(name);
+            let key = hash_key(name);
             (name.to_owned(), Operator { key, role })
         };
         machine.apply(Command::Seed {
--- a/almondlock-control/tests/operator_access.rs
+++ b/almondlock-control/tests/operator_access.rs
@@ -14,7 +14,7 @@
 }
 
 fn set_operator(name: &str, key: &str) -> Value {
-    let hash = almondlock_state::operator::hash(key);
+    let hash = almondlock_state::operator::hash_key(key);
     json!({"number": name, "intent": "set-operator", "name": name, "hash": hash, "role": "viewer"})
 }
 
--- a/almondlock-control/tests/operator_plans.rs
+++ b/almondlock-control/tests/operator_plans.rs
@@ -4,7 +4,7 @@
 mod backend;
 
 use almondlock_base::Code;
-use almondlock_state::{api::HASH_DIGITS, operator::hash};
+use almondlock_state::{api::HASH_DIGITS, operator::hash_key};
 use backend::{Memory, get, post, start, undo};
 use serde_json::{Value, json};
 
@@ -72,7 +72,7 @@
 async fn hidden_hashes() {
     let memory = Memory::new();
     let address = start(&memory);
-    let key = hash("secret");
+    let key = hash_key("secret");
     let add = json!({"number": "1", "intent": "add-organisation", "name": "acme"});
     post(address, "operator", "/v1/plans", &add).await;
     post(address, "operator", "/v1/plans/1/confirm", &Value::Null).await;
@@ -86,7 +86,7 @@
         .to_owned();
     assert_eq!(shown, key[..HASH_DIGITS]);
     let set = json!({
-        "number": "3", "intent": "set-operator", "name": "eve", "hash": hash("eve"), "role": "viewer"
+        "number": "3", "intent": "set-operator", "name": "eve", "hash": hash_key("eve"), "role": "viewer"
     });
     post(address, "admin", "/v1/plans", &set).await;
     post(address, "admin", "/v1/plans/3/confirm", &Value::Null).await;
@@ -101,7 +101,7 @@
     for path in paths {
         let (status, _, body) = get(address, "admin", &format!("/v1/{path}")).await;
         assert_eq!(status, 200, "{path}");
-        for secret in [&key, &hash("eve"), &hash("admin")] {
+        for secret in [&key, &hash_key("eve"), &hash_key("admin")] {
             assert!(!body.to_string().contains(secret), "{path}");
         }
     }
--- a/almondlock-control/tests/published_delta.rs
+++ b/almondlock-control/tests/published_delta.rs
@@ -113,7 +113,7 @@
 async fn restarted() {
     let mut group = Group::new(|builder| builder.snapshot(7));
     publish(&group, &document(1), false).await;
-    all_hold(&group, &[0, 1, 2], &document(1).joined()).await;
+    all_hold(&group, &[0, 1, 2], &document(1).into_single_piece()).await;
     for version in 2..12 {
         publish(&group, &document(version), true).await;
     }
@@ -211,7 +211,7 @@
     // Whether others accept it isn't known here.
     let refusal = remote.propose(command).await.unwrap_err();
     assert_eq!(refusal.code, Code::NoQuorum);
-    assert_eq!(held(remote).await, Some(document(1).joined()));
+    assert_eq!(held(remote).await, Some(document(1).into_single_piece()));
     let later = directory(remote).publish(document(3)).await;
     assert!(matches!(later, Err(Failure::Storage)));
 }
@@ -230,7 +230,11 @@
     ] {
         let document = document(version);
         publish(&group, &document, deltas).await;
-        let expected = if deltas { document } else { document.joined() };
+        let expected = if deltas {
+            document
+        } else {
+            document.into_single_piece()
+        };
         all_hold(&group, &[0, 1, 2], &expected).await;
     }
 }
--- a/almondlock-daemon/src/demo.rs
+++ b/almondlock-daemon/src/demo.rs
@@ -79,7 +79,7 @@
     let announce = free_address()?;
     let (listen, admin, order) = (options.listen, options.admin, &options.order);
     let data = folder.display();
-    let key = operator::hash(OPERATOR_KEY);
+    let key = operator::hash_key(OPERATOR_KEY);
     Ok(format!(
         "[host]\nname = demo\ndomain = demo\nregion = demo\nlisten = {inner}\ndata = {data}\n\
          [entry]\nlisten = {listen}\ndrain_delay = 0\n\
@@ -203,7 +203,7 @@
         },
         Intent::AddKey {
             organisation,
-            hash: operator::hash(CALLER_KEY),
+            hash: operator::hash_key(CALLER_KEY),
         },
         Intent::AddModel {
             name: Model::new(MODEL)?,
--- a/almondlock-entry/src/shared.rs
+++ b/almondlock-entry/src/shared.rs
@@ -232,7 +232,7 @@
 
     fn set_limits(&self, view: &config::Config) {
         let mut limits = lock(&self.limits);
-        let hosts = view.settings.get(config::ENTRY_HOSTS);
+        let hosts = view.settings.get(config::ENTRY_HOSTS_SETTING);
         limits.set_hosts(hosts.and_then(|n| n.parse().ok()).unwrap_or(1));
         for (name, organisation) in &view.organisations {
             let limit = limit::Limit {
--- a/almondlock-node/tests/other_base.rs
+++ b/almondlock-node/tests/other_base.rs
@@ -160,7 +160,7 @@
         ..Config::default()
     };
     let joined = Config {
-        document: Some(document(1).joined()),
+        document: Some(document(1).into_single_piece()),
         ..first.clone()
     };
     assert!(view.replace(first));
--- a/almondlock-sidecar/src/orders.rs
+++ b/almondlock-sidecar/src/orders.rs
@@ -37,7 +37,7 @@
         let loaded = loaded.and_then(|registered| registered.model.as_ref());
         let done = loaded.is_some_and(|(m, v)| *m == order.model && *v == order.version);
         let fresh = order.fence > self.handed.get();
-        let due = !done && fresh && order::may_hand_on(order, own, now);
+        let due = !done && fresh && order::may_forward(order, own, now);
         due.then(|| order.clone())
     }
 
--- a/almondlock-spread/src/view.rs
+++ b/almondlock-spread/src/view.rs
@@ -102,7 +102,7 @@
         let newer = config.revision > guard.config.revision;
         if newer {
             if let Some(held) = &guard.config.document {
-                config.document = config.document.map(|document| document.sharing(held));
+                config.document = config.document.map(|document| document.share_pieces(held));
             }
             guard.ring.reset(config.revision);
             guard.config = Arc::new(config);
--- a/almondlock-state/examples/placement.rs
+++ b/almondlock-state/examples/placement.rs
@@ -8,7 +8,9 @@
 
 use std::time::{Duration, Instant};
 
-use almondlock_state::placement::{Bin, Item, Placement, assign, draw, fit, largest_first, place};
+use almondlock_state::placement::{
+    Bin, Item, Placement, assign, largest_first, place, place_largest_first, place_randomly,
+};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// Time of the search for one instance, on each of its threads.
@@ -25,7 +27,7 @@
 
 const WAYS: [(&str, Way); 4] = [
     ("first", |items, bins, _| first_fit(items, bins)),
-    ("least", |items, bins, _| fit(items, bins)),
+    ("least", |items, bins, _| place_largest_first(items, bins)),
     ("random", search),
     ("kept", kept),
 ];
@@ -154,7 +156,7 @@
     let start = Instant::now();
     let mut best: Found = None;
     while start.elapsed() < SEARCH {
-        let drawn = draw(items, bins, &mut generator);
+        let drawn = place_randomly(items, bins, &mut generator);
         best = match (best, drawn) {
             (Some(best), Some(drawn)) if drawn.0 < best.0 => Some(drawn),
             (best, drawn) => best.or(drawn),
--- a/almondlock-state/examples/state_slopes.rs
+++ b/almondlock-state/examples/state_slopes.rs
@@ -22,7 +22,7 @@
     intent::{Intent, Limits},
     limit,
     machine::Machine,
-    operator::hash,
+    operator::hash_key,
 };
 use anyhow::{Context, Result};
 
@@ -101,7 +101,7 @@
     let claim = |number: usize| Command::Claim {
         organisation: owners[number % 8].clone(),
         key: key(number),
-        body: Blob::from(hash(&key(number)).as_bytes()),
+        body: Blob::from(hash_key(&key(number)).as_bytes()),
         holder: holder(number as u64),
         keep: 3_600_000,
         at: AT,
@@ -160,7 +160,7 @@
             limits: Limits::default(),
         };
         change(&mut machine, 2 * number, add)?;
-        let hash = hash(&number.to_string());
+        let hash = hash_key(&number.to_string());
         change(
             &mut machine,
             2 * number + 1,
--- a/almondlock-state/src/claim.rs
+++ b/almondlock-state/src/claim.rs
@@ -123,10 +123,10 @@
     /// The attempt that asks.
     pub holder: &'a Attempt,
     /// How long to remember it after it ended.
-    pub keep: Duration,
+    pub retention: Duration,
     /// How long it can be open: past its longest deadline it is over, and a
     /// holder that hasn't said how is gone or cut off.
-    pub run: Duration,
+    pub run_limit: Duration,
 }
 
 impl Table {
@@ -182,7 +182,7 @@
             return;
         }
         if let Some(earlier) = known {
-            self.lose(&holder.host, earlier, now);
+            self.mark_lost(&holder.host, earlier, now);
         }
         if known.is_some() || self.lives.len() < limit::MAX_CLAIM_HOSTS {
             self.lives.insert(holder.host.clone(), holder.incarnation);
@@ -259,7 +259,7 @@
     }
 
     /// An entry host's life ended: what it held open may have run.
-    pub fn lose(&mut self, host: &Host, incarnation: Incarnation, now: Wall) -> usize {
+    pub fn mark_lost(&mut self, host: &Host, incarnation: Incarnation, now: Wall) -> usize {
         let open = self
             .claims
             .values_mut()
@@ -320,10 +320,10 @@
             body: request.body.clone(),
             holder: request.holder.clone(),
             keep: request
-                .keep
+                .retention
                 .clamp(limit::MIN_CLAIM_RETENTION, limit::MAX_CLAIM_RETENTION),
             state: State::Open,
-            until: now + request.run.min(limit::MAX_OPEN_CLAIM_AGE),
+            until: now + request.run_limit.min(limit::MAX_OPEN_CLAIM_AGE),
         }
     }
 
--- a/almondlock-state/src/command.rs
+++ b/almondlock-state/src/command.rs
@@ -110,7 +110,6 @@
         /// The attempt that will run it.
         holder: Attempt,
         /// Milliseconds to remember it after its end.
-        #[serde(rename = "keep")]
         keep: u64,
         /// The leader's time.
         at: Wall,
--- a/almondlock-state/src/config.rs
+++ b/almondlock-state/src/config.rs
@@ -27,7 +27,7 @@
 pub type KeyHash = String;
 
 /// The setting that tells how many entry hosts share the organisations' limits.
-pub const ENTRY_HOSTS: &str = "entry-hosts";
+pub const ENTRY_HOSTS_SETTING: &str = "entry-hosts";
 
 /// An organisation and what it may use.
 #[derive(Clone, Debug, PartialEq)]
--- a/almondlock-state/src/document.rs
+++ b/almondlock-state/src/document.rs
@@ -86,7 +86,7 @@
     }
 
     /// The same text in one piece.
-    pub fn joined(self) -> Document {
+    pub fn into_single_piece(self) -> Document {
         match self.pieces.len() {
             0 | 1 => self,
             _ => Document::whole(self.version, &self.text()),
@@ -94,7 +94,7 @@
     }
 
     /// The same document, of which the pieces that `held` has too are those of `held`.
-    pub fn sharing(self, held: &Document) -> Document {
+    pub fn share_pieces(self, held: &Document) -> Document {
         let shared = Delta::between(held, &self).apply(held);
         shared.unwrap_or(self)
     }
--- a/almondlock-state/src/document/delta.rs
+++ b/almondlock-state/src/document/delta.rs
@@ -153,13 +153,13 @@
     /// Whether it is worth sending in place of a text of so many bytes: it has less than
     /// half of them. Where most of a text is new, the delta saves nothing, and the whole
     /// needs no base.
-    pub fn is_shorter(&self, text: usize) -> bool {
-        let bytes = self.inserted() + self.runs.len() * RUN_BYTES;
+    pub fn is_worthwhile(&self, text: usize) -> bool {
+        let bytes = self.inserted_bytes() + self.runs.len() * RUN_BYTES;
         bytes < text / 2
     }
 
     /// The length of the new text, in bytes.
-    pub fn inserted(&self) -> usize {
+    pub fn inserted_bytes(&self) -> usize {
         let inserted = self.runs.iter().map(|run| match run {
             Run::Insert(pieces) => pieces.iter().map(|piece| piece.as_str().len()).sum(),
             Run::Keep { .. } => 0,
--- a/almondlock-state/src/document/publication.rs
+++ b/almondlock-state/src/document/publication.rs
@@ -47,10 +47,10 @@
     }
 
     /// The length of the text that it holds, in bytes.
-    pub fn bytes(&self) -> usize {
+    pub fn text_bytes(&self) -> usize {
         match self {
             Publication::Whole(document) => document.len(),
-            Publication::Delta(delta) => delta.inserted(),
+            Publication::Delta(delta) => delta.inserted_bytes(),
         }
     }
 }
@@ -92,5 +92,5 @@
         return None;
     }
     let delta = Delta::between(held, new);
-    delta.is_shorter(new.len()).then_some(delta)
+    delta.is_worthwhile(new.len()).then_some(delta)
 }
--- a/almondlock-state/src/instance.rs
+++ b/almondlock-state/src/instance.rs
@@ -171,14 +171,14 @@
 
 /// What a heartbeat asks of the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beat {
+pub enum Disposition {
     /// Nothing new: it is acknowledged.
-    Known,
+    Unchanged,
     /// It has been leaving since this revision, or an earlier one: it is acknowledged
     /// once that is in force everywhere.
     Leaving(Revision),
     /// It must be entered before it is acknowledged.
-    News,
+    Changed,
     /// It should be entered, and the table is full.
     Full,
 }
@@ -226,19 +226,19 @@
     /// same instance is acknowledged and otherwise ignored, but that the word that it
     /// leaves is acknowledged as any other such word: the sender counts from whichever
     /// acknowledgement comes first. Numbers count within a life: a new one begins anew.
-    pub fn beat(
+    pub fn receive(
         &mut self,
         now: Mono,
         config: &Config,
         (name, sequence): (&Upstream, u64),
         record: &Instance,
-    ) -> Beat {
+    ) -> Disposition {
         let birth = record.birth;
         let last = self.heard.get(name).copied();
         let is_overtaken = |last: Heard| (birth, sequence) < (last.birth, last.sequence);
         let leaves = |last: Heard| birth == last.birth && record.leaving;
         if last.is_some_and(|last| is_overtaken(last) && !leaves(last)) {
-            return Beat::Known;
+            return Disposition::Unchanged;
         }
         let highest = last.filter(|last| last.birth == birth);
         let mut heard = Heard {
@@ -258,15 +258,15 @@
         }
         self.heard.insert(name.clone(), heard);
         match heard.leaving {
-            _ if !same && has_no_room(config, name) => Beat::Full,
-            _ if !same => Beat::News,
-            Some(revision) if leaving => Beat::Leaving(revision),
-            _ => Beat::Known,
+            _ if !same && has_no_room(config, name) => Disposition::Full,
+            _ if !same => Disposition::Changed,
+            Some(revision) if leaving => Disposition::Leaving(revision),
+            _ => Disposition::Unchanged,
         }
     }
 
     /// Another replica heard an instance that had nothing new to tell.
-    pub fn hear(&mut self, now: Mono, heartbeat: &Heartbeat) {
+    pub fn receive_relayed(&mut self, now: Mono, heartbeat: &Heartbeat) {
         let told = (heartbeat.birth, heartbeat.sequence);
         let heard = self.heard.get_mut(&heartbeat.name);
         match heard.filter(|heard| heard.birth == heartbeat.birth) {
@@ -290,7 +290,7 @@
     }
 
     /// The instances that were not heard for a lease.
-    pub fn lapsed(&mut self, now: Mono, lease: Duration, config: &Config) -> Vec<Upstream> {
+    pub fn find_silent(&mut self, now: Mono, lease: Duration, config: &Config) -> Vec<Upstream> {
         self.heard
             .retain(|name, _| config.instances.contains_key(name));
         let mut lapsed = Vec::new();
--- a/almondlock-state/src/intent.rs
+++ b/almondlock-state/src/intent.rs
@@ -74,7 +74,7 @@
         /// The version to come.
         version: Version,
         /// How many of a hundred upstreams must go on serving.
-        #[serde(default = "default_keep", rename = "keep")]
+        #[serde(default = "default_keep")]
         keep: u8,
     },
     /// An adapter callers may ask for, or another version of it.
--- a/almondlock-state/src/machine.rs
+++ b/almondlock-state/src/machine.rs
@@ -215,8 +215,8 @@
                     key: &key,
                     body: &body,
                     holder: &holder,
-                    keep: Duration::from_millis(keep),
-                    run: self.longest_run(&organisation),
+                    retention: Duration::from_millis(keep),
+                    run_limit: self.longest_run(&organisation),
                 };
                 let verdict = self.claims.claim(request, self.time(at));
                 return Ok(Reply::Claimed { verdict });
@@ -239,7 +239,7 @@
                 incarnation,
                 at,
             } => {
-                self.claims.lose(&host, incarnation, self.time(at));
+                self.claims.mark_lost(&host, incarnation, self.time(at));
             }
             _ => {}
         }
@@ -346,7 +346,9 @@
                 at,
             } => {
                 context.now = clock.max(at);
-                context.advance(plan, index, advance).map(|()| plan)?
+                context
+                    .apply_transition(plan, index, advance)
+                    .map(|()| plan)?
             }
             _ => return Ok(accepted()),
         };
--- a/almondlock-state/src/machine/published.rs
+++ b/almondlock-state/src/machine/published.rs
@@ -8,10 +8,10 @@
 
 impl Machine {
     /// Shares with an earlier state what the published texts of both have in common.
-    pub fn share(&mut self, earlier: &Machine) {
+    pub fn share_document(&mut self, earlier: &Machine) {
         if let Some(held) = &earlier.config().document {
             let document = &mut self.tables.config.document;
-            *document = document.take().map(|document| document.sharing(held));
+            *document = document.take().map(|document| document.share_pieces(held));
         }
     }
 
--- a/almondlock-state/src/operator.rs
+++ b/almondlock-state/src/operator.rs
@@ -44,12 +44,12 @@
 }
 
 /// The hash that a key is kept as.
-pub fn hash(key: &str) -> KeyHash {
+pub fn hash_key(key: &str) -> KeyHash {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
 /// Whether a text can be the hash of a key.
-pub fn is_hash(text: &str) -> bool {
+pub fn is_key_hash(text: &str) -> bool {
     text.len() == 64
         && text
             .bytes()
--- a/almondlock-state/src/order.rs
+++ b/almondlock-state/src/order.rs
@@ -30,7 +30,7 @@
 
 /// What two hosts' clocks may differ by, and what an order may be on its way
 /// from sidecar to engine.
-pub const MARGIN: Duration = Duration::from_secs(10);
+pub const CLOCK_MARGIN: Duration = Duration::from_secs(10);
 
 /// The last order to each upstream.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -50,10 +50,10 @@
 
 impl Table {
     /// From when on the upstream, as registered, may be given a new order.
-    pub fn ready(&self, name: &Upstream, registration: &Registration) -> Wall {
+    pub fn ready_at(&self, name: &Upstream, registration: &Registration) -> Wall {
         match self.last.get(name) {
             Some(last) if !registration.fenced && last.issuer != registration.incarnation => {
-                last.until + MARGIN
+                last.until + CLOCK_MARGIN
             }
             _ => Wall::default(),
         }
@@ -67,7 +67,7 @@
         (model, version): (&Model, &Version),
         now: Wall,
     ) -> Option<Order> {
-        if now < self.ready(name, registration) {
+        if now < self.ready_at(name, registration) {
             return None;
         }
         let fence = self.last.get(name).map_or(1, |last| last.fence + 1);
@@ -102,6 +102,6 @@
 }
 
 /// Whether a sidecar's life may hand an order to its upstream now.
-pub fn may_hand_on(order: &Order, life: Incarnation, now: Wall) -> bool {
+pub fn may_forward(order: &Order, life: Incarnation, now: Wall) -> bool {
     order.issuer == life && now < order.until
 }
--- a/almondlock-state/src/placement.rs
+++ b/almondlock-state/src/placement.rs
@@ -102,9 +102,9 @@
     R: Rng,
 {
     let copies = items.iter().map(|item| item.copies).sum::<usize>().max(1);
-    let mut best = fit(items, bins);
+    let mut best = place_largest_first(items, bins);
     for _ in 0..(DRAWN / copies).min(DRAWS) {
-        let drawn = draw(items, bins, generator);
+        let drawn = place_randomly(items, bins, generator);
         best = match (best, drawn) {
             (Some(best), Some(drawn)) if drawn.0 < best.0 => Some(drawn),
             (best, drawn) => best.or(drawn),
@@ -115,7 +115,7 @@
 
 /// Places the largest items first, each copy on the least loaded bin that has
 /// room in a domain without a copy. Gives the peak, too.
-pub fn fit(items: &[Item], bins: &[Bin]) -> Option<(f64, Placement)> {
+pub fn place_largest_first(items: &[Item], bins: &[Bin]) -> Option<(f64, Placement)> {
     assign(items, bins, &largest_first(items), |usage, fits| {
         let fitting = (0..bins.len()).filter(|bin| fits(usage, *bin));
         fitting.min_by(|a, b| usage.load(*a).total_cmp(&usage.load(*b)))
@@ -123,7 +123,11 @@
 }
 
 /// Places the items in an order and on bins drawn by chance.
-pub fn draw<R>(items: &[Item], bins: &[Bin], generator: &mut R) -> Option<(f64, Placement)>
+pub fn place_randomly<R>(
+    items: &[Item],
+    bins: &[Bin],
+    generator: &mut R,
+) -> Option<(f64, Placement)>
 where
     R: Rng,
 {
--- a/almondlock-state/src/plan/compile.rs
+++ b/almondlock-state/src/plan/compile.rs
@@ -13,11 +13,11 @@
 
 use super::{Plan, Progress, Risk, Stage, Step, risk, rollout, table};
 use crate::{
-    config::{self, Change, Definition, Drain, ENTRY_HOSTS},
+    config::{self, Change, Definition, Drain, ENTRY_HOSTS_SETTING},
     evacuation,
     intent::{Intent, Limits},
     limit,
-    operator::{Operator, Role, is_hash},
+    operator::{Operator, Role, is_key_hash},
     replica::{self, Member, Replica},
     tables::{Effect, Resource, Tables},
 };
@@ -44,7 +44,7 @@
 
 impl Error {
     /// An intent that makes no sense on this state.
-    pub fn bad<M>(message: M) -> Error
+    pub fn invalid<M>(message: M) -> Error
     where
         M: Into<String>,
     {
@@ -80,7 +80,7 @@
     if let Intent::Undo { plan } = intent {
         let plan = plans
             .get(*plan)
-            .ok_or_else(|| Error::bad("no such plan to undo"))?;
+            .ok_or_else(|| Error::invalid("no such plan to undo"))?;
         return undo(tables, plan);
     }
     let steps = steps(tables, intent, now)?;
@@ -151,12 +151,12 @@
         Intent::Return { upstream } if tables.config.drains.contains_key(upstream) => {
             Ok(Change::Drain(upstream.clone(), None))
         }
-        Intent::Return { .. } => Err(Error::bad("the upstream is not drained")),
+        Intent::Return { .. } => Err(Error::invalid("the upstream is not drained")),
         Intent::Evacuate { domain, reason } => evacuate(tables, domain, reason, now),
         Intent::Readmit { domain } => evacuation::end(&tables.config, domain.clone())
-            .ok_or_else(|| Error::bad(format!("failure domain {domain} is not evacuated"))),
+            .ok_or_else(|| Error::invalid(format!("failure domain {domain} is not evacuated"))),
         Intent::SetSetting { name, value } => setting(tables, name, value.as_deref()),
-        _ => Err(Error::bad("the intent is not known here")),
+        _ => Err(Error::invalid("the intent is not known here")),
     }
 }
 
@@ -165,11 +165,11 @@
     let known = |name: &Organisation| {
         all.get(name)
             .cloned()
-            .ok_or_else(|| Error::bad(format!("no organisation {name}")))
+            .ok_or_else(|| Error::invalid(format!("no organisation {name}")))
     };
     let (name, value) = match intent {
         Intent::AddOrganisation { name, .. } if all.contains_key(name) => {
-            return Err(Error::bad(format!("organisation {name} exists")));
+            return Err(Error::invalid(format!("organisation {name} exists")));
         }
         Intent::AddOrganisation { .. } if all.len() >= limit::MAX_ORGANISATIONS => {
             return Err(Error::full("organisations"));
@@ -184,7 +184,7 @@
         Intent::RevokeKey { organisation, hash } => {
             (organisation, Some(without_key(known(organisation)?, hash)?))
         }
-        _ => return Err(Error::bad("not about an organisation")),
+        _ => return Err(Error::invalid("not about an organisation")),
     };
     Ok(Change::Organisation(name.clone(), value))
 }
@@ -211,11 +211,11 @@
     it.deadline = new.deadline.unwrap_or(it.deadline);
     it.deadline_limit = new.deadline_limit.unwrap_or(it.deadline_limit);
     if !(1..=1_000_000).contains(&it.share) {
-        return Err(Error::bad("a share is 1 to 1000000"));
+        return Err(Error::invalid("a share is 1 to 1000000"));
     }
     if it.deadline == 0 || it.deadline > it.deadline_limit || it.deadline_limit > DEADLINE_MOST {
         let message = "the deadline is at least 1 ms, and at most its limit, which is at most 6 h";
-        return Err(Error::bad(message));
+        return Err(Error::invalid(message));
     }
     Ok(it)
 }
@@ -225,12 +225,12 @@
     mut it: config::Organisation,
     hash: &str,
 ) -> Result<config::Organisation, Error> {
-    if !is_hash(hash) {
-        return Err(Error::bad("a key's hash is 64 hexadecimal digits"));
+    if !is_key_hash(hash) {
+        return Err(Error::invalid("a key's hash is 64 hexadecimal digits"));
     }
     let mut all = tables.config.organisations.values();
     if all.any(|other| other.keys.iter().any(|key| key == hash)) {
-        return Err(Error::bad("the key is in use"));
+        return Err(Error::invalid("the key is in use"));
     }
     if it.keys.len() >= limit::MAX_KEYS_PER_ORGANISATION {
         return Err(Error::full("keys"));
@@ -242,7 +242,7 @@
 fn without_key(mut it: config::Organisation, hash: &str) -> Result<config::Organisation, Error> {
     let matching = it.keys.iter().filter(|key| key.starts_with(hash)).count();
     if hash.len() < 8 || matching != 1 {
-        return Err(Error::bad(
+        return Err(Error::invalid(
             "give 8 or more digits that one key's hash begins with",
         ));
     }
@@ -254,11 +254,11 @@
     let all = &tables.config.models;
     let known = |name: &Model| {
         let found = all.get(name).cloned();
-        found.ok_or_else(|| Error::bad(format!("no model {name}")))
+        found.ok_or_else(|| Error::invalid(format!("no model {name}")))
     };
     let (name, value) = match intent {
         Intent::AddModel { name, .. } if all.contains_key(name) => {
-            return Err(Error::bad(format!("model {name} exists")));
+            return Err(Error::invalid(format!("model {name} exists")));
         }
         Intent::AddModel { .. } if all.len() >= limit::MAX_MODELS => {
             return Err(Error::full("models"));
@@ -272,14 +272,14 @@
         Intent::SetAdapter { model, .. } | Intent::RemoveAdapter { model, .. } => {
             (model, Some(with_adapter(known(model)?, intent)?))
         }
-        _ => return Err(Error::bad("not about a model")),
+        _ => return Err(Error::invalid("not about a model")),
     };
     Ok(Change::Model(name.clone(), value))
 }
 
 fn new_model(version: &Version, context: Tokens) -> Result<Definition, Error> {
     if context == Tokens::ZERO {
-        return Err(Error::bad("a context is at least one token"));
+        return Err(Error::invalid("a context is at least one token"));
     }
     let (version, adapters) = (version.clone(), Default::default());
     Ok(Definition {
@@ -299,7 +299,7 @@
         }
         Intent::RemoveAdapter { adapter, .. } => {
             let gone = adapters.remove(adapter);
-            gone.ok_or_else(|| Error::bad(format!("no adapter {adapter}")))?;
+            gone.ok_or_else(|| Error::invalid(format!("no adapter {adapter}")))?;
         }
         _ => {}
     }
@@ -320,7 +320,7 @@
                 (1..=16).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_uppercase())
             };
             if repeatable.len() > 16 || !repeatable.iter().all(method) {
-                return Err(Error::bad("a method is written in capital letters"));
+                return Err(Error::invalid("a method is written in capital letters"));
             }
             let plain = config::Plain {
                 repeatable: repeatable.clone(),
@@ -330,21 +330,21 @@
         Intent::RemoveService { name } if all.contains_key(name) => {
             Ok(Change::Service(name.clone(), None))
         }
-        _ => Err(Error::bad("no such service")),
+        _ => Err(Error::invalid("no such service")),
     }
 }
 
 fn drain(tables: &Tables, name: &Upstream, reason: &str, now: Wall) -> Result<Change, Error> {
     let config = &tables.config;
     if config.drains.contains_key(name) {
-        return Err(Error::bad("the upstream is drained already"));
+        return Err(Error::invalid("the upstream is drained already"));
     }
     // A name that isn't registered may be one that is just restarting.
     if config.drains.len() >= limit::MAX_UPSTREAMS {
         return Err(Error::full("drained upstreams"));
     }
     if reason.len() > limit::MAX_TEXT_BYTES || reason.starts_with(rollout::REASON) {
-        return Err(Error::bad(
+        return Err(Error::invalid(
             "the reason is too long, or is one that rollouts give",
         ));
     }
@@ -358,32 +358,32 @@
 fn evacuate(tables: &Tables, domain: &Domain, reason: &str, now: Wall) -> Result<Change, Error> {
     if !evacuation::is_known(tables, domain) {
         let message = format!("no upstream and no replica is in failure domain {domain}");
-        return Err(Error::bad(message));
+        return Err(Error::invalid(message));
     }
     if reason.len() > limit::MAX_TEXT_BYTES {
-        return Err(Error::bad("the reason is too long"));
+        return Err(Error::invalid("the reason is too long"));
     }
     let drain = evacuation::drain(reason, now);
     evacuation::begin(&tables.config, domain.clone(), drain)
         .map_err(|evacuation::Full| Error::full("evacuated failure domains"))?
-        .ok_or_else(|| Error::bad(format!("failure domain {domain} is evacuated already")))
+        .ok_or_else(|| Error::invalid(format!("failure domain {domain} is evacuated already")))
 }
 
 fn setting(tables: &Tables, name: &str, value: Option<&str>) -> Result<Change, Error> {
     let fits = |text: &str| text.len() <= limit::MAX_TEXT_BYTES;
     if name.is_empty() || name.starts_with("rollout/") || !fits(name) || !value.is_none_or(fits) {
-        return Err(Error::bad("the setting's name or value can't be used"));
+        return Err(Error::invalid("the setting's name or value can't be used"));
     }
     let hosts = |text: &str| {
         text.parse()
             .is_ok_and(|n: u32| (1..=limit::MAX_ENTRY_HOSTS).contains(&n))
     };
-    if name == ENTRY_HOSTS && !value.is_none_or(hosts) {
+    if name == ENTRY_HOSTS_SETTING && !value.is_none_or(hosts) {
         let message = format!(
-            "{ENTRY_HOSTS} is a number from 1 to {}",
+            "{ENTRY_HOSTS_SETTING} is a number from 1 to {}",
             limit::MAX_ENTRY_HOSTS
         );
-        return Err(Error::bad(message));
+        return Err(Error::invalid(message));
     }
     let settings = &tables.config.settings;
     if value.is_some() && !settings.contains_key(name) && settings.len() >= limit::MAX_SETTINGS {
@@ -408,7 +408,7 @@
             added(tables, Some(*old), replica)?,
             Step::Member(Member::Remove(*old)),
         ]),
-        _ => Err(Error::bad("no such replica, or it is the only one")),
+        _ => Err(Error::invalid("no such replica, or it is the only one")),
     }
 }
 
@@ -417,7 +417,7 @@
 fn added(tables: &Tables, old: Option<replica::Id>, new: &Replica) -> Result<Step, Error> {
     let mut others = tables.replicas.iter().filter(|(id, _)| Some(**id) != old);
     if others.any(|(_, known)| known.address == new.address) {
-        return Err(Error::bad("another replica has this address"));
+        return Err(Error::invalid("another replica has this address"));
     }
     Ok(Step::Member(Member::Add(new.clone())))
 }
@@ -425,7 +425,7 @@
 fn operator(tables: &Tables, name: &str, new: Option<(&String, Role)>) -> Result<Effect, Error> {
     let all = &tables.operators;
     if name.is_empty() || name.len() > almondlock_base::id::NAME_LIMIT {
-        return Err(Error::bad("an operator's name is 1 to 96 bytes"));
+        return Err(Error::invalid("an operator's name is 1 to 96 bytes"));
     }
     let others = all.iter().filter(|(other, _)| *other != name);
     let admins = others
@@ -433,15 +433,15 @@
         .filter(|(_, other)| other.role == Role::Admin)
         .count();
     if admins == 0 && new.is_none_or(|(_, role)| role != Role::Admin) {
-        return Err(Error::bad("one administrator must stay"));
+        return Err(Error::invalid("one administrator must stay"));
     }
     let Some((hash, role)) = new else {
         all.get(name)
-            .ok_or_else(|| Error::bad("no such operator"))?;
+            .ok_or_else(|| Error::invalid("no such operator"))?;
         return Ok(Effect::Operator(name.to_owned(), None));
     };
-    if !is_hash(hash) || others.clone().any(|(_, other)| other.key == *hash) {
-        return Err(Error::bad(
+    if !is_key_hash(hash) || others.clone().any(|(_, other)| other.key == *hash) {
+        return Err(Error::invalid(
             "the key's hash is not 64 hexadecimal digits, or is in use",
         ));
     }
@@ -480,7 +480,7 @@
     }
     let member = |step: &Step| matches!(step, Step::Member(_));
     if plan.stages.iter().any(|stage| member(&stage.step)) {
-        return Err(Error::bad(
+        return Err(Error::invalid(
             "a replica that was removed never returns under its number",
         ));
     }
@@ -491,7 +491,7 @@
         .filter_map(|stage| stage.inverse.clone());
     let steps: Vec<Step> = inverses.map(Step::Apply).collect();
     if steps.is_empty() {
-        return Err(Error::bad("the plan has changed nothing"));
+        return Err(Error::invalid("the plan has changed nothing"));
     }
     Ok(draft(tables, steps))
 }
--- a/almondlock-state/src/plan/execute.rs
+++ b/almondlock-state/src/plan/execute.rs
@@ -48,10 +48,10 @@
 impl Executor<'_> {
     /// Makes a plan of an intent, or finds the one that was made of it before.
     pub fn propose(&mut self, proposal: Proposal) -> Result<Id, Error> {
-        if let Some(known) = self.plans.known(&proposal.number, &proposal.intent)? {
+        if let Some(known) = self.plans.find_repeat(&proposal.number, &proposal.intent)? {
             return Ok(known.id);
         }
-        self.plans.check(&proposal.number)?;
+        self.plans.check_proposal(&proposal.number)?;
         let draft = compile(self.tables, self.plans, &proposal.intent, self.now)?;
         let keep = match &proposal.intent {
             Intent::Rollout { model, keep, .. } => {
@@ -174,7 +174,12 @@
     }
 
     /// Takes one step further.
-    pub fn advance(&mut self, id: Id, index: usize, advance: Transition) -> Result<(), Error> {
+    pub fn apply_transition(
+        &mut self,
+        id: Id,
+        index: usize,
+        advance: Transition,
+    ) -> Result<(), Error> {
         let mut plan = self.find(id)?;
         if plan.state.is_over() || plan.state == State::Proposed {
             return Err(rollout::refusal(&format!("the plan is {}", plan.state)));
@@ -188,7 +193,7 @@
         let stage = plan
             .stages
             .get(index)
-            .ok_or_else(|| Error::bad("no such step"))?;
+            .ok_or_else(|| Error::invalid("no such step"))?;
         let (step, progress) = (stage.step.clone(), stage.progress.clone());
         let next = match (&step, advance) {
             (Step::Member(_) | Step::Upgrade { .. }, Transition::Begin) => {
--- a/almondlock-state/src/plan/next.rs
+++ b/almondlock-state/src/plan/next.rs
@@ -107,11 +107,11 @@
     if loaded.is_some_and(|(name, loaded)| name == model && loaded == version) {
         return Some(Transition::Finish);
     }
-    let ready = known.is_some_and(|known| now >= machine.tables().orders.ready(upstream, known));
+    let ready = known.is_some_and(|known| now >= machine.tables().orders.ready_at(upstream, known));
     match &stage.progress {
         Progress::Begun { since, .. } => {
             let waited = now.since(*since);
-            let limit = rollout::load_timeout(config) + order::LIFETIME + order::MARGIN;
+            let limit = rollout::load_timeout(config) + order::LIFETIME + order::CLOCK_MARGIN;
             if waited >= limit {
                 let message = "it was gone while it was drained".to_owned();
                 return Some(Transition::Fail { message });
--- a/almondlock-state/src/plan/risk.rs
+++ b/almondlock-state/src/plan/risk.rs
@@ -176,7 +176,7 @@
         risk.warnings.push(format!(
             "{unfenced} upstreams don't check fencing numbers: after a restart of the sidecar \
              beside one, its next order waits up to {} s",
-            (order::LIFETIME + order::MARGIN).as_secs()
+            (order::LIFETIME + order::CLOCK_MARGIN).as_secs()
         ));
     }
 }
--- a/almondlock-state/src/plan/rollout.rs
+++ b/almondlock-state/src/plan/rollout.rs
@@ -105,9 +105,9 @@
 ) -> Result<Draft, Error> {
     let config = &tables.config;
     let current = config.models.get(model);
-    let current = current.ok_or_else(|| Error::bad("no such model"))?;
+    let current = current.ok_or_else(|| Error::invalid("no such model"))?;
     if keep > 100 {
-        return Err(Error::bad("keep is a number of a hundred"));
+        return Err(Error::invalid("keep is a number of a hundred"));
     }
     let todo = in_turns(config, model, version);
     let count = serving_upstreams(config, model).count();
@@ -115,13 +115,13 @@
         let message = format!(
             "{count} upstreams serve {model}; to keep {keep} of 100 leaves none to upgrade"
         );
-        return Err(Error::bad(message));
+        return Err(Error::invalid(message));
     }
     let steps = steps(model, current, version, &todo);
     let pending = config.settings.contains_key(&rollout_setting(model));
     if todo.is_empty() && current.version == *version && !pending {
         let message = format!("{model} runs {version} already, everywhere");
-        return Err(Error::bad(message));
+        return Err(Error::invalid(message));
     }
     let mut draft = draft(tables, steps);
     let width = width(config, model, keep);
@@ -195,7 +195,7 @@
         .map(|known| known.version.clone());
     let version = before
         .or(current)
-        .ok_or_else(|| Error::bad("no such model"))?;
+        .ok_or_else(|| Error::invalid("no such model"))?;
     compile(tables, (model, &version), keep)
 }
 
--- a/almondlock-state/src/plan/table.rs
+++ b/almondlock-state/src/plan/table.rs
@@ -56,7 +56,7 @@
     }
 
     /// The plan that this change was made into before, if it was.
-    pub fn known(&self, number: &str, intent: &Intent) -> Result<Option<&Plan>, Error> {
+    pub fn find_repeat(&self, number: &str, intent: &Intent) -> Result<Option<&Plan>, Error> {
         let Some(used) = self.numbers.get(number) else {
             return Ok(None);
         };
@@ -81,9 +81,9 @@
     }
 
     /// Whether one more can be proposed under this number.
-    pub fn check(&self, number: &str) -> Result<(), Error> {
+    pub fn check_proposal(&self, number: &str) -> Result<(), Error> {
         if number.is_empty() || number.len() > limit::MAX_CHANGE_NUMBER_BYTES {
-            return Err(Error::bad("a change number is 1 to 64 bytes"));
+            return Err(Error::invalid("a change number is 1 to 64 bytes"));
         }
         let open = self
             .plans
--- a/almondlock-state/src/replica.rs
+++ b/almondlock-state/src/replica.rs
@@ -47,7 +47,7 @@
 /// The log doesn't know where a replica listens for operators: that is taken
 /// from the table or from the plan that added the replica, by its inner address.
 /// Nothing is copied before the state was seeded.
-pub fn changed<I>(machine: &Machine, members: I) -> Option<BTreeMap<Id, Replica>>
+pub fn changed_replicas<I>(machine: &Machine, members: I) -> Option<BTreeMap<Id, Replica>>
 where
     I: IntoIterator<Item = (Id, SocketAddr, Domain)>,
 {
--- a/almondlock-state/tests/command_round.rs
+++ b/almondlock-state/tests/command_round.rs
@@ -7,7 +7,7 @@
 use almondlock_base::id::Domain;
 use almondlock_state::{
     command::Command,
-    operator::{Operator, Role, hash},
+    operator::{Operator, Role, hash_key},
     replica::Replica,
 };
 
@@ -22,7 +22,7 @@
         domain: Domain::new("a").unwrap(),
     };
     let operator = Operator {
-        key: hash("key"),
+        key: hash_key("key"),
         role: Role::Admin,
     };
     let command = Command::Seed {
--- a/almondlock-state/tests/document_delta.rs
+++ b/almondlock-state/tests/document_delta.rs
@@ -60,7 +60,7 @@
 fn other_shape() {
     let base = document(1, "a,b,");
     let delta = Delta::between(&base, &document(2, "a,c,"));
-    let whole = base.joined();
+    let whole = base.into_single_piece();
     assert_eq!(delta.apply(&whole), Err(Mismatch::Shape(Shape::of(&whole))));
 }
 
--- a/almondlock-state/tests/enrolled_instance.rs
+++ b/almondlock-state/tests/enrolled_instance.rs
@@ -11,7 +11,7 @@
 };
 use almondlock_state::{
     command::Command,
-    instance::{Beat, Birth, Heartbeat, Instance, Roster},
+    instance::{Birth, Disposition, Heartbeat, Instance, Roster},
     limit,
     machine::Machine,
 };
@@ -100,13 +100,22 @@
     let ready = instance("10.0.0.1:80", false);
     let leaving = instance("10.0.0.1:80", true);
     let now = Mono::from_millis(5);
-    let known = Beat::Leaving(Revision(1));
-    assert_eq!(roster.beat(now, config, (&i, 7), &leaving), known);
-    assert_eq!(roster.beat(now, config, (&i, 6), &ready), Beat::Known);
-    assert_eq!(roster.beat(now, config, (&i, 5), &leaving), known);
-    assert_eq!(roster.beat(now, config, (&i, 8), &ready), Beat::Known);
+    let known = Disposition::Leaving(Revision(1));
+    assert_eq!(roster.receive(now, config, (&i, 7), &leaving), known);
+    assert_eq!(
+        roster.receive(now, config, (&i, 6), &ready),
+        Disposition::Unchanged
+    );
+    assert_eq!(roster.receive(now, config, (&i, 5), &leaving), known);
+    assert_eq!(
+        roster.receive(now, config, (&i, 8), &ready),
+        Disposition::Unchanged
+    );
     let other = instance("10.0.0.2:80", true);
-    assert_eq!(roster.beat(now, config, (&i, 9), &other), Beat::News);
+    assert_eq!(
+        roster.receive(now, config, (&i, 9), &other),
+        Disposition::Changed
+    );
 }
 
 /// An instance says again and again that it leaves, while hundreds of others come. It
@@ -119,14 +128,23 @@
     let (mut roster, i) = (Roster::default(), name("i-1"));
     let leaving = instance("10.0.0.1:80", true);
     let now = Mono::from_millis(5);
-    let known = Beat::Leaving(Revision(1));
-    assert_eq!(roster.beat(now, machine.config(), (&i, 7), &leaving), known);
+    let known = Disposition::Leaving(Revision(1));
+    assert_eq!(
+        roster.receive(now, machine.config(), (&i, 7), &leaving),
+        known
+    );
     enrol(&mut machine, "i-2", "10.0.0.2:80", false);
-    assert_eq!(roster.beat(now, machine.config(), (&i, 8), &leaving), known);
+    assert_eq!(
+        roster.receive(now, machine.config(), (&i, 8), &leaving),
+        known
+    );
     // A new leader doesn't know since when, and takes the revision of the moment.
-    let later = Beat::Leaving(Revision(2));
+    let later = Disposition::Leaving(Revision(2));
     let mut roster = Roster::default();
-    assert_eq!(roster.beat(now, machine.config(), (&i, 9), &leaving), later);
+    assert_eq!(
+        roster.receive(now, machine.config(), (&i, 9), &leaving),
+        later
+    );
 }
 
 /// Its first word that it leaves is still being entered when a delayed copy of it
@@ -139,8 +157,14 @@
     let leaving = instance("10.0.0.1:80", true);
     let now = Mono::from_millis(5);
     let config = machine.config();
-    assert_eq!(roster.beat(now, config, (&i, 8), &leaving), Beat::News);
-    assert_eq!(roster.beat(now, config, (&i, 7), &leaving), Beat::News);
+    assert_eq!(
+        roster.receive(now, config, (&i, 8), &leaving),
+        Disposition::Changed
+    );
+    assert_eq!(
+        roster.receive(now, config, (&i, 7), &leaving),
+        Disposition::Changed
+    );
 }
 
 #[test]
@@ -152,10 +176,10 @@
     let mut roster = Roster::default();
     let at = Mono::from_millis;
     // A new leader gives all of them a whole lease.
-    assert!(roster.lapsed(at(1_000), lease, config).is_empty());
+    assert!(roster.find_silent(at(1_000), lease, config).is_empty());
     let spoke = instance("10.0.0.2:80", false);
-    roster.beat(at(9_000), config, (&name("i-2"), 3), &spoke);
-    assert_eq!(roster.lapsed(at(11_000), lease, config), [name("i-1")]);
+    roster.receive(at(9_000), config, (&name("i-2"), 3), &spoke);
+    assert_eq!(roster.find_silent(at(11_000), lease, config), [name("i-1")]);
 }
 
 /// A heartbeat that another replica took counts like one that came here; an old one, of
@@ -172,21 +196,21 @@
         birth: Birth(birth),
         sequence,
     };
-    roster.lapsed(at(0), lease, config);
-    roster.hear(at(8_000), &told(0, 5));
-    assert!(roster.lapsed(at(17_000), lease, config).is_empty());
+    roster.find_silent(at(0), lease, config);
+    roster.receive_relayed(at(8_000), &told(0, 5));
+    assert!(roster.find_silent(at(17_000), lease, config).is_empty());
     let ready = instance("10.0.0.1:80", false);
     // Overtaken: no news.
     assert_eq!(
-        roster.beat(at(17_000), config, (&name("i-1"), 4), &ready),
-        Beat::Known
+        roster.receive(at(17_000), config, (&name("i-1"), 4), &ready),
+        Disposition::Unchanged
     );
-    assert_eq!(roster.lapsed(at(18_000), lease, config), [name("i-1")]);
+    assert_eq!(roster.find_silent(at(18_000), lease, config), [name("i-1")]);
     // Another life is heard; the earlier one's heartbeats count no more.
-    roster.hear(at(18_000), &told(9, 1));
-    roster.hear(at(19_000), &told(0, 6));
-    assert!(roster.lapsed(at(27_000), lease, config).is_empty());
-    assert_eq!(roster.lapsed(at(28_000), lease, config), [name("i-1")]);
+    roster.receive_relayed(at(18_000), &told(9, 1));
+    roster.receive_relayed(at(19_000), &told(0, 6));
+    assert!(roster.find_silent(at(27_000), lease, config).is_empty());
+    assert_eq!(roster.find_silent(at(28_000), lease, config), [name("i-1")]);
 }
 
 /// Only what changes nothing is taken without a decision.
@@ -222,7 +246,7 @@
     let (config, mut roster) = (machine.config(), Roster::default());
     let beat = |roster: &mut Roster, text: &str, address: &str| {
         let named = (&name(text), 1);
-        roster.beat(
+        roster.receive(
             Mono::from_millis(1),
             config,
             named,
@@ -230,9 +254,9 @@
         )
     };
     let full = beat(&mut roster, "i-more", "10.1.0.1:80");
-    assert_eq!(full, Beat::Full);
+    assert_eq!(full, Disposition::Full);
     let known = beat(&mut roster, "i-7", "10.0.0.7:80");
-    assert_eq!(known, Beat::Known);
+    assert_eq!(known, Disposition::Unchanged);
     let moved = beat(&mut roster, "i-8", "10.1.0.8:80");
-    assert_eq!(moved, Beat::News, "it has its place");
+    assert_eq!(moved, Disposition::Changed, "it has its place");
 }
--- a/almondlock-state/tests/equal_numbers.rs
+++ b/almondlock-state/tests/equal_numbers.rs
@@ -83,7 +83,7 @@
 fn one_seed() {
     let mut machine = Machine::new();
     for name in ["anna", "eve"] {
-        let key = almondlock_state::operator::hash(name);
+        let key = almondlock_state::operator::hash_key(name);
         let role = almondlock_state::operator::Role::Admin;
         let operator = almondlock_state::operator::Operator { key, role };
         let operators = [(name.to_owned(), operator)].into();
--- a/almondlock-state/tests/fencing_takeover.rs
+++ b/almondlock-state/tests/fencing_takeover.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use almondlock_base::{id::Incarnation, time::Wall};
-use almondlock_state::order::{LIFETIME, MARGIN, Table, may_hand_on};
+use almondlock_state::order::{CLOCK_MARGIN, LIFETIME, Table, may_forward};
 use common::{engine, model, upstream, version, wall};
 
 fn issue(
@@ -29,9 +29,9 @@
     assert_eq!(issue(&mut table, 2, false, wall(2_000)), None);
     let end = first.until;
     assert_eq!(issue(&mut table, 2, false, end), None);
-    let second = issue(&mut table, 2, false, end + MARGIN).unwrap();
+    let second = issue(&mut table, 2, false, end + CLOCK_MARGIN).unwrap();
     assert!(second.fence > first.fence);
-    assert!(!may_hand_on(&first, Incarnation(1), end));
+    assert!(!may_forward(&first, Incarnation(1), end));
 }
 
 /// An engine that checks refuses the earlier order by itself: no wait. The same
@@ -50,9 +50,9 @@
 fn one_issuer() {
     let mut table = Table::default();
     let order = issue(&mut table, 1, true, wall(1_000)).unwrap();
-    assert!(may_hand_on(&order, Incarnation(1), wall(1_000)));
-    assert!(!may_hand_on(&order, Incarnation(2), wall(1_000)));
-    assert!(!may_hand_on(&order, Incarnation(1), wall(1_000) + LIFETIME));
+    assert!(may_forward(&order, Incarnation(1), wall(1_000)));
+    assert!(!may_forward(&order, Incarnation(2), wall(1_000)));
+    assert!(!may_forward(&order, Incarnation(1), wall(1_000) + LIFETIME));
 }
 
 /// A new leader restores a snapshot before its first order: the numbers go on
--- a/almondlock-state/tests/moved_base.rs
+++ b/almondlock-state/tests/moved_base.rs
@@ -108,7 +108,9 @@
 fn other_shape() {
     let base = document(1, "a b ");
     let mut machine = Machine::new();
-    machine.apply(command(Publication::Whole(base.clone().joined())));
+    machine.apply(command(Publication::Whole(
+        base.clone().into_single_piece(),
+    )));
     let before = machine.clone();
     let applied = machine.apply(command(delta(&base, &document(2, "a c "))));
     assert_eq!(applied.reply.code(), Some(Code::StorageFailed));
@@ -145,7 +147,7 @@
     let delta = delta(&document(1, "a b "), &document(2, "a c "));
     ahead.apply(command(delta));
     let mut restored = Machine::restore(&ahead.snapshot()).unwrap();
-    restored.share(&earlier);
+    restored.share_document(&earlier);
     assert_eq!(restored, ahead);
     let pieces = held(&restored).pieces.iter();
     let pairs = pieces.zip(held(&earlier).pieces.iter());
--- a/almondlock-state/tests/placed_adapters.rs
+++ b/almondlock-state/tests/placed_adapters.rs
@@ -1,7 +1,7 @@
 //! Adapters are placed on upstreams.
 #![allow(clippy::unwrap_used)]
 
-use almondlock_state::placement::{Bin, Item, fit, place};
+use almondlock_state::placement::{Bin, Item, place, place_largest_first};
 use proptest::{
     collection::vec,
     prelude::Strategy,
@@ -89,6 +89,6 @@
     // Fitted by size and load, 5 and 4 go apart and leave no room for three 3.
     let bins = [bin(0, 9), bin(0, 9)];
     let items = [item(5, 1), item(4, 1), item(3, 1), item(3, 1), item(3, 1)];
-    assert!(fit(&items, &bins).is_none());
+    assert!(place_largest_first(&items, &bins).is_none());
     assert_eq!(place(&items, &bins).map(|used| used.len()), Some(5));
 }
--- a/almondlock-state/tests/replaced_replica.rs
+++ b/almondlock-state/tests/replaced_replica.rs
@@ -9,7 +9,7 @@
     command::Command,
     intent::Intent,
     machine::Machine,
-    operator::{Operator, Role, hash},
+    operator::{Operator, Role, hash_key},
     plan::{Action, Id, State, Transition, due_actions},
     replica::{self, Member, Replica},
 };
@@ -33,7 +33,7 @@
 fn group(numbers: &[(replica::Id, u16)]) -> Machine {
     let mut machine = Machine::new();
     let admin = Operator {
-        key: hash("anna"),
+        key: hash_key("anna"),
         role: Role::Admin,
     };
     let operators = [("anna".to_owned(), admin)].into();
@@ -108,7 +108,7 @@
     let member = |(id, it): (replica::Id, Replica)| (id, it.address, it.domain);
     let now = members(&[(11, 1), (12, 2)]);
     assert_eq!(
-        replica::changed(&machine, now.into_iter().map(member)),
+        replica::changed_replicas(&machine, now.into_iter().map(member)),
         None
     );
     change(
@@ -120,9 +120,9 @@
         1,
     );
     let now = members(&[(11, 1), (12, 2), (99, 3)]);
-    let copied = replica::changed(&machine, now.clone().into_iter().map(member));
+    let copied = replica::changed_replicas(&machine, now.clone().into_iter().map(member));
     assert_eq!(copied, Some(now));
-    let empty = replica::changed(&Machine::new(), [(1, replica(1))].map(member));
+    let empty = replica::changed_replicas(&Machine::new(), [(1, replica(1))].map(member));
     assert_eq!(empty, None, "not before the seed");
 }
 
--- a/almondlock-state/tests/restarted_instance.rs
+++ b/almondlock-state/tests/restarted_instance.rs
@@ -10,7 +10,7 @@
 };
 use almondlock_state::{
     command::Command,
-    instance::{Beat, Birth, Instance, Roster},
+    instance::{Birth, Disposition, Instance, Roster},
     machine::Machine,
 };
 
@@ -113,12 +113,24 @@
     let (mut roster, i) = (Roster::default(), name("i-1"));
     let (config, now) = (machine.config(), Mono::from_millis(5));
     let (first, second) = (life(FIRST, false), life(SECOND, false));
-    assert_eq!(roster.beat(now, config, (&i, 40), &first), Beat::Known);
-    assert_eq!(roster.beat(now, config, (&i, 1), &second), Beat::News);
+    assert_eq!(
+        roster.receive(now, config, (&i, 40), &first),
+        Disposition::Unchanged
+    );
+    assert_eq!(
+        roster.receive(now, config, (&i, 1), &second),
+        Disposition::Changed
+    );
     // The earlier life's last one, which is told nothing new and isn't entered.
     let last = life(FIRST, true);
-    assert_eq!(roster.beat(now, config, (&i, 41), &last), Beat::Known);
-    assert_eq!(roster.beat(now, config, (&i, 2), &second), Beat::News);
+    assert_eq!(
+        roster.receive(now, config, (&i, 41), &last),
+        Disposition::Unchanged
+    );
+    assert_eq!(
+        roster.receive(now, config, (&i, 2), &second),
+        Disposition::Changed
+    );
 }
 
 #[test]
@@ -128,7 +140,10 @@
     let (mut roster, i) = (Roster::default(), name("i-1"));
     let (config, now) = (machine.config(), Mono::from_millis(5));
     let second = life(SECOND, false);
-    assert_eq!(roster.beat(now, config, (&i, 1), &second), Beat::News);
+    assert_eq!(
+        roster.receive(now, config, (&i, 1), &second),
+        Disposition::Changed
+    );
 }
 
 #[test]
--- a/almondlock-state/tests/stale_plan.rs
+++ b/almondlock-state/tests/stale_plan.rs
@@ -9,7 +9,7 @@
     command::Reply,
     intent::Intent,
     machine::Machine,
-    operator::{Operator, Role, hash},
+    operator::{Operator, Role, hash_key},
     plan::State,
 };
 use common::{add, change, code, confirm, organisation, planned, propose, share, upstream, wall};
@@ -67,7 +67,7 @@
     let mut machine = Machine::new();
     let operator = |name: &str| {
         let operator = Operator {
-            key: hash(name),
+            key: hash_key(name),
             role: Role::Admin,
         };
         (name.to_owned(), operator)
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -172,7 +172,7 @@
         fleet
             .change(json!({"intent": "add-organisation", "name": "acme"}))
             .await;
-        let hash = almondlock_state::operator::hash(CALLER_KEY);
+        let hash = almondlock_state::operator::hash_key(CALLER_KEY);
         fleet
             .change(json!({"intent": "add-key", "organisation": "acme", "hash": hash}))
             .await;
@@ -203,7 +203,7 @@
             .collect();
         let members = members.join(", ");
         let (inner, admin) = self.members[n];
-        let key = almondlock_state::operator::hash(OPERATOR_KEY);
+        let key = almondlock_state::operator::hash_key(OPERATOR_KEY);
         let name = format!("control-{n}");
         let host = self.host(&name, &format!("domain-{n}"), inner);
         let text = format!(
