--- a/almondlock-daemon/src/roles/sidecar.rs
+++ b/almondlock-daemon/src/roles/sidecar.rs
@@ -37,8 +37,8 @@
         incarnation,
         inner,
         queue: queue::Config {
-            reserve,
-            capacity: role.waiting,
+            reserve_percent: reserve,
+            max_waiting: role.waiting,
             ..order
         },
         memory_share: role.memory_share,
--- a/almondlock-entry/src/gang.rs
+++ b/almondlock-entry/src/gang.rs
@@ -109,9 +109,9 @@
         }
         Some(Member {
             upstream,
-            room: room_of(capacity),
-            free,
-            avoided,
+            max_tokens: room_of(capacity),
+            free_tokens: free,
+            failed_recently: avoided,
         })
     });
     members.collect()
@@ -121,7 +121,7 @@
     /// Reserves and processes all parts of a prompt but the last.
     pub async fn gather(&self, pool: &Pool, request: &Request) -> Result<Held, Failure> {
         let need = request.prompt + request.output;
-        let parts = gang::parts(&members(self, pool), need);
+        let parts = gang::plan_reservations(&members(self, pool), need);
         let parts = parts.ok_or_else(|| self.too_long(pool, need))?;
         let now = clock::mono();
         let mut gang = Gang::new(parts, now + request.left(now));
@@ -191,7 +191,7 @@
     async fn reserve(
         &self,
         request: &Request,
-        share: &gang::Part,
+        share: &gang::Reservation,
         text: (u64, u64),
         held: &mut Held,
     ) -> Result<(), Failure> {
--- a/almondlock-policy/examples/footprint.rs
+++ b/almondlock-policy/examples/footprint.rs
@@ -55,7 +55,7 @@
 
 fn gate() -> Gate {
     let config = gate::Config {
-        records: ITEMS as usize,
+        max_records: ITEMS as usize,
         ..gate::Config::default()
     };
     let mut gate = Gate::new(config, Incarnation(1));
@@ -73,7 +73,7 @@
 
 fn queue() -> Queue<Attempt> {
     let config = queue::Config {
-        capacity: ITEMS as usize,
+        max_waiting: ITEMS as usize,
         ..queue::Config::short()
     };
     let mut queue = Queue::new(config);
--- a/almondlock-policy/examples/order.rs
+++ b/almondlock-policy/examples/order.rs
@@ -320,7 +320,7 @@
         for reserve in [0, 8, 15] {
             let config = Config {
                 stretch,
-                reserve,
+                reserve_percent: reserve,
                 ..Config::short()
             };
             let order = Order {
--- a/almondlock-policy/src/gang/mod.rs
+++ b/almondlock-policy/src/gang/mod.rs
@@ -19,18 +19,18 @@
 //! each part, and by the deadline. One member's loss releases all the others.
 //!
 //! At each member a [`Waitlist`] grants reservations in the order of arrival. One
-//! that has waited for [`Config::patience`] has memory collected for it:
+//! that has waited for [`Config::collect_after`] has memory collected for it:
 //! the queue starts only short jobs meanwhile, in their reserved part. So the
 //! largest prompts start within the time that running work takes to end, and
 //! short ones go on throughout.
 //!
 //! ```
 //! use almondlock_base::{id::Upstream, time::Mono, unit::Tokens};
-//! use almondlock_policy::gang::{Gang, Part, Step};
+//! use almondlock_policy::gang::{Gang, Reservation, Step};
 //!
-//! let part = |name| Part { upstream: Upstream::new(name).unwrap(), tokens: Tokens(350_000) };
+//! let reservation = |name| Reservation { upstream: Upstream::new(name).unwrap(), tokens: Tokens(350_000) };
 //! let now = Mono::ZERO;
-//! let mut gang = Gang::new(vec![part("c"), part("a"), part("b")], Mono::from_millis(60_000));
+//! let mut gang = Gang::new(vec![reservation("c"), reservation("a"), reservation("b")], Mono::from_millis(60_000));
 //! assert_eq!(gang.step(now), Step::Reserve(0));
 //! assert_eq!(gang.parts()[0].upstream.as_str(), "a");
 //! gang.note_grant(0);
@@ -49,7 +49,7 @@
 
 /// What one upstream contributes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct Reservation {
     /// The upstream.
     pub upstream: Upstream,
     /// The memory reserved there.
@@ -62,11 +62,11 @@
     /// The upstream.
     pub upstream: Upstream,
     /// What it can give at most, the part reserved for short jobs left out.
-    pub room: Tokens,
+    pub max_tokens: Tokens,
     /// What it has free now, as far as is known.
-    pub free: Tokens,
+    pub free_tokens: Tokens,
     /// Whether it failed lately, and takes part only if the others won't do.
-    pub avoided: bool,
+    pub failed_recently: bool,
 }
 
 /// The parts for a prompt and its answer: as few members as will do, those with
@@ -77,38 +77,38 @@
 ///
 /// ```
 /// use almondlock_base::{id::Upstream, unit::Tokens};
-/// use almondlock_policy::gang::{Member, parts};
+/// use almondlock_policy::gang::{Member, plan_reservations};
 ///
 /// let member = |i: u64| Member {
 ///     upstream: Upstream::new(&format!("engine-{i}")).unwrap(),
-///     room: Tokens(400_000),
-///     free: Tokens(10_000 * i),
-///     avoided: false,
+///     max_tokens: Tokens(400_000),
+///     free_tokens: Tokens(10_000 * i),
+///     failed_recently: false,
 /// };
 /// let members: Vec<Member> = (0..5).map(member).collect();
-/// let parts = parts(&members, Tokens(1_000_000)).unwrap();
+/// let parts = plan_reservations(&members, Tokens(1_000_000)).unwrap();
 /// let names: Vec<&str> = parts.iter().map(|part| part.upstream.as_str()).collect();
 /// assert_eq!(names, ["engine-4", "engine-3", "engine-2"]);
 /// ```
-pub fn parts(members: &[Member], need: Tokens) -> Option<Vec<Part>> {
-    let healthy = members.iter().filter(|member| !member.avoided);
+pub fn plan_reservations(members: &[Member], need: Tokens) -> Option<Vec<Reservation>> {
+    let healthy = members.iter().filter(|member| !member.failed_recently);
     fewest(healthy.collect(), need).or_else(|| fewest(members.iter().collect(), need))
 }
 
-fn fewest(mut ranked: Vec<&Member>, need: Tokens) -> Option<Vec<Part>> {
+fn fewest(mut ranked: Vec<&Member>, need: Tokens) -> Option<Vec<Reservation>> {
     ranked.sort_by(|a, b| {
-        a.avoided
-            .cmp(&b.avoided)
-            .then_with(|| b.free.cmp(&a.free))
+        a.failed_recently
+            .cmp(&b.failed_recently)
+            .then_with(|| b.free_tokens.cmp(&a.free_tokens))
             .then_with(|| a.upstream.cmp(&b.upstream))
     });
     for count in 1..=ranked.len() {
         let share = Tokens(need.0.div_ceil(count as u64));
-        let fitting: Vec<Part> = ranked
+        let fitting: Vec<Reservation> = ranked
             .iter()
-            .filter(|member| member.room >= share)
+            .filter(|member| member.max_tokens >= share)
             .take(count)
-            .map(|member| Part {
+            .map(|member| Reservation {
                 upstream: member.upstream.clone(),
                 tokens: share,
             })
@@ -158,7 +158,7 @@
 pub struct Gang {
     // Invariant: in the order of the upstreams' names, each once. All gangs of
     // the fleet follow this order; that is what keeps them from deadlock.
-    parts: Vec<Part>,
+    parts: Vec<Reservation>,
     // Invariant: as long as `parts`; while gathering, some `Held`, then at most
     // one `Asked`, then all `Free`.
     holds: Vec<Hold>,
@@ -169,7 +169,7 @@
 impl Gang {
     /// A gang of these parts, that gives up when the time is over by which the
     /// prompt must have started.
-    pub fn new(mut parts: Vec<Part>, deadline: Mono) -> Gang {
+    pub fn new(mut parts: Vec<Reservation>, deadline: Mono) -> Gang {
         parts.sort_by(|a, b| a.upstream.cmp(&b.upstream));
         parts.dedup_by(|a, b| a.upstream == b.upstream);
         Gang {
@@ -181,7 +181,7 @@
     }
 
     /// The parts, in the order in which they are asked for.
-    pub fn parts(&self) -> &[Part] {
+    pub fn parts(&self) -> &[Reservation] {
         &self.parts
     }
 
--- a/almondlock-policy/src/gang/waitlist.rs
+++ b/almondlock-policy/src/gang/waitlist.rs
@@ -8,16 +8,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// How long the first reservation waits before memory is collected for it.
-    pub patience: Duration,
+    pub collect_after: Duration,
     /// Reservations that may wait.
-    pub capacity: usize,
+    pub max_waiting: usize,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            patience: Duration::from_secs(1),
-            capacity: 64,
+            collect_after: Duration::from_secs(1),
+            max_waiting: 64,
         }
     }
 }
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// Refused when that is too little, or too much waits already.
-    pub fn ask(
+    pub fn push(
         &mut self,
         id: I,
         tokens: Tokens,
@@ -83,7 +83,7 @@
                 code: Code::AlreadyRunning,
             });
         }
-        if self.waiting.len() >= self.config.capacity {
+        if self.waiting.len() >= self.config.max_waiting {
             return Err(Refusal {
                 code: Code::Overloaded,
             });
@@ -110,7 +110,7 @@
     /// Whether memory is collected: the queue then starts only short jobs, in
     /// their reserved part.
     pub fn is_collecting(&self, now: Mono) -> bool {
-        let patience = self.config.patience;
+        let patience = self.config.collect_after;
         let first = self.waiting.front();
         first.is_some_and(|ask| now.since(ask.since) >= patience)
     }
@@ -134,7 +134,7 @@
     /// When [`Waitlist::take_expired`] or [`Waitlist::is_collecting`] has something new to
     /// say.
     pub fn next_event(&self, now: Mono) -> Option<Mono> {
-        let patience = self.config.patience;
+        let patience = self.config.collect_after;
         let collect = self.waiting.front().map(|ask| ask.since + patience);
         let expiry = self.waiting.iter().map(|ask| ask.deadline).min();
         collect
--- a/almondlock-policy/src/gate.rs
+++ b/almondlock-policy/src/gate.rs
@@ -30,8 +30,8 @@
 //! life is raised past it. An attempt below the floor without a record is
 //! refused, and settling it says [`Ran::Unknown`], because the forgotten record
 //! may have been of an attempt that ran. Time (until the attempt's deadline and
-//! [`Config::keep`] are both past) only decides how long answers stay exact;
-//! safety rests on the floor. A floor itself is kept for [`Config::silence`]
+//! [`Config::retention`] are both past) only decides how long answers stay exact;
+//! safety rests on the floor. A floor itself is kept for [`Config::floor_retention`]
 //! after its life was last heard of, which exceeds the time for which a kernel
 //! retransmits what a dead process left in its buffers.
 
@@ -50,20 +50,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// How long a closed attempt is remembered at least, unless there are more
-    /// than [`Config::records`].
-    pub keep: Duration,
+    /// than [`Config::max_records`].
+    pub retention: Duration,
     /// How many closed attempts are remembered at most.
-    pub records: usize,
+    pub max_records: usize,
     /// How long the floor of an entry host's life outlasts the last word of it.
-    pub silence: Duration,
+    pub floor_retention: Duration,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            keep: Duration::from_secs(600),
-            records: 65_536,
-            silence: Duration::from_secs(3_600),
+            retention: Duration::from_secs(600),
+            max_records: 65_536,
+            floor_retention: Duration::from_secs(3_600),
         }
     }
 }
@@ -299,7 +299,7 @@
         while self.closing.first().is_some_and(|(until, _)| *until <= now) {
             self.forget_first();
         }
-        let silence = self.config.silence;
+        let silence = self.config.floor_retention;
         let records = &self.records;
         self.floors.retain(|(host, incarnation), floor| {
             let known = |a: &Attempt| a.host == *host && a.incarnation == *incarnation;
@@ -331,9 +331,9 @@
             return;
         };
         record.stage = Stage::Closed(ran);
-        record.until = record.deadline.max(now) + self.config.keep;
+        record.until = record.deadline.max(now) + self.config.retention;
         self.closing.insert((record.until, attempt.clone()));
-        while self.closing.len() > self.config.records {
+        while self.closing.len() > self.config.max_records {
             self.forget_first();
         }
     }
--- a/almondlock-policy/src/limit/lend.rs
+++ b/almondlock-policy/src/limit/lend.rs
@@ -17,7 +17,7 @@
     pub lease: Duration,
     /// The share of a limit, in percent, that the entry hosts have as floors.
     /// The same figure as in their [`Config`](super::Config).
-    pub floor: u32,
+    pub floor_percent: u32,
     /// How long requests admitted under a lease may outlast it. Tokens lent to a
     /// host that is not heard of any more count as lent for so long after the
     /// lease.
@@ -28,7 +28,7 @@
     fn default() -> Terms {
         Terms {
             lease: Duration::from_secs(2),
-            floor: 50,
+            floor_percent: 50,
             linger: Duration::from_secs(60),
         }
     }
@@ -185,7 +185,7 @@
 
     /// What the floors leave of a limit.
     fn spare(&self, limit: Limit) -> Allotment {
-        let rest = u64::from(100 - self.terms.floor.min(100));
+        let rest = u64::from(100 - self.terms.floor_percent.min(100));
         let tokens = u128::from(limit.tokens.0) * u128::from(rest) / 100;
         Allotment {
             rate: u64::from(limit.rate) * 10 * rest,
--- a/almondlock-policy/src/limit/mod.rs
+++ b/almondlock-policy/src/limit/mod.rs
@@ -52,10 +52,10 @@
     pub burst: Duration,
     /// The share of a limit, in percent, that is given out as floors; the rest
     /// is lent. 100 where nobody lends.
-    pub floor: u32,
+    pub floor_percent: u32,
     /// What a caller is told to wait when the tokens in flight are used up:
     /// how long an answer takes, roughly.
-    pub pause: Duration,
+    pub full_retry_after: Duration,
 }
 
 impl Default for Config {
@@ -63,8 +63,8 @@
         Config {
             hosts: 1,
             burst: Duration::from_secs(2),
-            floor: 100,
-            pause: Duration::from_secs(1),
+            floor_percent: 100,
+            full_retry_after: Duration::from_secs(1),
         }
     }
 }
@@ -183,7 +183,7 @@
     }
 
     /// Takes a lease in place of the one before it.
-    pub fn lend(&mut self, organisation: &Organisation, lease: Lease) {
+    pub fn set_lease(&mut self, organisation: &Organisation, lease: Lease) {
         if let Some(account) = self.accounts.get_mut(organisation) {
             account.lease = Some(lease);
         }
@@ -197,7 +197,7 @@
 
     /// Of the tokens in flight, those over this host's floor: what the lender is
     /// told of with each question.
-    pub fn over_floor(&self, organisation: &Organisation) -> Tokens {
+    pub fn tokens_over_floor(&self, organisation: &Organisation) -> Tokens {
         let Some(account) = self.accounts.get(organisation) else {
             return Tokens::ZERO;
         };
@@ -252,12 +252,12 @@
 
     /// Thousandths of requests per second that this host may let through.
     fn rate(&self, config: &Config) -> u64 {
-        let floor = u64::from(self.limit.rate) * 10 * u64::from(config.floor.min(100));
+        let floor = u64::from(self.limit.rate) * 10 * u64::from(config.floor_percent.min(100));
         floor / u64::from(config.hosts.max(1)) + self.lease.map_or(0, |lease| lease.rate)
     }
 
     fn floor_tokens(&self, config: &Config) -> u64 {
-        let floor = u128::from(self.limit.tokens.0) * u128::from(config.floor.min(100))
+        let floor = u128::from(self.limit.tokens.0) * u128::from(config.floor_percent.min(100))
             / 100
             / u128::from(config.hosts.max(1));
         u64::try_from(floor).unwrap_or(u64::MAX)
@@ -284,7 +284,7 @@
         self.missed.tokens += tokens;
         Err(Refusal {
             code: Code::ShareExceeded,
-            retry_after: config.pause,
+            retry_after: config.full_retry_after,
         })
     }
 
--- a/almondlock-policy/src/poison.rs
+++ b/almondlock-policy/src/poison.rs
@@ -9,7 +9,7 @@
 //! | 0 | as any other; while no copy of it has finished, one at a time per entry host |
 //! | 1 | on an engine without another suspect |
 //! | 2 | alone on an engine |
-//! | [`Config::deaths`] (3) | refused everywhere, until [`Config::keep`] is over |
+//! | [`Config::deaths`] (3) | refused everywhere, until [`Config::retention`] is over |
 //!
 //! The last run is alone so that only the guilty get to three: whoever dies
 //! there can't have been the victim of a neighbour. Two suspects never run
@@ -66,7 +66,7 @@
     /// Engines that died while it ran, from which on it is refused.
     pub deaths: u32,
     /// How long a record outlasts its last death.
-    pub keep: Duration,
+    pub retention: Duration,
     /// Fingerprints an entry host remembers as harmless.
     pub harmless: usize,
     /// For how long.
@@ -77,7 +77,7 @@
     fn default() -> Config {
         Config {
             deaths: 3,
-            keep: Duration::from_secs(24 * 3_600),
+            retention: Duration::from_secs(24 * 3_600),
             harmless: 65_536,
             trust: Duration::from_secs(600),
         }
@@ -132,7 +132,7 @@
         organisation: organisation.clone(),
         deaths,
         refused: deaths >= config.deaths,
-        until: now + config.keep,
+        until: now + config.retention,
     }
 }
 
@@ -273,7 +273,7 @@
             Some(record) if record.refused || known.deaths <= deaths => treat(recorded, wall),
             _ if known.deaths == 0 => Treatment::Free,
             _ if known.deaths >= self.config.deaths => Treatment::Refuse {
-                retry_after: self.config.keep,
+                retry_after: self.config.retention,
             },
             _ if known.deaths == 1 => Treatment::Apart,
             _ => Treatment::Alone,
--- a/almondlock-policy/src/queue/config.rs
+++ b/almondlock-policy/src/queue/config.rs
@@ -20,31 +20,31 @@
     /// Whether a job that is overdue when it starts gets the engine priority of
     /// the next shorter class, yet never that of short ones. Helps the longest
     /// at the cost of the medium ones.
-    pub rise: bool,
+    pub promote_overdue: bool,
     /// The share of engine memory and batch slots that only short prompts use,
     /// in percent.
-    pub reserve: u32,
+    pub reserve_percent: u32,
     /// How many tokens (per unit of weight) an organisation may be ahead of the
     /// others before they go first whatever their jobs' length. As much may be
     /// saved up by one that asks for little.
-    pub quantum: u64,
+    pub quantum_tokens: u64,
     /// Prompt tokens that may be in prefill at once: of short jobs, of medium
     /// ones, of all longer ones. One job of each is always let through.
-    pub prefill: [Tokens; GROUPS],
+    pub prefill_limits: [Tokens; GROUPS],
     /// Batch slots, in percent, that one organisation leaves to the others.
-    pub headroom: u32,
+    pub headroom_percent: u32,
     /// Whether smaller jobs may pass a job that has no room yet.
     pub backfill: bool,
     /// Whether a job is given up as soon as its deadline can't be met, rather
     /// than when it passes.
-    pub hopeless: bool,
+    pub refuse_unreachable: bool,
     /// Prefill speed to assume before the first is seen, in tokens per second.
-    pub speed: f64,
+    pub initial_speed: f64,
     /// How long a job of no length takes: what [`Config::stretch`] stretches
     /// for the shortest ones.
-    pub base: Duration,
+    pub base_time: Duration,
     /// Jobs that may wait.
-    pub capacity: usize,
+    pub max_waiting: usize,
 }
 
 impl Config {
@@ -52,16 +52,16 @@
     pub fn short() -> Config {
         Config {
             stretch: 4.0,
-            rise: false,
-            reserve: 15,
-            quantum: 16_384,
-            prefill: [4_096, 32_768, 65_536].map(Tokens),
-            headroom: 12,
+            promote_overdue: false,
+            reserve_percent: 15,
+            quantum_tokens: 16_384,
+            prefill_limits: [4_096, 32_768, 65_536].map(Tokens),
+            headroom_percent: 12,
             backfill: true,
-            hopeless: true,
-            speed: 8_000.0,
-            base: Duration::from_millis(20),
-            capacity: 4_096,
+            refuse_unreachable: true,
+            initial_speed: 8_000.0,
+            base_time: Duration::from_millis(20),
+            max_waiting: 4_096,
         }
     }
 
@@ -69,7 +69,7 @@
     pub fn even() -> Config {
         Config {
             stretch: 1.0,
-            rise: true,
+            promote_overdue: true,
             ..Config::short()
         }
     }
@@ -78,13 +78,13 @@
     pub fn fifo() -> Config {
         Config {
             stretch: 0.0,
-            rise: false,
-            reserve: 0,
-            quantum: u64::MAX,
-            prefill: [Tokens(u64::MAX); GROUPS],
-            headroom: 0,
+            promote_overdue: false,
+            reserve_percent: 0,
+            quantum_tokens: u64::MAX,
+            prefill_limits: [Tokens(u64::MAX); GROUPS],
+            headroom_percent: 0,
             backfill: false,
-            hopeless: false,
+            refuse_unreachable: false,
             ..Config::short()
         }
     }
--- a/almondlock-policy/src/queue/mod.rs
+++ b/almondlock-policy/src/queue/mod.rs
@@ -23,7 +23,7 @@
 //!
 //! Before due times, organisations: each has a counter of the tokens it was
 //! served, divided by its weight, as in the virtual token counter of Sheng et
-//! al. Only organisations within [`Config::quantum`] of the lowest counter that
+//! al. Only organisations within [`Config::quantum_tokens`] of the lowest counter that
 //! has work take part in the choice above. One that comes back after a pause is
 //! lifted to just under that: what it left unused beyond it was lent for good,
 //! and its next jobs go first. On the engine, too, an organisation that has less
@@ -122,7 +122,7 @@
     /// An empty queue.
     pub fn new(config: Config) -> Queue<I> {
         Queue {
-            meter: Meter::new(config.speed),
+            meter: Meter::new(config.initial_speed),
             config,
             next: 0,
             places: HashMap::new(),
@@ -209,7 +209,7 @@
     /// engine that turned to it now would not be done with its prompt in time.
     pub fn take_expired(&mut self, now: Mono) -> Vec<Expiry<I>> {
         let mut gone = Vec::new();
-        let pause = self.estimate_wait(Class::Short).max(self.config.base);
+        let pause = self.estimate_wait(Class::Short).max(self.config.base_time);
         while let Some((start, number)) = self.deadlines.first().copied() {
             if start > now {
                 break;
@@ -285,11 +285,11 @@
         if job.memory_need() > room.total_memory {
             return Err(refusal(Code::PromptTooLong, Duration::ZERO));
         }
-        let pause = self.estimate_wait(Class::Short).max(self.config.base);
-        if self.waiting.len() >= self.config.capacity {
+        let pause = self.estimate_wait(Class::Short).max(self.config.base_time);
+        if self.waiting.len() >= self.config.max_waiting {
             return Err(refusal(Code::Overloaded, pause));
         }
-        if self.config.hopeless && now + self.hoped(job) > job.deadline {
+        if self.config.refuse_unreachable && now + self.hoped(job) > job.deadline {
             return Err(refusal(Code::DeadlineUnreachable, pause));
         }
         Ok(())
@@ -335,13 +335,13 @@
         if lane == Lane::ALONE {
             return now + job.deadline.since(now) / 2;
         }
-        let service = self.service_time(job.prefill_tokens()) + self.config.base;
+        let service = self.service_time(job.prefill_tokens()) + self.config.base_time;
         now + service.mul_f64(self.config.bounded_stretch())
     }
 
     /// The last moment at which a job could start and still be in time.
     fn last_start(&self, job: &Job) -> Mono {
-        if self.config.hopeless {
+        if self.config.refuse_unreachable {
             job.deadline - self.hoped(job)
         } else {
             job.deadline
@@ -395,7 +395,7 @@
         Grant {
             id,
             class,
-            priority: priority(class, self.config.rise && now >= place.due, much),
+            priority: priority(class, self.config.promote_overdue && now >= place.due, much),
             waited: now.since(since),
         }
     }
@@ -406,7 +406,7 @@
     /// organisation comes and goes.
     fn least_counter(&self) -> u64 {
         self.floor
-            .saturating_sub(self.config.quantum.saturating_add(1))
+            .saturating_sub(self.config.quantum_tokens.saturating_add(1))
     }
 
     /// A line that neither waits nor runs is dropped when its counter would be
--- a/almondlock-policy/src/queue/wait.rs
+++ b/almondlock-policy/src/queue/wait.rs
@@ -35,7 +35,7 @@
         }
         let lowest = self.lowest_counter(room)?;
         self.floor = self.floor.max(lowest);
-        let ceiling = lowest.saturating_add(self.config.quantum);
+        let ceiling = lowest.saturating_add(self.config.quantum_tokens);
         let mut held = self.hold;
         let mut place = self.choose_among(0..=ceiling, &mut held, now, room);
         if place.is_none() {
@@ -103,7 +103,7 @@
     /// another one's short job finds one at once and need not wait until a
     /// whole answer has ended.
     fn leaves_headroom(&self, line: &Line, room: &Room) -> bool {
-        let headroom = percent(u64::from(room.total_slots), self.config.headroom);
+        let headroom = percent(u64::from(room.total_slots), self.config.headroom_percent);
         let most = u64::from(room.total_slots).saturating_sub(headroom).max(1);
         u64::from(line.running()) < most
     }
@@ -156,8 +156,8 @@
     /// fill the engine when a long one falls due would stop the short ones
     /// until most of them have ended.
     fn fits_reserve(&self, job: &Job, room: &Room) -> bool {
-        let memory = percent(room.total_memory.0, self.config.reserve);
-        let slots = percent(u64::from(room.total_slots), self.config.reserve);
+        let memory = percent(room.total_memory.0, self.config.reserve_percent);
+        let slots = percent(u64::from(room.total_slots), self.config.reserve_percent);
         self.load.held_memory.0.saturating_add(job.memory_need().0) <= memory
             && u64::from(self.load.held_slots) < slots.max(1)
     }
@@ -165,7 +165,7 @@
     /// What is to be left free of the reserved part: what short jobs don't hold
     /// of it already.
     pub fn reserve_left(&self, room: &Room) -> Tokens {
-        let memory = Tokens(percent(room.total_memory.0, self.config.reserve));
+        let memory = Tokens(percent(room.total_memory.0, self.config.reserve_percent));
         memory.saturating_sub(self.load.short_memory)
     }
 
@@ -174,9 +174,9 @@
     /// fits with the reserved part gets it, else it could never run.
     fn spares_reserve(&self, job: &Job, room: &Room) -> bool {
         let need = job.memory_need().0;
-        let memory = percent(room.total_memory.0, self.config.reserve);
+        let memory = percent(room.total_memory.0, self.config.reserve_percent);
         let memory = memory.min(room.total_memory.0.saturating_sub(need));
-        let slots = percent(u64::from(room.total_slots), self.config.reserve);
+        let slots = percent(u64::from(room.total_slots), self.config.reserve_percent);
         let unused_memory = memory.saturating_sub(self.load.short_memory.0);
         let unused_slots = slots.saturating_sub(u64::from(self.load.short_slots));
         need.saturating_add(unused_memory) <= room.free_memory.0
@@ -190,7 +190,7 @@
     fn prefill_fits(&self, job: &Job) -> bool {
         let group = group(job.class());
         let active = self.load.prefill[group];
-        let limit = self.config.prefill[group];
+        let limit = self.config.prefill_limits[group];
         let passes = || job.class() < Class::Long && !self.has_much(&job.organisation);
         active == Tokens::ZERO || active + job.prefill_tokens() <= limit || passes()
     }
--- a/almondlock-policy/src/retry.rs
+++ b/almondlock-policy/src/retry.rs
@@ -100,9 +100,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
     /// Attempts of one request, the first one included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Retries per hundred fresh requests.
-    pub percent: u32,
+    pub retry_percent: u32,
     /// Retries per second that are free, so that a quiet organisation can
     /// retry at all.
     pub free: f64,
@@ -117,8 +117,8 @@
 impl Default for Config {
     fn default() -> Config {
         Config {
-            attempts: 4,
-            percent: 10,
+            max_attempts: 4,
+            retry_percent: 10,
             free: 0.5,
             burst: 20.0,
             base: Duration::from_millis(20),
@@ -168,7 +168,7 @@
 
     fn deposit(&mut self, config: &Config, now: Mono) {
         self.refill(config, now);
-        let earned = f64::from(config.percent) / 100.0;
+        let earned = f64::from(config.retry_percent) / 100.0;
         self.saved = (self.saved + earned).min(config.burst);
     }
 
@@ -243,7 +243,7 @@
         } else {
             Duration::ZERO
         };
-        if made >= self.config.attempts || after >= left {
+        if made >= self.config.max_attempts || after >= left {
             return self.exhausted(failure);
         }
         if is_charged(failure.code) && !self.pay(organisation, now) {
--- a/almondlock-policy/tests/ageing_long.rs
+++ b/almondlock-policy/tests/ageing_long.rs
@@ -83,7 +83,7 @@
 )]
 fn starts_in_time(config: Config, stretch: u64) {
     let config = Config {
-        speed: 20_000.0,
+        initial_speed: 20_000.0,
         ..config
     };
     // 100,000 tokens take 5 s, and memory comes free within 20 steps.
--- a/almondlock-policy/tests/gang_deadlock.rs
+++ b/almondlock-policy/tests/gang_deadlock.rs
@@ -14,7 +14,7 @@
     unit::Tokens,
 };
 use almondlock_policy::{
-    gang::{Gang, Part, Step, Waitlist},
+    gang::{Gang, Reservation, Step, Waitlist},
     length::Class,
     queue::{self, Job, Queue, Room},
 };
@@ -116,10 +116,12 @@
 }
 
 fn gang(rng: &mut SmallRng) -> Gang {
-    let parts = index::sample(rng, MEMBERS, 3).into_iter().map(|i| Part {
-        upstream: name(i),
-        tokens: PART,
-    });
+    let parts = index::sample(rng, MEMBERS, 3)
+        .into_iter()
+        .map(|i| Reservation {
+            upstream: name(i),
+            tokens: PART,
+        });
     Gang::new(parts.collect(), Mono::from_millis(STEPS * 1_000))
 }
 
@@ -195,7 +197,9 @@
             let member = self.member(id, part);
             let most = Tokens(85_000);
             let deadline = Mono::from_millis(STEPS * 1_000);
-            let asked = self.engines[member].desk.ask(id, PART, most, deadline, now);
+            let asked = self.engines[member]
+                .desk
+                .push(id, PART, most, deadline, now);
             asked.unwrap();
         }
     }
--- a/almondlock-policy/tests/gang_members.rs
+++ b/almondlock-policy/tests/gang_members.rs
@@ -3,22 +3,22 @@
 #![cfg(test)]
 
 use almondlock_base::{id::Upstream, unit::Tokens};
-use almondlock_policy::gang::{Member, parts};
+use almondlock_policy::gang::{Member, plan_reservations};
 
 /// Five members with room for 320,000 tokens each, of which these failed lately.
 fn members(avoided: &[u64]) -> Vec<Member> {
     let member = |n| Member {
         upstream: Upstream::new(&format!("engine-{n}")).unwrap(),
-        room: Tokens(320_000),
+        max_tokens: Tokens(320_000),
         // Those that failed have the most free memory.
-        free: Tokens(if avoided.contains(&n) { 400_000 } else { 1_000 }),
-        avoided: avoided.contains(&n),
+        free_tokens: Tokens(if avoided.contains(&n) { 400_000 } else { 1_000 }),
+        failed_recently: avoided.contains(&n),
     };
     (0..5).map(member).collect()
 }
 
 fn chosen(members: &[Member], need: u64) -> Option<Vec<String>> {
-    let parts = parts(members, Tokens(need))?;
+    let parts = plan_reservations(members, Tokens(need))?;
     let mut names: Vec<String> = parts.iter().map(|p| p.upstream.to_string()).collect();
     names.sort();
     Some(names)
@@ -35,7 +35,7 @@
 fn smaller_parts_first() {
     let mut members = members(&[1]);
     for member in &mut members[2..] {
-        member.room = Tokens(220_000);
+        member.max_tokens = Tokens(220_000);
     }
     let names = chosen(&members, 600_000).unwrap();
     assert_eq!(names, ["engine-0", "engine-2", "engine-3"]);
--- a/almondlock-policy/tests/late_copy.rs
+++ b/almondlock-policy/tests/late_copy.rs
@@ -79,7 +79,7 @@
 #[test]
 fn copy_after_the_tombstone_is_forgotten() {
     let config = Config {
-        keep: Duration::from_secs(10),
+        retention: Duration::from_secs(10),
         ..Config::default()
     };
     let mut gate = Gate::new(config, LIFE);
@@ -95,7 +95,7 @@
 #[test]
 fn settling_what_ran_and_was_forgotten_is_unknown() {
     let config = Config {
-        keep: Duration::from_secs(10),
+        retention: Duration::from_secs(10),
         ..Config::default()
     };
     let mut gate = Gate::new(config, LIFE);
@@ -110,7 +110,7 @@
 #[test]
 fn records_are_bounded() {
     let config = Config {
-        records: 100,
+        max_records: 100,
         ..Config::default()
     };
     let mut gate = Gate::new(config, LIFE);
@@ -134,8 +134,8 @@
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let config = Config {
-            records: 4,
-            keep: Duration::from_secs(5),
+            max_records: 4,
+            retention: Duration::from_secs(5),
             ..Config::default()
         };
         let mut gate = Gate::new(config, LIFE);
--- a/almondlock-policy/tests/lent_share.rs
+++ b/almondlock-policy/tests/lent_share.rs
@@ -37,7 +37,7 @@
 fn limiter() -> Limiter {
     let mut limiter = Limiter::new(Config {
         hosts: 3,
-        floor: 50,
+        floor_percent: 50,
         ..Config::default()
     });
     limiter.set(&bank(), LIMIT);
@@ -56,7 +56,7 @@
 
 /// Asks the lender; the answer may still be lost.
 fn say(limiter: &mut Limiter, i: usize, lender: &mut Lender, now: Mono) -> Allotment {
-    let used = limiter.over_floor(&bank());
+    let used = limiter.tokens_over_floor(&bank());
     let mut demand = limiter.take_demand(&bank());
     demand.tokens += used;
     lender.ask(&host(i), &bank(), demand, used, now)
@@ -70,7 +70,7 @@
         tokens: part.tokens,
         until: now + lender.lease(),
     };
-    limiter.lend(&bank(), lease);
+    limiter.set_lease(&bank(), lease);
 }
 
 #[test]
--- a/almondlock-policy/tests/poison_resend.rs
+++ b/almondlock-policy/tests/poison_resend.rs
@@ -262,13 +262,13 @@
     for _ in 0..config.deaths {
         record = Some(blame(&config, record.as_ref(), &bank(), start));
     }
-    let late = start + (config.keep - Duration::from_millis(1));
+    let late = start + (config.retention - Duration::from_millis(1));
     let left = Duration::from_millis(1);
     assert_eq!(
         treat(record.as_ref(), late),
         Treatment::Refuse { retry_after: left }
     );
-    let after = start + config.keep;
+    let after = start + config.retention;
     assert_eq!(treat(record.as_ref(), after), Treatment::Free);
     assert_eq!(blame(&config, record.as_ref(), &bank(), after).deaths, 1);
 }
--- a/almondlock-policy/tests/retry_storm.rs
+++ b/almondlock-policy/tests/retry_storm.rs
@@ -78,7 +78,7 @@
 fn back_off_is_spread_and_grows() {
     let config = Config {
         burst: 1e6,
-        attempts: 20,
+        max_attempts: 20,
         ..Config::default()
     };
     let mut policy = Policy::new(config);
--- a/almondlock-policy/tests/shared_limit.rs
+++ b/almondlock-policy/tests/shared_limit.rs
@@ -98,7 +98,7 @@
         tokens: Tokens(15_000),
         until: Mono::from_millis(2_000),
     };
-    limiter.lend(&bank(), lease);
+    limiter.set_lease(&bank(), lease);
     let permit = limiter.admit(&bank(), Tokens(20_000), Mono::from_millis(1_999));
     drop(permit.unwrap());
     let late = limiter.admit(&bank(), Tokens(20_000), Mono::from_millis(2_000));
--- a/almondlock-sidecar/src/announce.rs
+++ b/almondlock-sidecar/src/announce.rs
@@ -203,7 +203,9 @@
             capacity: inner.site.capacity(&announcement),
             slots: inner.site.slots(&announcement),
             queue: queue::Config {
-                speed: announcement.prefill_rate.unwrap_or(inner.site.queue.speed),
+                initial_speed: announcement
+                    .prefill_rate
+                    .unwrap_or(inner.site.queue.initial_speed),
                 ..inner.site.queue
             },
             gate: gate::Config::default(),
--- a/almondlock-sidecar/src/table.rs
+++ b/almondlock-sidecar/src/table.rs
@@ -226,7 +226,7 @@
         let most = self.config.capacity.saturating_sub(self.short_part());
         let asked = self
             .desk
-            .ask(attempt.clone(), part.tokens, most, deadline, now);
+            .push(attempt.clone(), part.tokens, most, deadline, now);
         if let Err(refusal) = asked {
             self.gate.finish(attempt, Ran::No, now);
             return Err(Refusal {
@@ -265,7 +265,7 @@
 
     /// Memory that only short prompts use.
     fn short_part(&self) -> Tokens {
-        let reserve = u64::from(self.config.queue.reserve.min(100));
+        let reserve = u64::from(self.config.queue.reserve_percent.min(100));
         Tokens(self.config.capacity.0 / 100 * reserve)
     }
 
