--- a/almondlock-entry/src/caller.rs
+++ b/almondlock-entry/src/caller.rs
@@ -97,12 +97,12 @@
 
 fn deadline(headers: &HeaderMap, limits: &Organisation) -> Result<Duration, Failure> {
     let bounds = Bounds {
-        default: limits.deadline,
-        limit: limits.deadline_limit,
+        default_ms: limits.deadline,
+        limit_ms: limits.deadline_limit,
     };
     let value = text(headers, "x-almondlock-deadline-ms")?;
     bounds.parse(value).map_err(|code| {
-        let limit = bounds.limit;
+        let limit = bounds.limit_ms;
         let message = format!("X-Almondlock-Deadline-Ms must be a number from 1 to {limit}");
         Failure::with_message(code, message)
     })
--- a/almondlock-entry/src/course.rs
+++ b/almondlock-entry/src/course.rs
@@ -157,7 +157,7 @@
         let Some(code) = outcome.code else {
             return Next::Done;
         };
-        course.ran = retry::merge(course.ran, outcome.ran);
+        course.ran = retry::merge_ran(course.ran, outcome.ran);
         // What was given back at once has cost nothing and counts for nothing,
         // but not without end.
         let free = outcome.ran == Ran::No && !retry::is_charged(code);
--- a/almondlock-entry/src/gang.rs
+++ b/almondlock-entry/src/gang.rs
@@ -126,13 +126,13 @@
         let now = clock::mono();
         let mut gang = Gang::new(parts, now + request.left(now));
         let mut held = self.empty(&gang, request);
-        let rest = gang.parts().len().saturating_sub(1);
+        let rest = gang.reservations().len().saturating_sub(1);
         loop {
             match gang.step(clock::mono()) {
                 Step::Reserve(index) if index == rest => gang.note_grant(index),
                 Step::Reserve(index) => {
-                    let share = gang.parts()[index].clone();
-                    let text = text_of(request, index, gang.parts().len());
+                    let share = gang.reservations()[index].clone();
+                    let text = text_of(request, index, gang.reservations().len());
                     if let Err(failure) = self.reserve(request, &share, text, &mut held).await {
                         self.passed_over(pool, &share.upstream);
                         return Err(failure);
@@ -175,7 +175,7 @@
     }
 
     fn empty(&self, gang: &Gang, request: &Request) -> Held {
-        let shares = gang.parts();
+        let shares = gang.reservations();
         let others: Tokens = shares.iter().rev().skip(1).map(|part| part.tokens).sum();
         let last = shares.last().map(|part| part.upstream.clone());
         Held {
--- a/almondlock-entry/src/shared.rs
+++ b/almondlock-entry/src/shared.rs
@@ -318,7 +318,7 @@
         now: Mono,
     ) -> Result<limit::Permit, limit::Refusal> {
         let permit = lock(&self.limits).admit(organisation, tokens, now)?;
-        lock(&self.retries).fresh(organisation, now);
+        lock(&self.retries).count_request(organisation, now);
         self.admitted.fetch_add(1, Ordering::Relaxed);
         self.metrics.prompt(tokens);
         Ok(permit)
@@ -363,7 +363,7 @@
     /// Tells the levels that change slowly.
     pub fn tell_levels(&self) {
         self.metrics.revision(self.handle.view().revision());
-        let left = lock(&self.retries).left();
+        let left = lock(&self.retries).remaining();
         self.metrics.budget_left(left.max(0.0) as u64);
     }
 
--- a/almondlock-gateway/src/exchange/suspects.rs
+++ b/almondlock-gateway/src/exchange/suspects.rs
@@ -29,7 +29,7 @@
     pub fn lose(&mut self, now: Mono, loss: &Loss) {
         let sent = now - Duration::from_millis(loss.age_ms.into());
         let life = (loss.key, loss.birth);
-        if self.tally.lose(now, loss.print, life, sent) {
+        if self.tally.record_loss(now, loss.print, life, sent) {
             let standing = self.tally.standing(now, &loss.print);
             tracing::info!(
                 fingerprint = %loss.print, upstream = %loss.key, age_ms = loss.age_ms,
@@ -41,7 +41,7 @@
 
     /// A host had an answer to a request.
     pub fn clear(&mut self, now: Mono, print: Fingerprint) {
-        if self.tally.clear(now, &print) {
+        if self.tally.record_answer(now, &print) {
             tracing::info!(fingerprint = %print, "a suspected request was answered");
             self.news.insert(print);
         }
@@ -52,7 +52,7 @@
     pub fn take(&mut self, now: Mono) -> Vec<Suspect> {
         if now.since(self.repeated) >= REPEAT {
             self.repeated = now;
-            self.news.extend(self.tally.known());
+            self.news.extend(self.tally.watched());
         }
         let news = std::mem::take(&mut self.news).into_iter().take(TOLD);
         news.map(|print| self.suspect(now, print)).collect()
@@ -60,7 +60,7 @@
 
     /// All of them, for hosts that were not heard of before.
     pub fn all(&self, now: Mono) -> Vec<Suspect> {
-        let known = self.tally.known().into_iter().take(TOLD);
+        let known = self.tally.watched().into_iter().take(TOLD);
         known.map(|print| self.suspect(now, print)).collect()
     }
 
--- a/almondlock-gateway/src/lease.rs
+++ b/almondlock-gateway/src/lease.rs
@@ -244,7 +244,9 @@
     where
         D: Dialect,
     {
-        worker.backoff(clock::mono(), &self.target.name)?.left()
+        worker
+            .backoff(clock::mono(), &self.target.name)?
+            .remaining()
     }
 
     async fn order<D>(&self, worker: &Worker<D>, order: &Command<'_>) -> Outcome
--- a/almondlock-gateway/src/permit.rs
+++ b/almondlock-gateway/src/permit.rs
@@ -100,7 +100,7 @@
     /// Whether a relay may have a permit now.
     pub(crate) fn is_open(&self, now: Mono, key: Key) -> bool {
         let relays = self.relays.borrow();
-        self.waits.borrow().next(now, &key, &relays).is_some()
+        self.waits.borrow().next_relay(now, &key, &relays).is_some()
     }
 
     /// When a relay may have a permit.
@@ -138,7 +138,7 @@
         let now = clock::mono();
         let socket = self.socket.borrow().clone()?;
         let relays = self.relays.borrow().clone();
-        let relay = self.waits.borrow().next(now, &key, &relays)?;
+        let relay = self.waits.borrow().next_relay(now, &key, &relays)?;
         let number = self.last.get().wrapping_add(1);
         self.last.set(number);
         let (sender, answer) = oneshot::channel();
--- a/almondlock-gateway/tests/permit_parts.rs
+++ b/almondlock-gateway/tests/permit_parts.rs
@@ -122,7 +122,7 @@
             if notice.rate.is_none() {
                 return true;
             }
-            let Some(relay) = self.hosts[host].waits.next(now, &key(), &order) else {
+            let Some(relay) = self.hosts[host].waits.next_relay(now, &key(), &order) else {
                 return false;
             };
             let ask = Ask {
--- a/almondlock-policy/examples/footprint.rs
+++ b/almondlock-policy/examples/footprint.rs
@@ -136,14 +136,14 @@
 fn retries() -> retry::Policy {
     let mut policy = retry::Policy::new(retry::Config::default());
     for i in 0..ITEMS {
-        policy.fresh(&organisation(i), Mono::ZERO);
+        policy.count_request(&organisation(i), Mono::ZERO);
     }
     policy
 }
 
 fn watch() -> Watch {
     let config = poison::Config {
-        harmless: ITEMS as usize,
+        max_harmless: ITEMS as usize,
         ..poison::Config::default()
     };
     let mut watch = Watch::new(config);
--- a/almondlock-policy/src/backoff.rs
+++ b/almondlock-policy/src/backoff.rs
@@ -55,7 +55,7 @@
     }
 
     /// When it is over, from now, if it ends.
-    pub const fn left(self) -> Option<Duration> {
+    pub const fn remaining(self) -> Option<Duration> {
         match self {
             Reason::Backoff(left) => Some(left),
             Reason::Leaving => None,
--- a/almondlock-policy/src/deadline.rs
+++ b/almondlock-policy/src/deadline.rs
@@ -11,7 +11,7 @@
 //! use almondlock_base::{Code, unit::Tokens};
 //! use almondlock_policy::deadline::{Bounds, Forecast, Work};
 //!
-//! let bounds = Bounds { default: 30_000, limit: 600_000 };
+//! let bounds = Bounds { default_ms: 30_000, limit_ms: 600_000 };
 //! assert_eq!(bounds.parse(Some("1500")), Ok(Duration::from_millis(1500)));
 //! assert_eq!(bounds.parse(Some("0")), Err(Code::BadDeadline));
 //!
@@ -29,9 +29,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// What a request gets that names no deadline.
-    pub default: u64,
+    pub default_ms: u64,
     /// The longest one.
-    pub limit: u64,
+    pub limit_ms: u64,
 }
 
 impl Bounds {
@@ -47,14 +47,16 @@
     /// to the limit.
     pub fn parse(&self, text: Option<&str>) -> Result<Duration, Code> {
         let Some(text) = text else {
-            return Ok(Duration::from_millis(self.default.min(self.limit).max(1)));
+            return Ok(Duration::from_millis(
+                self.default_ms.min(self.limit_ms).max(1),
+            ));
         };
         // `u64::from_str` takes a leading plus sign; a header should not.
         let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
         let millis = text
             .parse()
             .ok()
-            .filter(|millis| digits && (1..=self.limit).contains(millis));
+            .filter(|millis| digits && (1..=self.limit_ms).contains(millis));
         millis.map(Duration::from_millis).ok_or(Code::BadDeadline)
     }
 }
--- a/almondlock-policy/src/gang/mod.rs
+++ b/almondlock-policy/src/gang/mod.rs
@@ -32,7 +32,7 @@
 //! let now = Mono::ZERO;
 //! let mut gang = Gang::new(vec![reservation("c"), reservation("a"), reservation("b")], Mono::from_millis(60_000));
 //! assert_eq!(gang.step(now), Step::Reserve(0));
-//! assert_eq!(gang.parts()[0].upstream.as_str(), "a");
+//! assert_eq!(gang.reservations()[0].upstream.as_str(), "a");
 //! gang.note_grant(0);
 //! assert_eq!(gang.step(now), Step::Reserve(1));
 //! // The second member dies: what the first one holds is given back, and what
@@ -181,7 +181,7 @@
     }
 
     /// The parts, in the order in which they are asked for.
-    pub fn parts(&self) -> &[Reservation] {
+    pub fn reservations(&self) -> &[Reservation] {
         &self.parts
     }
 
--- a/almondlock-policy/src/limit/lend.rs
+++ b/almondlock-policy/src/limit/lend.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
     /// How long a part is lent. An unused one is back after that.
-    pub lease: Duration,
+    pub lease_time: Duration,
     /// The share of a limit, in percent, that the entry hosts have as floors.
     /// The same figure as in their [`Config`](super::Config).
     pub floor_percent: u32,
@@ -27,7 +27,7 @@
 impl Default for Terms {
     fn default() -> Terms {
         Terms {
-            lease: Duration::from_secs(2),
+            lease_time: Duration::from_secs(2),
             floor_percent: 50,
             linger: Duration::from_secs(60),
         }
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allotment {
     /// Thousandths of requests per second.
-    pub rate: u64,
+    pub rate_thousandths: u64,
     /// Tokens in flight.
     pub tokens: Tokens,
 }
@@ -62,7 +62,7 @@
     fn most(&self, now: Mono) -> Allotment {
         let live = self.leases.iter().filter(|(_, until)| now < *until);
         let most = live.fold(Allotment::default(), |most, (part, _)| Allotment {
-            rate: most.rate.max(part.rate),
+            rate_thousandths: most.rate_thousandths.max(part.rate_thousandths),
             tokens: most.tokens.max(part.tokens),
         });
         let lingering = if now < self.peak_until {
@@ -107,9 +107,9 @@
 /// lender.set(&bank, Limit { rate: 0, tokens: Tokens(100_000) });
 /// let entry = Host::new("entry-1")?;
 /// let demand = Demand { requests: 0, tokens: Tokens(30_000) };
-/// assert_eq!(lender.ask(&entry, &bank, demand, used, Mono::ZERO).tokens, Tokens::ZERO);
+/// assert_eq!(lender.allot(&entry, &bank, demand, used, Mono::ZERO).tokens, Tokens::ZERO);
 /// let later = Mono::from_millis(62_000);
-/// assert_eq!(lender.ask(&entry, &bank, demand, used, later).tokens, Tokens(30_000));
+/// assert_eq!(lender.allot(&entry, &bank, demand, used, later).tokens, Tokens(30_000));
 /// # Ok::<(), almondlock_base::id::Error>(())
 /// ```
 #[derive(Debug)]
@@ -127,7 +127,7 @@
     pub fn new(terms: Terms, now: Mono) -> Lender {
         Lender {
             terms,
-            opens: now + terms.lease + terms.linger,
+            opens: now + terms.lease_time + terms.linger,
             limits: HashMap::new(),
             lent: HashMap::new(),
         }
@@ -145,15 +145,15 @@
     }
 
     /// How long a part is lent. The entry host counts it from before it asked.
-    pub fn lease(&self) -> Duration {
-        self.terms.lease
+    pub fn lease_time(&self) -> Duration {
+        self.terms.lease_time
     }
 
     /// Lends a part. `used` is what the host has in flight over its floor.
     ///
     /// Where more is wanted than there is, each host gets a part in proportion
     /// to what it wants, as soon as the others' leases have ended.
-    pub fn ask(
+    pub fn allot(
         &mut self,
         host: &Host,
         organisation: &Organisation,
@@ -170,7 +170,7 @@
         let own = all.entry(host.clone()).or_default();
         own.hear(used, now);
         own.wanted = Allotment {
-            rate: demand.requests.saturating_mul(1_000),
+            rate_thousandths: demand.requests.saturating_mul(1_000),
             tokens: demand.tokens,
         };
         if now < self.opens {
@@ -178,7 +178,7 @@
         }
         let part = portion(all, host, spare, now);
         if let Some(own) = all.get_mut(host) {
-            own.lend(part, now + self.terms.lease, self.terms.linger);
+            own.lend(part, now + self.terms.lease_time, self.terms.linger);
         }
         part
     }
@@ -188,7 +188,7 @@
         let rest = u64::from(100 - self.terms.floor_percent.min(100));
         let tokens = u128::from(limit.tokens.0) * u128::from(rest) / 100;
         Allotment {
-            rate: u64::from(limit.rate) * 10 * rest,
+            rate_thousandths: u64::from(limit.rate) * 10 * rest,
             tokens: Tokens(u64::try_from(tokens).unwrap_or(u64::MAX)),
         }
     }
@@ -201,7 +201,12 @@
     let wanted = all.get(host).map(|lent| lent.wanted).unwrap_or_default();
     let total = sum(all.values().map(|lent| lent.wanted));
     Allotment {
-        rate: fair(wanted.rate, total.rate, spare.rate, taken.rate),
+        rate_thousandths: fair(
+            wanted.rate_thousandths,
+            total.rate_thousandths,
+            spare.rate_thousandths,
+            taken.rate_thousandths,
+        ),
         tokens: Tokens(fair(
             wanted.tokens.0,
             total.tokens.0,
@@ -226,7 +231,7 @@
     S: Iterator<Item = Allotment>,
 {
     parts.fold(Allotment::default(), |sum, part| Allotment {
-        rate: sum.rate.saturating_add(part.rate),
+        rate_thousandths: sum.rate_thousandths.saturating_add(part.rate_thousandths),
         tokens: sum.tokens + part.tokens,
     })
 }
--- a/almondlock-policy/src/limit/mod.rs
+++ b/almondlock-policy/src/limit/mod.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// Thousandths of requests per second.
-    pub rate: u64,
+    pub rate_thousandths: u64,
     /// Tokens in flight.
     pub tokens: Tokens,
     /// When it ends, by this host's clock and counted from before it was asked
@@ -253,7 +253,8 @@
     /// Thousandths of requests per second that this host may let through.
     fn rate(&self, config: &Config) -> u64 {
         let floor = u64::from(self.limit.rate) * 10 * u64::from(config.floor_percent.min(100));
-        floor / u64::from(config.hosts.max(1)) + self.lease.map_or(0, |lease| lease.rate)
+        floor / u64::from(config.hosts.max(1))
+            + self.lease.map_or(0, |lease| lease.rate_thousandths)
     }
 
     fn floor_tokens(&self, config: &Config) -> u64 {
--- a/almondlock-policy/src/poison.rs
+++ b/almondlock-policy/src/poison.rs
@@ -9,7 +9,7 @@
 //! | 0 | as any other; while no copy of it has finished, one at a time per entry host |
 //! | 1 | on an engine without another suspect |
 //! | 2 | alone on an engine |
-//! | [`Config::deaths`] (3) | refused everywhere, until [`Config::retention`] is over |
+//! | [`Config::max_deaths`] (3) | refused everywhere, until [`Config::retention`] is over |
 //!
 //! The last run is alone so that only the guilty get to three: whoever dies
 //! there can't have been the victim of a neighbour. Two suspects never run
@@ -39,9 +39,9 @@
 //! let bank = Organisation::new("bank")?;
 //! let now = Wall::from_millis(0);
 //! let mut record = blame(&config, None, &bank, now);
-//! assert_eq!(treat(Some(&record), now), Treatment::Apart);
+//! assert_eq!(treat(Some(&record), now), Treatment::SingleSuspect);
 //! record = blame(&config, Some(&record), &bank, now);
-//! assert_eq!(treat(Some(&record), now), Treatment::Alone);
+//! assert_eq!(treat(Some(&record), now), Treatment::Exclusive);
 //! record = blame(&config, Some(&record), &bank, now);
 //! assert!(matches!(treat(Some(&record), now), Treatment::Refuse { .. }));
 //! # Ok::<(), almondlock_base::id::Error>(())
@@ -64,22 +64,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// Engines that died while it ran, from which on it is refused.
-    pub deaths: u32,
+    pub max_deaths: u32,
     /// How long a record outlasts its last death.
     pub retention: Duration,
     /// Fingerprints an entry host remembers as harmless.
-    pub harmless: usize,
+    pub max_harmless: usize,
     /// For how long.
-    pub trust: Duration,
+    pub trust_time: Duration,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            deaths: 3,
+            max_deaths: 3,
             retention: Duration::from_secs(24 * 3_600),
-            harmless: 65_536,
-            trust: Duration::from_secs(600),
+            max_harmless: 65_536,
+            trust_time: Duration::from_secs(600),
         }
     }
 }
@@ -87,12 +87,12 @@
 /// Engines that one poison can cost, with this many entry hosts that may not
 /// have heard of it when it reaches them.
 pub const fn loss_limit(config: &Config, unaware: u32) -> u32 {
-    let known = config.deaths.saturating_sub(1);
+    let known = config.max_deaths.saturating_sub(1);
     let all = unaware.saturating_add(known);
-    if all > config.deaths {
+    if all > config.max_deaths {
         all
     } else {
-        config.deaths
+        config.max_deaths
     }
 }
 
@@ -100,11 +100,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Treatment {
     /// Nothing stands against it.
-    Free,
+    Unrestricted,
     /// On an engine without another suspect.
-    Apart,
+    SingleSuspect,
     /// Alone on an engine.
-    Alone,
+    Exclusive,
     /// Not at all.
     Refuse {
         /// When the record ends.
@@ -115,7 +115,7 @@
 impl Treatment {
     /// Whether it is a suspect that may run, so that its run must be charged.
     pub fn is_charged(self) -> bool {
-        matches!(self, Treatment::Apart | Treatment::Alone)
+        matches!(self, Treatment::SingleSuspect | Treatment::Exclusive)
     }
 }
 
@@ -131,7 +131,7 @@
     Quarantine {
         organisation: organisation.clone(),
         deaths,
-        refused: deaths >= config.deaths,
+        refused: deaths >= config.max_deaths,
         until: now + config.retention,
     }
 }
@@ -152,7 +152,7 @@
 ) -> Result<Quarantine, Duration> {
     match treat(record, now) {
         Treatment::Refuse { retry_after } => Err(retry_after),
-        Treatment::Free | Treatment::Apart | Treatment::Alone => {
+        Treatment::Unrestricted | Treatment::SingleSuspect | Treatment::Exclusive => {
             Ok(blame(config, record, organisation, now))
         }
     }
@@ -161,13 +161,13 @@
 /// How a request with this record is to be run.
 pub fn treat(record: Option<&Quarantine>, now: Wall) -> Treatment {
     match record.filter(|record| now < record.until) {
-        None => Treatment::Free,
+        None => Treatment::Unrestricted,
         Some(record) if record.refused => Treatment::Refuse {
             retry_after: record.until.since(now),
         },
-        Some(record) if record.deaths == 0 => Treatment::Free,
-        Some(record) if record.deaths == 1 => Treatment::Apart,
-        Some(_) => Treatment::Alone,
+        Some(record) if record.deaths == 0 => Treatment::Unrestricted,
+        Some(record) if record.deaths == 1 => Treatment::SingleSuspect,
+        Some(_) => Treatment::Exclusive,
     }
 }
 
@@ -228,7 +228,7 @@
         if matches!(treatment, Treatment::Refuse { .. }) {
             return Start::Run(treatment);
         }
-        let trusted = treatment == Treatment::Free && self.is_harmless(&print, now);
+        let trusted = treatment == Treatment::Unrestricted && self.is_harmless(&print, now);
         if known.running > 0 && !trusted {
             return Start::Wait;
         }
@@ -258,7 +258,7 @@
     }
 
     /// Notes that the deaths seen here are in the replicated records.
-    pub fn recorded(&mut self, print: &Fingerprint) {
+    pub fn mark_recorded(&mut self, print: &Fingerprint) {
         if let Some(copies) = self.copies.get_mut(print) {
             copies.deaths = 0;
         }
@@ -271,25 +271,25 @@
         let deaths = recorded.map_or(0, |record| record.deaths);
         match recorded {
             Some(record) if record.refused || known.deaths <= deaths => treat(recorded, wall),
-            _ if known.deaths == 0 => Treatment::Free,
-            _ if known.deaths >= self.config.deaths => Treatment::Refuse {
+            _ if known.deaths == 0 => Treatment::Unrestricted,
+            _ if known.deaths >= self.config.max_deaths => Treatment::Refuse {
                 retry_after: self.config.retention,
             },
-            _ if known.deaths == 1 => Treatment::Apart,
-            _ => Treatment::Alone,
+            _ if known.deaths == 1 => Treatment::SingleSuspect,
+            _ => Treatment::Exclusive,
         }
     }
 
     fn is_harmless(&self, print: &Fingerprint, now: Mono) -> bool {
         let at = self.harmless.get(print);
-        at.is_some_and(|at| now.since(*at) < self.config.trust)
+        at.is_some_and(|at| now.since(*at) < self.config.trust_time)
     }
 
     fn trust(&mut self, print: Fingerprint, now: Mono) {
         if self.harmless.insert(print, now).is_none() {
             self.order.push_back(print);
         }
-        while self.order.len() > self.config.harmless {
+        while self.order.len() > self.config.max_harmless {
             if let Some(oldest) = self.order.pop_front() {
                 self.harmless.remove(&oldest);
             }
--- a/almondlock-policy/src/poison/tally.rs
+++ b/almondlock-policy/src/poison/tally.rs
@@ -90,7 +90,7 @@
 {
     /// A copy that was sent at `sent` was lost on a life of an upstream. Whether that has
     /// changed what hosts have to know.
-    pub fn lose(&mut self, now: Mono, print: Fingerprint, life: L, sent: Mono) -> bool {
+    pub fn record_loss(&mut self, now: Mono, print: Fingerprint, life: L, sent: Mono) -> bool {
         self.forget(now);
         let (died, last) = self.dead.entry(life.clone()).or_insert((now, now));
         *last = now;
@@ -116,7 +116,7 @@
     }
 
     /// A copy was answered. Whether that has changed what hosts have to know.
-    pub fn clear(&mut self, now: Mono, print: &Fingerprint) -> bool {
+    pub fn record_answer(&mut self, now: Mono, print: &Fingerprint) -> bool {
         let known = self.suspects.get(print);
         if known.is_none_or(|suspect| suspect.is_refused(now)) {
             return false;
@@ -137,7 +137,7 @@
     }
 
     /// All requests that hosts have to know of.
-    pub fn known(&self) -> Vec<Fingerprint> {
+    pub fn watched(&self) -> Vec<Fingerprint> {
         let known = self.suspects.iter();
         let known = known.filter(|(_, suspect)| suspect.deaths.len() >= WATCHED);
         known.map(|(print, _)| *print).collect()
--- a/almondlock-policy/src/retry.rs
+++ b/almondlock-policy/src/retry.rs
@@ -10,7 +10,7 @@
 //!
 //! ```
 //! use almondlock_base::{Code, Ran};
-//! use almondlock_policy::retry::{Failure, Safety, safety};
+//! use almondlock_policy::retry::{Failure, Safety, assess_safety};
 //!
 //! let payment = Failure {
 //!     code: Code::UpstreamLost,
@@ -19,9 +19,9 @@
 //!     streamed: 0,
 //!     resumable: false,
 //! };
-//! assert_eq!(safety(&payment), Safety::Never);
+//! assert_eq!(assess_safety(&payment), Safety::Never);
 //! // The sidecar holds a tombstone for it: it can safely go elsewhere.
-//! assert_eq!(safety(&Failure { ran: Ran::No, ..payment }), Safety::Again);
+//! assert_eq!(assess_safety(&Failure { ran: Ran::No, ..payment }), Safety::Again);
 //! ```
 
 use std::{collections::HashMap, time::Duration};
@@ -47,7 +47,7 @@
 
 /// What is known of a request after one more attempt. It did not run only if
 /// no attempt did.
-pub const fn merge(before: Ran, attempt: Ran) -> Ran {
+pub const fn merge_ran(before: Ran, attempt: Ran) -> Ran {
     match (before, attempt) {
         (Ran::Yes, _) | (_, Ran::Yes) => Ran::Yes,
         (Ran::Unknown, _) | (_, Ran::Unknown) => Ran::Unknown,
@@ -72,7 +72,7 @@
 /// begun anew: a second run may choose other words, and the caller would get
 /// two halves that don't belong together. What may not be repeated is sent
 /// again only when it provably did not run.
-pub fn safety(failure: &Failure) -> Safety {
+pub fn assess_safety(failure: &Failure) -> Safety {
     let once = failure.ran == Ran::No || failure.repeatable;
     if !failure.code.is_retryable() || !once {
         return Safety::Never;
@@ -105,13 +105,13 @@
     pub retry_percent: u32,
     /// Retries per second that are free, so that a quiet organisation can
     /// retry at all.
-    pub free: f64,
+    pub free_per_second: f64,
     /// Most retries saved up.
-    pub burst: f64,
+    pub max_saved: f64,
     /// Longest wait before the first retry.
-    pub base: Duration,
+    pub base_backoff: Duration,
     /// Longest wait before any.
-    pub most: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for Config {
@@ -119,10 +119,10 @@
         Config {
             max_attempts: 4,
             retry_percent: 10,
-            free: 0.5,
-            burst: 20.0,
-            base: Duration::from_millis(20),
-            most: Duration::from_secs(1),
+            free_per_second: 0.5,
+            max_saved: 20.0,
+            base_backoff: Duration::from_millis(20),
+            max_backoff: Duration::from_secs(1),
         }
     }
 }
@@ -159,17 +159,17 @@
 impl Budget {
     fn refill(&mut self, config: &Config, now: Mono) {
         let earned = match self.at {
-            None => config.burst,
-            Some(at) => now.since(at).as_secs_f64() * config.free,
+            None => config.max_saved,
+            Some(at) => now.since(at).as_secs_f64() * config.free_per_second,
         };
-        self.saved = (self.saved + earned).min(config.burst);
+        self.saved = (self.saved + earned).min(config.max_saved);
         self.at = Some(self.at.map_or(now, |at| at.max(now)));
     }
 
     fn deposit(&mut self, config: &Config, now: Mono) {
         self.refill(config, now);
         let earned = f64::from(config.retry_percent) / 100.0;
-        self.saved = (self.saved + earned).min(config.burst);
+        self.saved = (self.saved + earned).min(config.max_saved);
     }
 
     fn has_one(&mut self, config: &Config, now: Mono) -> bool {
@@ -197,7 +197,7 @@
     }
 
     /// Counts a fresh request.
-    pub fn fresh(&mut self, organisation: &Organisation, now: Mono) {
+    pub fn count_request(&mut self, organisation: &Organisation, now: Mono) {
         self.host.deposit(&self.config, now);
         // Found before inserted: the name is not copied for each request.
         if let Some(budget) = self.organisations.get_mut(organisation) {
@@ -215,7 +215,7 @@
     }
 
     /// Retries that the host could pay for now.
-    pub fn left(&self) -> f64 {
+    pub fn remaining(&self) -> f64 {
         self.host.saved
     }
 
@@ -233,7 +233,7 @@
     where
         R: Rng,
     {
-        let offset = match safety(failure) {
+        let offset = match assess_safety(failure) {
             Safety::Again => 0,
             Safety::Resume(offset) => offset,
             Safety::Never => return self.give_up(failure.code, failure.ran),
@@ -274,9 +274,9 @@
         let doubled = 2u32.saturating_pow(made.saturating_sub(1).min(16));
         let most = self
             .config
-            .base
+            .base_backoff
             .saturating_mul(doubled)
-            .min(self.config.most);
+            .min(self.config.max_backoff);
         most.mul_f64(rng.random_range(0.5..=1.0))
     }
 
@@ -292,7 +292,7 @@
 
     fn give_up(&self, code: Code, ran: Ran) -> Decision {
         let retry_after = if code.is_retryable() {
-            self.config.most
+            self.config.max_backoff
         } else {
             Duration::ZERO
         };
--- a/almondlock-policy/src/throttle/client.rs
+++ b/almondlock-policy/src/throttle/client.rs
@@ -32,7 +32,7 @@
     R: Copy + Eq + Hash,
 {
     /// The first of the relays that may have a permit for this upstream.
-    pub fn next(&self, now: Mono, key: &K, relays: &[R]) -> Option<R> {
+    pub fn next_relay(&self, now: Mono, key: &K, relays: &[R]) -> Option<R> {
         let mut relays = relays.iter().copied();
         relays.find(|relay| self.until(key, *relay) <= now)
     }
--- a/almondlock-policy/tests/deadline_bounds.rs
+++ b/almondlock-policy/tests/deadline_bounds.rs
@@ -11,8 +11,8 @@
 use yare::parameterized;
 
 const BOUNDS: Bounds = Bounds {
-    default: 30_000,
-    limit: 600_000,
+    default_ms: 30_000,
+    limit_ms: 600_000,
 };
 
 #[parameterized(
--- a/almondlock-policy/tests/gang_deadlock.rs
+++ b/almondlock-policy/tests/gang_deadlock.rs
@@ -149,7 +149,7 @@
     }
 
     fn member(&self, gang: usize, part: usize) -> usize {
-        let upstream = &self.gangs[gang].parts()[part].upstream;
+        let upstream = &self.gangs[gang].reservations()[part].upstream;
         (0..MEMBERS).find(|i| name(*i) == *upstream).unwrap()
     }
 
@@ -208,7 +208,7 @@
         self.engines[member] = Engine::new();
         for id in 0..GANGS {
             let upstream = name(member);
-            let parts = self.gangs[id].parts();
+            let parts = self.gangs[id].reservations();
             if let Some(part) = parts.iter().position(|part| part.upstream == upstream)
                 && !self.finished[id]
             {
@@ -228,7 +228,7 @@
             for member in 0..MEMBERS {
                 for id in self.engines[member].step(step, now) {
                     let upstream = name(member);
-                    let parts = self.gangs[id].parts();
+                    let parts = self.gangs[id].reservations();
                     let part = parts.iter().position(|part| part.upstream == upstream);
                     self.gangs[id].note_grant(part.unwrap());
                 }
--- a/almondlock-policy/tests/lent_share.rs
+++ b/almondlock-policy/tests/lent_share.rs
@@ -59,16 +59,16 @@
     let used = limiter.tokens_over_floor(&bank());
     let mut demand = limiter.take_demand(&bank());
     demand.tokens += used;
-    lender.ask(&host(i), &bank(), demand, used, now)
+    lender.allot(&host(i), &bank(), demand, used, now)
 }
 
 /// Asks for what was turned away and for what is used over the floor.
 fn ask(limiter: &mut Limiter, i: usize, lender: &mut Lender, now: Mono) {
     let part = say(limiter, i, lender, now);
     let lease = Lease {
-        rate: part.rate,
+        rate_thousandths: part.rate_thousandths,
         tokens: part.tokens,
-        until: now + lender.lease(),
+        until: now + lender.lease_time(),
     };
     limiter.set_lease(&bank(), lease);
 }
@@ -150,9 +150,9 @@
                 requests: 0,
                 tokens: Tokens(rng.random_range(0..100_000)),
             };
-            let part = lender.ask(&host(i), &bank(), demand, Tokens::ZERO, now);
+            let part = lender.allot(&host(i), &bank(), demand, Tokens::ZERO, now);
             assert!(part.tokens <= demand.tokens);
-            parts[i] = (part.tokens, now + lender.lease());
+            parts[i] = (part.tokens, now + lender.lease_time());
             let live = parts.iter().filter(|(_, until)| now < *until);
             let sum: Tokens = live.map(|(tokens, _)| *tokens).sum();
             assert!(sum <= Tokens(60_000), "seed {seed}: {sum}");
@@ -171,26 +171,26 @@
     };
     let start = Mono::from_millis(7_000);
     let mut lender = lender(Mono::ZERO);
-    let first = lender.ask(&host(0), &bank(), want(60_000), Tokens::ZERO, start);
+    let first = lender.allot(&host(0), &bank(), want(60_000), Tokens::ZERO, start);
     assert_eq!(first.tokens, Tokens(60_000));
     // It is heard of.
     let later = start + Duration::from_secs(3);
-    lender.ask(&host(0), &bank(), want(0), Tokens(55_000), later);
-    let second = lender.ask(&host(1), &bank(), want(60_000), Tokens::ZERO, later);
+    lender.allot(&host(0), &bank(), want(0), Tokens(55_000), later);
+    let second = lender.allot(&host(1), &bank(), want(60_000), Tokens::ZERO, later);
     assert_eq!(second.tokens, Tokens(5_000));
     // It is cut off.
     let cut = later + Duration::from_secs(6);
-    let second = lender.ask(&host(1), &bank(), want(60_000), Tokens::ZERO, cut);
+    let second = lender.allot(&host(1), &bank(), want(60_000), Tokens::ZERO, cut);
     assert_eq!(second.tokens, Tokens(5_000));
     let over = later + Duration::from_secs(7);
-    let second = lender.ask(&host(1), &bank(), want(60_000), Tokens::ZERO, over);
+    let second = lender.allot(&host(1), &bank(), want(60_000), Tokens::ZERO, over);
     assert_eq!(second.tokens, Tokens(60_000));
     // The next lender knows of nothing.
     let mut lender = self::lender(over);
     let early = over + Duration::from_millis(6_999);
-    let third = lender.ask(&host(2), &bank(), want(60_000), Tokens::ZERO, early);
+    let third = lender.allot(&host(2), &bank(), want(60_000), Tokens::ZERO, early);
     assert_eq!(third.tokens, Tokens::ZERO);
     let late = over + Duration::from_secs(7);
-    let third = lender.ask(&host(2), &bank(), want(60_000), Tokens::ZERO, late);
+    let third = lender.allot(&host(2), &bank(), want(60_000), Tokens::ZERO, late);
     assert_eq!(third.tokens, Tokens(60_000));
 }
--- a/almondlock-policy/tests/lost_upstreams.rs
+++ b/almondlock-policy/tests/lost_upstreams.rs
@@ -31,7 +31,7 @@
     for life in lives {
         let sent = now;
         now = now + PAUSE;
-        tally.lose(now, print, life, sent);
+        tally.record_loss(now, print, life, sent);
     }
     now
 }
@@ -53,7 +53,7 @@
 fn lost_together() {
     let mut tally = Tally::default();
     for life in 0..20 {
-        tally.lose(START + PAUSE, print("a"), life, START);
+        tally.record_loss(START + PAUSE, print("a"), life, START);
     }
     assert_eq!(tally.standing(START + PAUSE, &print("a")), Standing::Clear);
 }
@@ -74,7 +74,7 @@
 fn answered_between() {
     let mut tally = Tally::default();
     let now = lose(&mut tally, print("a"), START, 0..2);
-    assert!(tally.clear(now, &print("a")));
+    assert!(tally.record_answer(now, &print("a")));
     let now = lose(&mut tally, print("a"), now, 2..4);
     assert_eq!(tally.standing(now, &print("a")), Standing::Watched);
 }
@@ -84,7 +84,10 @@
 fn tried_again() {
     let mut tally = Tally::default();
     let now = lose(&mut tally, print("a"), START, 0..3);
-    assert!(!tally.clear(now, &print("a")), "it is refused already");
+    assert!(
+        !tally.record_answer(now, &print("a")),
+        "it is refused already"
+    );
     let now = now + REFUSED;
     assert_eq!(tally.standing(now, &print("a")), Standing::Watched);
     let now = lose(&mut tally, print("a"), now, 3..4);
@@ -98,13 +101,13 @@
     let mut tally = Tally::default();
     let now = lose(&mut tally, print("bad"), START, 0..3);
     for n in 0..KEPT as u32 + 10 {
-        tally.lose(now, print(&n.to_string()), n, now);
+        tally.record_loss(now, print(&n.to_string()), n, now);
     }
     assert!(matches!(
         tally.standing(now, &print("bad")),
         Standing::Refused(_)
     ));
-    assert_eq!(tally.known().len(), 1);
+    assert_eq!(tally.watched().len(), 1);
 }
 
 /// Guards against usual requests that are refused because they were sent to upstreams which
@@ -146,9 +149,9 @@
     for life in 0..DEATHS as u32 {
         let sent = now;
         now = now + PAUSE;
-        tally.lose(now, print("usual"), life, sent);
+        tally.record_loss(now, print("usual"), life, sent);
         let told = now + Duration::from_millis(1);
-        tally.lose(told, print("crashing"), life, told);
+        tally.record_loss(told, print("crashing"), life, told);
     }
     let standing = tally.standing(now, &print("crashing"));
     assert!(matches!(standing, Standing::Refused(_)), "{standing:?}");
--- a/almondlock-policy/tests/named_limit.rs
+++ b/almondlock-policy/tests/named_limit.rs
@@ -78,18 +78,18 @@
 fn which_relay() {
     let mut waits: Selector<&str, u8> = Selector::default();
     let relays = [1, 2];
-    assert_eq!(waits.next(at(0), &"a", &relays), Some(1));
+    assert_eq!(waits.next_relay(at(0), &"a", &relays), Some(1));
     waits.note_refusal(at(0), &"a", 1, Duration::from_millis(300));
-    assert_eq!(waits.next(at(0), &"a", &relays), Some(2));
-    assert_eq!(waits.next(at(0), &"b", &relays), Some(1));
+    assert_eq!(waits.next_relay(at(0), &"a", &relays), Some(2));
+    assert_eq!(waits.next_relay(at(0), &"b", &relays), Some(1));
     waits.note_no_answer(at(0), 2);
-    assert_eq!(waits.next(at(0), &"a", &relays), None);
+    assert_eq!(waits.next_relay(at(0), &"a", &relays), None);
     assert_eq!(
         waits.time_to_permit(at(100), &"a", &relays),
         Duration::from_millis(200)
     );
-    assert_eq!(waits.next(at(300), &"a", &relays), Some(1));
-    assert_eq!(waits.next(at(0), &"b", &[2]), None);
+    assert_eq!(waits.next_relay(at(300), &"a", &relays), Some(1));
+    assert_eq!(waits.next_relay(at(0), &"b", &[2]), None);
 }
 
 /// Callers refused together return one after the other, at this host's part of the rate; one
--- a/almondlock-policy/tests/poison_resend.rs
+++ b/almondlock-policy/tests/poison_resend.rs
@@ -94,7 +94,7 @@
                 return None;
             };
             self.records().insert(print(number), charged);
-        } else if treatment != Treatment::Free {
+        } else if treatment != Treatment::Unrestricted {
             return None;
         }
         Some(Run {
@@ -112,11 +112,11 @@
             let suits = |engine: &Vec<Run>| {
                 let alone = engine
                     .iter()
-                    .any(|other| other.treatment == Treatment::Alone);
+                    .any(|other| other.treatment == Treatment::Exclusive);
                 let suspect = engine.iter().any(|other| other.treatment.is_charged());
                 match run.treatment {
-                    Treatment::Alone => engine.is_empty(),
-                    Treatment::Apart => !alone && !suspect,
+                    Treatment::Exclusive => engine.is_empty(),
+                    Treatment::SingleSuspect => !alone && !suspect,
                     _ => !alone,
                 }
             };
@@ -259,7 +259,7 @@
     let config = Config::default();
     let start = Wall::from_millis(0);
     let mut record = None;
-    for _ in 0..config.deaths {
+    for _ in 0..config.max_deaths {
         record = Some(blame(&config, record.as_ref(), &bank(), start));
     }
     let late = start + (config.retention - Duration::from_millis(1));
@@ -269,7 +269,7 @@
         Treatment::Refuse { retry_after: left }
     );
     let after = start + config.retention;
-    assert_eq!(treat(record.as_ref(), after), Treatment::Free);
+    assert_eq!(treat(record.as_ref(), after), Treatment::Unrestricted);
     assert_eq!(blame(&config, record.as_ref(), &bank(), after).deaths, 1);
 }
 
@@ -277,7 +277,7 @@
 fn copies_of_the_harmless_run_together() {
     let mut watch = Watch::new(Config::default());
     let (wall, now) = (Wall::from_millis(0), Mono::ZERO);
-    let run = Start::Run(Treatment::Free);
+    let run = Start::Run(Treatment::Unrestricted);
     assert_eq!(watch.begin(print(1), None, wall, now), run);
     assert_eq!(watch.begin(print(1), None, wall, now), Start::Wait);
     assert_eq!(watch.begin(print(2), None, wall, now), run);
--- a/almondlock-policy/tests/retry_storm.rs
+++ b/almondlock-policy/tests/retry_storm.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use almondlock_base::{Code, Ran, id::Organisation, time::Mono};
-use almondlock_policy::retry::{Config, Decision, Failure, Policy, Safety, merge, safety};
+use almondlock_policy::retry::{
+    Config, Decision, Failure, Policy, Safety, assess_safety, merge_ran,
+};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use yare::parameterized;
 
@@ -37,7 +39,7 @@
     for i in 0..fresh {
         // 600 a second for ten seconds.
         let now = Mono::from_micros(i * 1_667);
-        policy.fresh(&bank(), now);
+        policy.count_request(&bank(), now);
         let mut made = 1;
         while rng.random_bool(0.5) {
             match policy.decide(&bank(), &lost(), made, LEFT, now, &mut rng) {
@@ -66,8 +68,8 @@
     let now = Mono::ZERO;
     let quiet = Organisation::new("quiet").unwrap();
     for _ in 0..1_000 {
-        policy.fresh(&bank(), now);
-        policy.fresh(&quiet, now);
+        policy.count_request(&bank(), now);
+        policy.count_request(&quiet, now);
         policy.decide(&bank(), &lost(), 1, LEFT, now, &mut rng);
     }
     let decision = policy.decide(&quiet, &lost(), 1, LEFT, now, &mut rng);
@@ -77,13 +79,13 @@
 #[test]
 fn back_off_is_spread_and_grows() {
     let config = Config {
-        burst: 1e6,
+        max_saved: 1e6,
         max_attempts: 20,
         ..Config::default()
     };
     let mut policy = Policy::new(config);
     let mut rng = SmallRng::seed_from_u64(4);
-    policy.fresh(&bank(), Mono::ZERO);
+    policy.count_request(&bank(), Mono::ZERO);
     let mut after = |made| match policy.decide(&bank(), &lost(), made, LEFT, Mono::ZERO, &mut rng) {
         Decision::Retry { after, .. } => after,
         Decision::GiveUp { .. } => panic!("within the budget"),
@@ -113,14 +115,14 @@
     quarantined = { Failure { code: Code::Quarantined, ran: Ran::No, ..lost() }, Safety::Never },
 )]
 fn what_may_follow(failure: Failure, expected: Safety) {
-    assert_eq!(safety(&failure), expected);
+    assert_eq!(assess_safety(&failure), expected);
 }
 
 #[test]
 fn a_planned_stop_is_not_charged() {
     let mut policy = Policy::new(Config::default());
     let mut rng = SmallRng::seed_from_u64(4);
-    policy.fresh(&bank(), Mono::ZERO);
+    policy.count_request(&bank(), Mono::ZERO);
     let moved = Failure {
         code: Code::UpstreamLeaving,
         ran: Ran::No,
@@ -141,7 +143,7 @@
 fn no_time_left_is_the_final_answer() {
     let mut policy = Policy::new(Config::default());
     let mut rng = SmallRng::seed_from_u64(4);
-    policy.fresh(&bank(), Mono::ZERO);
+    policy.count_request(&bank(), Mono::ZERO);
     let left = Duration::from_millis(1);
     let decision = policy.decide(&bank(), &lost(), 1, left, Mono::ZERO, &mut rng);
     let Decision::GiveUp { code, ran, .. } = decision else {
@@ -157,5 +159,5 @@
     both = { Ran::Unknown, Ran::Yes, Ran::Yes },
 )]
 fn attempts_add_up(before: Ran, attempt: Ran, expected: Ran) {
-    assert_eq!(merge(before, attempt), expected);
+    assert_eq!(merge_ran(before, attempt), expected);
 }
--- a/almondlock-policy/tests/shared_limit.rs
+++ b/almondlock-policy/tests/shared_limit.rs
@@ -94,7 +94,7 @@
     };
     let mut limiter = limiter(3, limit);
     let lease = Lease {
-        rate: 0,
+        rate_thousandths: 0,
         tokens: Tokens(15_000),
         until: Mono::from_millis(2_000),
     };
--- a/almondlock-sidecar/src/service.rs
+++ b/almondlock-sidecar/src/service.rs
@@ -279,7 +279,7 @@
         }
         let known = poison::treat(known, clock::wall());
         let treatment = match known {
-            Treatment::Free if head.suspect => Treatment::Apart,
+            Treatment::Unrestricted if head.suspect => Treatment::SingleSuspect,
             known => known,
         };
         let suspect = treatment.is_charged();
--- a/almondlock-sidecar/src/table.rs
+++ b/almondlock-sidecar/src/table.rs
@@ -168,7 +168,7 @@
         let need = job.memory_need();
         let room = self.room();
         let id = head.attempt.clone();
-        let pushed = if treatment == Treatment::Alone {
+        let pushed = if treatment == Treatment::Exclusive {
             self.queue.push_alone(id, job, &room, now)
         } else {
             self.queue.push(id, job, &room, now)
