--- a/almondlock-gateway/src/backoff.rs
+++ b/almondlock-gateway/src/backoff.rs
@@ -3,7 +3,7 @@
 
 use almondlock_base::{id::Upstream, time::Mono};
 use almondlock_node::clock;
-use almondlock_policy::backoff::{Reason, delay};
+use almondlock_policy::backoff::{Reason, parse_delay};
 
 use crate::{
     dialect::Dialect,
@@ -25,7 +25,7 @@
             return;
         }
         let leaves = head.text(names.leaving.as_str()) == Some("1");
-        if leaves && self.backoffs.borrow_mut().leave(upstream) {
+        if leaves && self.backoffs.borrow_mut().mark_leaving(upstream) {
             self.shared.metrics.count("backoffs", "leaving");
             tracing::info!(%upstream, source = "answer", "upstream leaves");
         }
@@ -33,12 +33,12 @@
         let Some(text) = asked.filter(|_| head.status == 503) else {
             return;
         };
-        let Some(pause) = delay(text) else {
+        let Some(pause) = parse_delay(text) else {
             tracing::warn!(%upstream, pause = text, "unreadable pause");
             return;
         };
         let until = clock::mono() + pause;
-        if self.backoffs.borrow_mut().back_off(upstream, until) {
+        if self.backoffs.borrow_mut().pause(upstream, until) {
             self.shared.metrics.count("backoffs", "pause");
             tracing::info!(%upstream, for_ms = pause.as_millis(), "upstream asks for a pause");
         }
--- a/almondlock-gateway/src/exchange/suspects.rs
+++ b/almondlock-gateway/src/exchange/suspects.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use almondlock_base::{id::Fingerprint, time::Mono};
-use almondlock_policy::poison::tally::{Standing, Tally};
+use almondlock_policy::poison::tally::{Status, Tally};
 use almondlock_state::instance::Birth;
 
 use super::message::{Loss, Suspect, millis};
@@ -30,7 +30,7 @@
         let sent = now - Duration::from_millis(loss.age_ms.into());
         let life = (loss.key, loss.birth);
         if self.tally.record_loss(now, loss.print, life, sent) {
-            let standing = self.tally.standing(now, &loss.print);
+            let standing = self.tally.status(now, &loss.print);
             tracing::info!(
                 fingerprint = %loss.print, upstream = %loss.key, age_ms = loss.age_ms,
                 ?standing, "upstreams lost with a request"
@@ -65,14 +65,14 @@
     }
 
     fn suspect(&self, now: Mono, print: Fingerprint) -> Suspect {
-        let standing = self.tally.standing(now, &print);
+        let standing = self.tally.status(now, &print);
         Suspect {
             print,
             refused_ms: match standing {
-                Standing::Refused(left) => Some(millis(left)),
-                Standing::Clear | Standing::Watched => None,
+                Status::Refused(left) => Some(millis(left)),
+                Status::Clear | Status::Watched => None,
             },
-            watched: standing == Standing::Watched,
+            watched: standing == Status::Watched,
         }
     }
 }
--- a/almondlock-gateway/src/permit.rs
+++ b/almondlock-gateway/src/permit.rs
@@ -121,7 +121,7 @@
     ) -> Duration {
         let mut returns = self.returns.borrow_mut();
         let returns = returns.entry(service.clone()).or_default();
-        returns.next(now, opens, share, patience)
+        returns.next_retry(now, opens, share, patience)
     }
 
     /// Takes in a relay's answer.
--- a/almondlock-gateway/src/worker.rs
+++ b/almondlock-gateway/src/worker.rs
@@ -258,7 +258,7 @@
                 tracing::info!(upstream = %name, birth = birth.0, "upstream started again");
                 self.load.borrow_mut().forget(name);
                 self.end_limit(name);
-                self.backoffs.borrow_mut().forget(name);
+                self.backoffs.borrow_mut().reset(name);
                 self.pool.borrow_mut().forget(name);
                 self.suspects.borrow_mut().remove(name);
                 self.pacing.forget(name);
--- a/almondlock-policy/examples/decisions.rs
+++ b/almondlock-policy/examples/decisions.rs
@@ -258,8 +258,8 @@
         let now = Mono::from_millis(round);
         timed(&mut times, || {
             ledger.open(10_000 + round, item, &owner, lease, now);
-            ledger.opened(&(10_000 + round), now);
-            ledger.ended(&(10_000 + round));
+            ledger.confirm_open(&(10_000 + round), now);
+            ledger.remove(&(10_000 + round));
         });
     }
     show("ledger: open, opened, ended, 1000 held", times);
--- a/almondlock-policy/src/backoff.rs
+++ b/almondlock-policy/src/backoff.rs
@@ -13,8 +13,8 @@
 //! let now = Mono::from_millis(1_000);
 //! let upstream = Upstream::new("prices")?;
 //! let mut table = Table::default();
-//! let delay = backoff::delay("1.5").unwrap();
-//! table.back_off(&upstream, now + delay);
+//! let delay = backoff::parse_delay("1.5").unwrap();
+//! table.pause(&upstream, now + delay);
 //! let after = now + Duration::from_secs(1);
 //! let left = Duration::from_millis(500);
 //! assert_eq!(table.reason(after, &upstream), Some(Reason::Backoff(left)));
@@ -31,7 +31,7 @@
 
 /// Reads the seconds of a `Retry-After`, which may be a fraction. None if they are no
 /// time span; a date isn't read.
-pub fn delay(text: &str) -> Option<Duration> {
+pub fn parse_delay(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
 }
@@ -73,7 +73,7 @@
 
 impl Table {
     /// An upstream asked for a pause until then. Whether that is later than known.
-    pub fn back_off(&mut self, upstream: &Upstream, until: Mono) -> bool {
+    pub fn pause(&mut self, upstream: &Upstream, until: Mono) -> bool {
         let known = self.pauses.entry(upstream.clone()).or_default();
         let is_later = until > *known;
         *known = until.max(*known);
@@ -81,12 +81,12 @@
     }
 
     /// An upstream says that it leaves. Whether that is new.
-    pub fn leave(&mut self, upstream: &Upstream) -> bool {
+    pub fn mark_leaving(&mut self, upstream: &Upstream) -> bool {
         self.leaving.insert(upstream.clone())
     }
 
     /// Another life of the upstream has begun, which has asked for nothing.
-    pub fn forget(&mut self, upstream: &Upstream) {
+    pub fn reset(&mut self, upstream: &Upstream) {
         self.pauses.remove(upstream);
         self.leaving.remove(upstream);
     }
--- a/almondlock-policy/src/deadline.rs
+++ b/almondlock-policy/src/deadline.rs
@@ -71,7 +71,7 @@
     /// Most tokens of the answer.
     pub max_output: Tokens,
     /// How long it would wait at the upstream that it would go to.
-    pub wait: Duration,
+    pub queue_wait: Duration,
 }
 
 /// Why a request is refused, with when to come back. It has not run.
@@ -113,7 +113,7 @@
 impl Forecast {
     /// How long the work takes, the wait included.
     pub fn estimate(&self, work: &Work) -> Duration {
-        work.wait + self.service_time(work)
+        work.queue_wait + self.service_time(work)
     }
 
     /// Whether the work can end within the time left.
@@ -123,7 +123,7 @@
     /// Refused when it can't, with when to come back.
     pub fn check(&self, work: &Work, left: Duration) -> Result<Duration, Refusal> {
         let service = self.service_time(work);
-        let estimate = work.wait + service;
+        let estimate = work.queue_wait + service;
         if estimate <= left {
             return Ok(estimate);
         }
--- a/almondlock-policy/src/ledger.rs
+++ b/almondlock-policy/src/ledger.rs
@@ -15,10 +15,10 @@
 //! - *The open arrives after the free.* The engine answers the free with "no
 //!   such thing" and then makes it. So, while an open was not confirmed, a
 //!   confirmed free only counts if it was asked for after
-//!   [`Config::order_life`], within which the engine acts on an order or never.
+//!   [`Config::order_lifetime`], within which the engine acts on an order or never.
 //! - *The sidecar dies*, and the ledger with it. The successor asks the engine
 //!   what exists. Owners that live [claim](Ledger::claim) theirs within
-//!   [`Config::grace`]; the rest is freed. The same [comparison](Ledger::reconcile),
+//!   [`Config::claim_grace`]; the rest is freed. The same [comparison](Ledger::reconcile),
 //!   made now and then, finds whatever else went wrong.
 //!
 //! Writing the ledger to disk was ruled out: it would still have to be compared
@@ -35,11 +35,11 @@
 //! let item = Item { kind: Kind::Stream, tokens: Tokens(5_000) };
 //! let lease = Duration::from_secs(10);
 //! ledger.open(7, item, &owner, lease, Mono::ZERO);
-//! ledger.opened(&7, Mono::ZERO);
+//! ledger.confirm_open(&7, Mono::ZERO);
 //! // The owner is not heard of again.
 //! let now = Mono::from_millis(10_000);
-//! assert_eq!(ledger.orders(now), [Order { id: 7, kind: Kind::Stream }]);
-//! ledger.freed(&7, now);
+//! assert_eq!(ledger.take_orders(now), [Order { id: 7, kind: Kind::Stream }]);
+//! ledger.confirm_free(&7, now);
 //! assert!(ledger.is_empty());
 //! # Ok::<(), almondlock_base::id::Error>(())
 //! ```
@@ -59,19 +59,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// After how long an order to free is given again.
-    pub repeat: Duration,
+    pub repeat_interval: Duration,
     /// How long after it was given an engine may still act on an order.
-    pub order_life: Duration,
+    pub order_lifetime: Duration,
     /// How long a successor waits for owners to claim what they hold.
-    pub grace: Duration,
+    pub claim_grace: Duration,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            repeat: Duration::from_millis(500),
-            order_life: Duration::from_secs(5),
-            grace: Duration::from_secs(10),
+            repeat_interval: Duration::from_millis(500),
+            order_lifetime: Duration::from_secs(5),
+            claim_grace: Duration::from_secs(10),
         }
     }
 }
@@ -106,7 +106,7 @@
 }
 
 /// An order to the engine: cancel a stream, free an export or a reservation.
-/// Given again until [`Ledger::freed`] says that it was confirmed; the engine
+/// Given again until [`Ledger::confirm_free`] says that it was confirmed; the engine
 /// confirms it also when there is no such thing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order<I> {
@@ -174,7 +174,7 @@
     /// holds. To be followed by [`Ledger::reconcile`].
     pub fn recover(config: Config, now: Mono) -> Ledger<I> {
         Ledger {
-            grace_until: Some(now + config.grace),
+            grace_until: Some(now + config.claim_grace),
             ..Ledger::new(config)
         }
     }
@@ -199,7 +199,7 @@
     }
 
     /// Notes that the engine has made it.
-    pub fn opened(&mut self, id: &I, now: Mono) {
+    pub fn confirm_open(&mut self, id: &I, now: Mono) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.confirmed_at = entry.confirmed_at.or(Some(now));
         }
@@ -238,7 +238,7 @@
     }
 
     /// Gives a thing back. The order to free it comes with the next
-    /// [`Ledger::orders`]. Doing so twice is the same as once.
+    /// [`Ledger::take_orders`]. Doing so twice is the same as once.
     pub fn release(&mut self, id: &I, now: Mono) {
         let held = |entry: &&Entry| entry.stage == Stage::Held;
         let Some(entry) = self.entries.get(id).filter(held).cloned() else {
@@ -255,7 +255,7 @@
 
     /// Notes that the engine ended a thing by itself: a stream came to its end,
     /// an export was fetched and freed.
-    pub fn ended(&mut self, id: &I) {
+    pub fn remove(&mut self, id: &I) {
         if let Some(entry) = self.entries.remove(id) {
             self.unlink(id, &entry);
         }
@@ -263,14 +263,14 @@
 
     /// The orders that are due: for leases that have ended, for what was given
     /// back, and again for what was not confirmed.
-    pub fn orders(&mut self, now: Mono) -> Vec<Order<I>> {
+    pub fn take_orders(&mut self, now: Mono) -> Vec<Order<I>> {
         self.expire(now);
         let mut orders = Vec::new();
         while let Some((due, id)) = self.closing.first().cloned()
             && due <= now
         {
             self.closing.pop_first();
-            let next = now + self.config.repeat.max(Duration::from_micros(1));
+            let next = now + self.config.repeat_interval.max(Duration::from_micros(1));
             if let Some(entry) = self.entries.get_mut(&id) {
                 entry.stage = Stage::Closing(next);
                 let kind = entry.item.kind;
@@ -281,8 +281,8 @@
         orders
     }
 
-    /// When [`Ledger::orders`] has something to say next.
-    pub fn next_order(&self) -> Option<Mono> {
+    /// When [`Ledger::take_orders`] has something to say next.
+    pub fn next_order_at(&self) -> Option<Mono> {
         let lease = self.leases.first().map(|(at, _)| *at);
         let order = self.closing.first().map(|(at, _)| *at);
         lease.into_iter().chain(order).min()
@@ -290,14 +290,14 @@
 
     /// Notes that the engine confirmed an order to free, which was given at
     /// `asked`.
-    pub fn freed(&mut self, id: &I, asked: Mono) {
+    pub fn confirm_free(&mut self, id: &I, asked: Mono) {
         let Some(entry) = self.entries.get(id) else {
             return;
         };
         // An open that was not confirmed may still be on its way and would
         // make the thing after all. The order is repeated until it can't.
         if matches!(entry.stage, Stage::Closing(_)) && self.is_settled(entry, asked) {
-            self.ended(id);
+            self.remove(id);
         }
     }
 
@@ -314,7 +314,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in &gone {
-            self.ended(id);
+            self.remove(id);
         }
         let grace = self.grace_until.filter(|until| now < *until);
         for (id, item) in list {
@@ -327,7 +327,7 @@
     }
 
     /// Memory held, what is about to be freed included.
-    pub fn held(&self) -> Tokens {
+    pub fn held_tokens(&self) -> Tokens {
         self.entries.values().map(|entry| entry.item.tokens).sum()
     }
 
@@ -352,7 +352,7 @@
     /// have answered between that moment and acting on the order.
     fn is_settled(&self, entry: &Entry, asked: Mono) -> bool {
         let made = entry.confirmed_at.is_some_and(|at| at < asked);
-        made || entry.opened_at + self.config.order_life < asked
+        made || entry.opened_at + self.config.order_lifetime < asked
     }
 
     fn adopt(&mut self, id: I, item: Item, grace: Option<Mono>, now: Mono) {
--- a/almondlock-policy/src/poison/tally.rs
+++ b/almondlock-policy/src/poison/tally.rs
@@ -2,7 +2,7 @@
 //!
 //! A host of that path sees only that a connection broke while a request ran. It tells
 //! every relay, and each relay counts by itself: nothing is agreed on, and a relay that
-//! starts again begins anew. From [`DEATHS`] on the relays tell all hosts to refuse the
+//! starts again begins anew. From [`REFUSAL_DEATHS`] on the relays tell all hosts to refuse the
 //! request.
 //!
 //! | what hosts tell | what counts |
@@ -12,7 +12,7 @@
 //! | a loss of a copy that was sent to a life after that one was lost | nothing: it was dead already, unless it has lost nothing for a while |
 //! | a copy was answered | the deaths are forgotten, unless it is refused already |
 //!
-//! A request is refused for [`REFUSED`] after its last death and then tried once: one more
+//! A request is refused for [`REFUSAL_TIME`] after its last death and then tried once: one more
 //! death refuses it again.
 
 use std::{collections::HashMap, hash::Hash, time::Duration};
@@ -20,15 +20,15 @@
 use almondlock_base::{id::Fingerprint, time::Mono};
 
 /// Deaths from which a request is refused.
-pub const DEATHS: usize = 3;
+pub const REFUSAL_DEATHS: usize = 3;
 /// Deaths from which hosts tell when a copy is answered.
-pub const WATCHED: usize = 2;
+pub const WATCH_DEATHS: usize = 2;
 /// How long a request is refused after its last death.
-pub const REFUSED: Duration = Duration::from_secs(600);
+pub const REFUSAL_TIME: Duration = Duration::from_secs(600);
 /// How long deaths count that don't refuse it.
 const SUSPECTED: Duration = Duration::from_secs(60);
 /// Requests that are kept; the oldest go first.
-pub const KEPT: usize = 4_096;
+pub const MAX_SUSPECTS: usize = 4_096;
 /// A life that was lost counts as dead until it has lost nothing for so long: longer than
 /// hosts pass over an upstream that failed before they try it again.
 const DEAD: Duration = Duration::from_secs(3);
@@ -37,28 +37,28 @@
 
 #[derive(Clone, Debug)]
 struct Suspect<L> {
-    /// Invariant: at most [`DEATHS`], none twice.
+    /// Invariant: at most [`REFUSAL_DEATHS`], none twice.
     deaths: Vec<L>,
     last: Mono,
 }
 
 impl<L> Suspect<L> {
     fn is_refused(&self, now: Mono) -> bool {
-        self.deaths.len() >= DEATHS && now.since(self.last) < REFUSED
+        self.deaths.len() >= REFUSAL_DEATHS && now.since(self.last) < REFUSAL_TIME
     }
 
     fn lasts(&self) -> Duration {
-        match self.deaths.len() < DEATHS {
+        match self.deaths.len() < REFUSAL_DEATHS {
             true => SUSPECTED,
             // Once it may run again its deaths count as long as before.
-            false => REFUSED * 2,
+            false => REFUSAL_TIME * 2,
         }
     }
 }
 
 /// How a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
     /// Nothing stands against it.
     Clear,
     /// It may run, and an answer to it is news.
@@ -109,10 +109,10 @@
         }
         suspect.last = now;
         suspect.deaths.push(life);
-        if suspect.deaths.len() > DEATHS {
+        if suspect.deaths.len() > REFUSAL_DEATHS {
             suspect.deaths.remove(0);
         }
-        suspect.deaths.len() >= WATCHED
+        suspect.deaths.len() >= WATCH_DEATHS
     }
 
     /// A copy was answered. Whether that has changed what hosts have to know.
@@ -126,20 +126,20 @@
     }
 
     /// How a request stands.
-    pub fn standing(&self, now: Mono, print: &Fingerprint) -> Standing {
+    pub fn status(&self, now: Mono, print: &Fingerprint) -> Status {
         match self.suspects.get(print) {
             Some(suspect) if suspect.is_refused(now) => {
-                Standing::Refused(REFUSED.saturating_sub(now.since(suspect.last)))
+                Status::Refused(REFUSAL_TIME.saturating_sub(now.since(suspect.last)))
             }
-            Some(suspect) if suspect.deaths.len() >= WATCHED => Standing::Watched,
-            _ => Standing::Clear,
+            Some(suspect) if suspect.deaths.len() >= WATCH_DEATHS => Status::Watched,
+            _ => Status::Clear,
         }
     }
 
     /// All requests that hosts have to know of.
     pub fn watched(&self) -> Vec<Fingerprint> {
         let known = self.suspects.iter();
-        let known = known.filter(|(_, suspect)| suspect.deaths.len() >= WATCHED);
+        let known = known.filter(|(_, suspect)| suspect.deaths.len() >= WATCH_DEATHS);
         known.map(|(print, _)| *print).collect()
     }
 
@@ -151,10 +151,10 @@
 
     /// The oldest goes, one that isn't refused if there is one.
     fn make_room(&mut self) {
-        if self.suspects.len() < KEPT {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let order = |suspect: &Suspect<L>| (suspect.deaths.len() >= DEATHS, suspect.last);
+        let order = |suspect: &Suspect<L>| (suspect.deaths.len() >= REFUSAL_DEATHS, suspect.last);
         let oldest = self.suspects.iter().min_by_key(|(_, s)| order(s));
         if let Some(print) = oldest.map(|(print, _)| *print) {
             self.suspects.remove(&print);
--- a/almondlock-policy/src/retry.rs
+++ b/almondlock-policy/src/retry.rs
@@ -35,7 +35,7 @@
     /// How it failed.
     pub code: Code,
     /// Whether the request ran, in this attempt or an earlier one; see
-    /// [`merge`].
+    /// [`merge_ran`].
     pub ran: Ran,
     /// Whether the request may run more than once.
     pub repeatable: bool,
--- a/almondlock-policy/src/throttle/client.rs
+++ b/almondlock-policy/src/throttle/client.rs
@@ -76,7 +76,7 @@
     /// When the next caller returns. The first permit is due after `opens`, and this host
     /// has one of `hosts` equal parts of `rate`. A caller that can't wait longer than
     /// `patience` keeps no place.
-    pub fn next(
+    pub fn next_retry(
         &mut self,
         now: Mono,
         opens: Duration,
--- a/almondlock-policy/tests/asked_backoff.rs
+++ b/almondlock-policy/tests/asked_backoff.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use almondlock_base::{id::Upstream, time::Mono};
-use almondlock_policy::backoff::{Reason, Table, delay};
+use almondlock_policy::backoff::{Reason, Table, parse_delay};
 use yare::parameterized;
 
 const START: Mono = Mono::from_millis(1_000);
@@ -20,8 +20,8 @@
 #[test]
 fn longest_holds() {
     let mut table = Table::default();
-    assert!(table.back_off(&upstream(), at(3_000)));
-    assert!(!table.back_off(&upstream(), at(1_000)));
+    assert!(table.pause(&upstream(), at(3_000)));
+    assert!(!table.pause(&upstream(), at(1_000)));
     let left = Duration::from_millis(1_000);
     let reason = table.reason(at(2_000), &upstream());
     assert_eq!(reason, Some(Reason::Backoff(left)));
@@ -32,9 +32,9 @@
 #[test]
 fn leaving_stays() {
     let mut table = Table::default();
-    assert!(table.leave(&upstream()));
-    assert!(!table.leave(&upstream()));
-    table.back_off(&upstream(), at(1_000));
+    assert!(table.mark_leaving(&upstream()));
+    assert!(!table.mark_leaving(&upstream()));
+    table.pause(&upstream(), at(1_000));
     table.sweep(at(60_000), |_| true);
     let reason = table.reason(at(60_000), &upstream());
     assert_eq!(reason, Some(Reason::Leaving));
@@ -46,9 +46,9 @@
 #[test]
 fn life_anew() {
     let mut table = Table::default();
-    table.leave(&upstream());
-    table.back_off(&upstream(), at(1_000));
-    table.forget(&upstream());
+    table.mark_leaving(&upstream());
+    table.pause(&upstream(), at(1_000));
+    table.reset(&upstream());
     assert_eq!(table.reason(START, &upstream()), None);
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn swept_late() {
     let mut table = Table::default();
-    table.back_off(&upstream(), at(1_000));
+    table.pause(&upstream(), at(1_000));
     table.sweep(at(500), |_| false);
     assert!(table.reason(at(500), &upstream()).is_some());
 }
@@ -74,5 +74,5 @@
     date = { "Thu, 03 Dec 2026 12:00:00 GMT", None },
 )]
 fn delays(text: &str, millis: Option<u64>) {
-    assert_eq!(delay(text), millis.map(Duration::from_millis));
+    assert_eq!(parse_delay(text), millis.map(Duration::from_millis));
 }
--- a/almondlock-policy/tests/deadline_bounds.rs
+++ b/almondlock-policy/tests/deadline_bounds.rs
@@ -37,7 +37,7 @@
     Work {
         prompt: Tokens(prompt),
         max_output: Tokens(160),
-        wait: Duration::from_secs(wait),
+        queue_wait: Duration::from_secs(wait),
         ..Work::default()
     }
 }
@@ -51,7 +51,7 @@
     assert_eq!(refusal.code, Code::DeadlineUnreachable);
     assert_eq!(refusal.retry_after, Duration::from_secs(3));
     let later = Work {
-        wait: Duration::from_secs(12) - refusal.retry_after,
+        queue_wait: Duration::from_secs(12) - refusal.retry_after,
         ..work(80_000, 0)
     };
     assert!(forecast.check(&later, left).is_ok());
--- a/almondlock-policy/tests/lost_upstreams.rs
+++ b/almondlock-policy/tests/lost_upstreams.rs
@@ -6,7 +6,7 @@
     id::{Fingerprint, Organisation},
     time::Mono,
 };
-use almondlock_policy::poison::tally::{DEATHS, KEPT, REFUSED, Standing, Tally};
+use almondlock_policy::poison::tally::{MAX_SUSPECTS, REFUSAL_DEATHS, REFUSAL_TIME, Status, Tally};
 
 const START: Mono = Mono::from_millis(100_000);
 /// Between two copies that a caller sends.
@@ -41,10 +41,13 @@
 fn refused_in_turn() {
     let mut tally = Tally::default();
     let now = lose(&mut tally, print("a"), START, 0..2);
-    assert_eq!(tally.standing(now, &print("a")), Standing::Watched);
+    assert_eq!(tally.status(now, &print("a")), Status::Watched);
     let now = lose(&mut tally, print("a"), now, 2..3);
-    assert_eq!(tally.standing(now, &print("a")), Standing::Refused(REFUSED));
-    assert_eq!(tally.standing(now, &print("b")), Standing::Clear);
+    assert_eq!(
+        tally.status(now, &print("a")),
+        Status::Refused(REFUSAL_TIME)
+    );
+    assert_eq!(tally.status(now, &print("b")), Status::Clear);
 }
 
 /// Guards against usual requests that are refused because a failure domain was lost while
@@ -55,7 +58,7 @@
     for life in 0..20 {
         tally.record_loss(START + PAUSE, print("a"), life, START);
     }
-    assert_eq!(tally.standing(START + PAUSE, &print("a")), Standing::Clear);
+    assert_eq!(tally.status(START + PAUSE, &print("a")), Status::Clear);
 }
 
 /// A life that is told of by several hosts died once.
@@ -63,10 +66,10 @@
 fn told_twice() {
     let mut tally = Tally::default();
     let mut now = START;
-    for _ in 0..DEATHS {
+    for _ in 0..REFUSAL_DEATHS {
         now = lose(&mut tally, print("a"), now, 0..1);
     }
-    assert_eq!(tally.standing(now, &print("a")), Standing::Clear);
+    assert_eq!(tally.status(now, &print("a")), Status::Clear);
 }
 
 /// Guards against a harmless request that is refused after losses by chance.
@@ -76,7 +79,7 @@
     let now = lose(&mut tally, print("a"), START, 0..2);
     assert!(tally.record_answer(now, &print("a")));
     let now = lose(&mut tally, print("a"), now, 2..4);
-    assert_eq!(tally.standing(now, &print("a")), Standing::Watched);
+    assert_eq!(tally.status(now, &print("a")), Status::Watched);
 }
 
 /// Once the time is over it may run, and one more death refuses it again.
@@ -88,10 +91,13 @@
         !tally.record_answer(now, &print("a")),
         "it is refused already"
     );
-    let now = now + REFUSED;
-    assert_eq!(tally.standing(now, &print("a")), Standing::Watched);
+    let now = now + REFUSAL_TIME;
+    assert_eq!(tally.status(now, &print("a")), Status::Watched);
     let now = lose(&mut tally, print("a"), now, 3..4);
-    assert_eq!(tally.standing(now, &print("a")), Standing::Refused(REFUSED));
+    assert_eq!(
+        tally.status(now, &print("a")),
+        Status::Refused(REFUSAL_TIME)
+    );
 }
 
 /// Guards against a table that callers fill without bound, or that lets the refused ones
@@ -100,12 +106,12 @@
 fn bounded_table() {
     let mut tally = Tally::default();
     let now = lose(&mut tally, print("bad"), START, 0..3);
-    for n in 0..KEPT as u32 + 10 {
+    for n in 0..MAX_SUSPECTS as u32 + 10 {
         tally.record_loss(now, print(&n.to_string()), n, now);
     }
     assert!(matches!(
-        tally.standing(now, &print("bad")),
-        Standing::Refused(_)
+        tally.status(now, &print("bad")),
+        Status::Refused(_)
     ));
     assert_eq!(tally.watched().len(), 1);
 }
@@ -116,7 +122,7 @@
 fn dead_already() {
     let mut tally = Tally::default();
     let mut now = START;
-    for life in 0..DEATHS as u32 {
+    for life in 0..REFUSAL_DEATHS as u32 {
         now = lose(&mut tally, print("crashing"), now, life..life + 1);
         // Hosts try a dead upstream again and again until it is withdrawn.
         for _ in 0..3 {
@@ -124,20 +130,25 @@
             now = lose(&mut tally, print("usual"), later, life..life + 1);
         }
     }
-    let standing = tally.standing(now, &print("crashing"));
-    assert!(matches!(standing, Standing::Refused(_)), "{standing:?}");
-    assert_eq!(tally.standing(now, &print("usual")), Standing::Clear);
+    let standing = tally.status(now, &print("crashing"));
+    assert!(matches!(standing, Status::Refused(_)), "{standing:?}");
+    assert_eq!(tally.status(now, &print("usual")), Status::Clear);
 }
 
 /// Guards against a request that goes free because its upstreams had lost others long before.
 #[test]
 fn lost_before() {
     let mut tally = Tally::default();
-    let now = lose(&mut tally, print("usual"), START, 0..DEATHS as u32);
+    let now = lose(&mut tally, print("usual"), START, 0..REFUSAL_DEATHS as u32);
     let later = now + Duration::from_secs(5);
-    let now = lose(&mut tally, print("crashing"), later, 0..DEATHS as u32);
-    let standing = tally.standing(now, &print("crashing"));
-    assert!(matches!(standing, Standing::Refused(_)), "{standing:?}");
+    let now = lose(
+        &mut tally,
+        print("crashing"),
+        later,
+        0..REFUSAL_DEATHS as u32,
+    );
+    let standing = tally.status(now, &print("crashing"));
+    assert!(matches!(standing, Status::Refused(_)), "{standing:?}");
 }
 
 /// Guards against a request that goes free because others that ran beside it were told of
@@ -146,13 +157,13 @@
 fn beside_others() {
     let mut tally = Tally::default();
     let mut now = START;
-    for life in 0..DEATHS as u32 {
+    for life in 0..REFUSAL_DEATHS as u32 {
         let sent = now;
         now = now + PAUSE;
         tally.record_loss(now, print("usual"), life, sent);
         let told = now + Duration::from_millis(1);
         tally.record_loss(told, print("crashing"), life, told);
     }
-    let standing = tally.standing(now, &print("crashing"));
-    assert!(matches!(standing, Standing::Refused(_)), "{standing:?}");
+    let standing = tally.status(now, &print("crashing"));
+    assert!(matches!(standing, Status::Refused(_)), "{standing:?}");
 }
--- a/almondlock-policy/tests/named_limit.rs
+++ b/almondlock-policy/tests/named_limit.rs
@@ -100,7 +100,7 @@
     let opens = Duration::from_millis(200);
     let mut next = |now, patience| {
         let patience = Duration::from_millis(patience);
-        let wait = returns.next(at(now), opens, (rate("4"), 2), patience);
+        let wait = returns.next_retry(at(now), opens, (rate("4"), 2), patience);
         wait.as_millis()
     };
     assert_eq!(next(0, 5_000), 200);
--- a/almondlock-policy/tests/orphan_memory.rs
+++ b/almondlock-policy/tests/orphan_memory.rs
@@ -78,7 +78,7 @@
     }
 
     fn order(&mut self) {
-        for order in self.ledger.orders(self.now) {
+        for order in self.ledger.take_orders(self.now) {
             self.messages.push(Message::Free(order.id, self.now));
         }
     }
@@ -108,17 +108,17 @@
         match message {
             // The engine drops an order that is past its life.
             Message::Open(id, item, sent) => {
-                if self.now.since(sent) < Config::default().order_life {
+                if self.now.since(sent) < Config::default().order_lifetime {
                     self.engine.insert(id, item);
                     self.messages.push(Message::Opened(id));
                 }
             }
-            Message::Opened(id) => self.ledger.opened(&id, self.now),
+            Message::Opened(id) => self.ledger.confirm_open(&id, self.now),
             Message::Free(id, asked) => {
                 self.engine.remove(&id);
                 self.messages.push(Message::Freed(id, asked));
             }
-            Message::Freed(id, asked) => self.ledger.freed(&id, asked),
+            Message::Freed(id, asked) => self.ledger.confirm_free(&id, asked),
         }
     }
 
@@ -194,7 +194,7 @@
         let exist: Vec<&u64> = self.engine.keys().collect();
         assert_eq!(held, exist, "{what}");
         let sum: Tokens = self.engine.values().map(|item| item.tokens).sum();
-        assert_eq!(self.ledger.held(), sum, "{what}");
+        assert_eq!(self.ledger.held_tokens(), sum, "{what}");
     }
 }
 
@@ -205,7 +205,7 @@
     world.rest(20);
     assert!(world.engine.is_empty(), "{what}: {:?}", world.engine);
     assert!(world.ledger.is_empty(), "{what}");
-    assert_eq!(world.ledger.next_order(), None);
+    assert_eq!(world.ledger.next_order_at(), None);
 }
 
 #[parameterized(entry = { 0 }, sidecar = { 1 }, engine = { 2 }, sidecar_and_entry = { 3 })]
--- a/almondlock-sidecar/src/memory.rs
+++ b/almondlock-sidecar/src/memory.rs
@@ -51,17 +51,17 @@
 
     /// The engine ended a thing by itself.
     pub fn ended(&self, id: &String) {
-        self.ledger.borrow_mut().ended(id);
+        self.ledger.borrow_mut().remove(id);
     }
 
     /// The orders to free that are due.
     pub fn orders(&self, now: Mono) -> Vec<Order<String>> {
-        self.ledger.borrow_mut().orders(now)
+        self.ledger.borrow_mut().take_orders(now)
     }
 
     /// The engine confirmed an order given at `asked`.
     pub fn freed(&self, id: &String, asked: Mono) {
-        self.ledger.borrow_mut().freed(id, asked);
+        self.ledger.borrow_mut().confirm_free(id, asked);
     }
 
     /// Whether it is time to compare with the engine's own list.
@@ -85,6 +85,6 @@
 
     /// Memory held, by the ledger.
     pub fn held(&self) -> Tokens {
-        self.ledger.borrow().held()
+        self.ledger.borrow().held_tokens()
     }
 }
