--- a/almondlock-gateway/src/lease.rs
+++ b/almondlock-gateway/src/lease.rs
@@ -247,7 +247,9 @@
     where
         D: Dialect,
     {
-        worker.backoff(clock::mono(), &self.target.name)?.left()
+        worker
+            .backoff(clock::mono(), &self.target.name)?
+            .remaining()
     }
 
     async fn send_command<D>(&self, worker: &Worker<D>, order: &Command<'_>) -> Outcome
