--- a/almondlock-control/tests/backend/mod.rs
+++ b/almondlock-control/tests/backend/mod.rs
@@ -11,10 +11,10 @@
 use almondlock_base::{time::Wall, unit::Revision};
 use almondlock_control::admin::{Backend, Failure, serve};
 use almondlock_state::{
-    api::{Standing, Undo},
+    api::{Observation, Undo},
     command::{Command, Reply},
     machine::Machine,
-    operator::{Operator, Role, hash},
+    operator::{Operator, Role, hash_key},
 };
 use ntex::{client::Client, http::Method, time::Millis};
 use serde_json::Value;
@@ -40,7 +40,7 @@
     pub(crate) fn new() -> Memory {
         let mut machine = Machine::new();
         let operator = |name: &str, role| {
-            let key = hash(name);
+            let key = hash_key(name);
             (name.to_owned(), Operator { key, role })
         };
         machine.apply(Command::Seed {
@@ -114,13 +114,13 @@
         }
     }
 
-    async fn standing(&self) -> Standing {
+    async fn standing(&self) -> Observation {
         let in_force = Some(*self.revision.borrow());
-        Standing {
+        Observation {
             replica: 1,
             leader: Some(1),
             in_force,
-            ..Standing::default()
+            ..Observation::default()
         }
     }
 
--- a/almondlock-entry/src/gang.rs
+++ b/almondlock-entry/src/gang.rs
@@ -109,9 +109,9 @@
         }
         Some(Member {
             upstream,
-            room: room_of(capacity),
-            free,
-            avoided,
+            max_tokens: room_of(capacity),
+            free_tokens: free,
+            failed_recently: avoided,
         })
     });
     members.collect()
@@ -121,18 +121,18 @@
     /// Reserves and processes all parts of a prompt but the last.
     pub async fn gather(&self, pool: &Pool, request: &Request) -> Result<Held, Failure> {
         let need = request.prompt + request.output;
-        let parts = gang::parts(&members(self, pool), need);
+        let parts = gang::plan_reservations(&members(self, pool), need);
         let parts = parts.ok_or_else(|| self.too_long(pool, need))?;
         let now = clock::mono();
         let mut gang = Gang::new(parts, now + request.left(now));
         let mut held = self.empty(&gang, request);
-        let rest = gang.parts().len().saturating_sub(1);
+        let rest = gang.reservations().len().saturating_sub(1);
         loop {
             match gang.step(clock::mono()) {
                 Step::Reserve(index) if index == rest => gang.note_grant(index),
                 Step::Reserve(index) => {
-                    let share = gang.parts()[index].clone();
-                    let text = text_of(request, index, gang.parts().len());
+                    let share = gang.reservations()[index].clone();
+                    let text = text_of(request, index, gang.reservations().len());
                     if let Err(failure) = self.reserve(request, &share, text, &mut held).await {
                         self.passed_over(pool, &share.upstream);
                         return Err(failure);
@@ -175,7 +175,7 @@
     }
 
     fn empty(&self, gang: &Gang, request: &Request) -> Held {
-        let shares = gang.parts();
+        let shares = gang.reservations();
         let others: Tokens = shares.iter().rev().skip(1).map(|part| part.tokens).sum();
         let last = shares.last().map(|part| part.upstream.clone());
         Held {
@@ -191,7 +191,7 @@
     async fn reserve(
         &self,
         request: &Request,
-        share: &gang::Part,
+        share: &gang::Reservation,
         text: (u64, u64),
         held: &mut Held,
     ) -> Result<(), Failure> {
--- a/almondlock-state/src/command.rs
+++ b/almondlock-state/src/command.rs
@@ -24,7 +24,7 @@
     instance::Instance,
     intent::Intent,
     operator::Operator,
-    plan::{self, Advance, Plan},
+    plan::{self, Plan, Transition},
     replica::{self, Replica},
 };
 
@@ -244,7 +244,8 @@
         /// Which step.
         index: usize,
         /// How.
-        advance: Advance,
+        #[serde(rename = "advance")]
+        transition: Transition,
         /// The leader's time.
         at: Wall,
     },
--- a/almondlock-state/src/intent.rs
+++ b/almondlock-state/src/intent.rs
@@ -204,7 +204,7 @@
     }
 
     /// The least role that may ask for it.
-    pub const fn role(&self) -> Role {
+    pub const fn required_role(&self) -> Role {
         match self {
             Intent::AddReplica { .. }
             | Intent::RemoveReplica { .. }
--- a/almondlock-state/src/plan/table.rs
+++ b/almondlock-state/src/plan/table.rs
@@ -56,7 +56,7 @@
     }
 
     /// The plan that this change was made into before, if it was.
-    pub fn known(&self, number: &str, intent: &Intent) -> Result<Option<&Plan>, Error> {
+    pub fn find_repeat(&self, number: &str, intent: &Intent) -> Result<Option<&Plan>, Error> {
         let Some(used) = self.numbers.get(number) else {
             return Ok(None);
         };
@@ -81,9 +81,9 @@
     }
 
     /// Whether one more can be proposed under this number.
-    pub fn check(&self, number: &str) -> Result<(), Error> {
+    pub fn check_proposal(&self, number: &str) -> Result<(), Error> {
         if number.is_empty() || number.len() > limit::MAX_CHANGE_NUMBER_BYTES {
-            return Err(Error::bad("a change number is 1 to 64 bytes"));
+            return Err(Error::invalid("a change number is 1 to 64 bytes"));
         }
         let open = self
             .plans
@@ -137,7 +137,7 @@
             .plans
             .values_mut()
             .filter(|plan| plan.state == State::Proposed);
-        for plan in waiting.filter(|plan| now.since(plan.proposed) >= limit::PROPOSAL_LIFETIME) {
+        for plan in waiting.filter(|plan| now.since(plan.proposed_at) >= limit::PROPOSAL_LIFETIME) {
             plan.state = State::Lapsed;
         }
         self.shrink();
@@ -145,7 +145,7 @@
 
     /// The lowest count of effects that a remembered plan was computed on.
     pub fn lowest_sequence(&self) -> Option<u64> {
-        self.plans.values().map(|plan| plan.sequence).min()
+        self.plans.values().map(|plan| plan.base_sequence).min()
     }
 }
 
