--- a/almondlock-control/src/admin/access.rs
+++ b/almondlock-control/src/admin/access.rs
@@ -4,7 +4,7 @@
 use almondlock_state::{
     api::Problem,
     machine::Machine,
-    operator::{Role, hash},
+    operator::{Role, hash_key},
 };
 use ntex::{http::header::AUTHORIZATION, web::HttpRequest};
 
@@ -27,14 +27,14 @@
     if !fits {
         return Err(Code::Unauthenticated.into());
     }
-    Ok(hash(key.trim()))
+    Ok(hash_key(key.trim()))
 }
 
 /// The name of the operator whose key it is, if the role suffices.
 pub(super) fn check(machine: &Machine, key: &str, least: Role) -> Result<String, Problem> {
     let (name, operator) = machine
         .tables()
-        .operator(key)
+        .find_operator(key)
         .ok_or(Code::Unauthenticated)?;
     if operator.role < least {
         let message = format!("this needs role {least}; {name} is {}", operator.role);
--- a/almondlock-gateway/src/lease.rs
+++ b/almondlock-gateway/src/lease.rs
@@ -251,7 +251,9 @@
     where
         D: Dialect,
     {
-        worker.backoff(clock::mono(), &self.target.name)?.left()
+        worker
+            .backoff(clock::mono(), &self.target.name)?
+            .remaining()
     }
 
     /// Sends a command and reports whether it was carried out.
--- a/almondlock-gateway/src/permit.rs
+++ b/almondlock-gateway/src/permit.rs
@@ -109,7 +109,7 @@
     /// Returns whether a relay may have a permit now.
     pub(crate) fn is_open(&self, now: Mono, key: Key) -> bool {
         let relays = self.relays.borrow();
-        self.waits.borrow().next(now, &key, &relays).is_some()
+        self.waits.borrow().next_relay(now, &key, &relays).is_some()
     }
 
     /// Returns the time until a relay may have a permit.
@@ -131,7 +131,7 @@
     ) -> Duration {
         let mut returns = self.returns.borrow_mut();
         let returns = returns.entry(service.clone()).or_default();
-        returns.next(now, opens, share, patience)
+        returns.next_retry(now, opens, share, patience)
     }
 
     /// Passes a relay's answer to the request that waits for it.
@@ -152,7 +152,7 @@
         let now = clock::mono();
         let socket = self.socket.borrow().clone()?;
         let relays = self.relays.borrow().clone();
-        let relay = self.waits.borrow().next(now, &key, &relays)?;
+        let relay = self.waits.borrow().next_relay(now, &key, &relays)?;
         let number = self.last_number.get().wrapping_add(1);
         self.last_number.set(number);
         let (sender, answer) = oneshot::channel();
--- a/almondlock-policy/src/throttle/client.rs
+++ b/almondlock-policy/src/throttle/client.rs
@@ -32,7 +32,7 @@
     R: Copy + Eq + Hash,
 {
     /// The first of the relays that may have a permit for this upstream.
-    pub fn next(&self, now: Mono, key: &K, relays: &[R]) -> Option<R> {
+    pub fn next_relay(&self, now: Mono, key: &K, relays: &[R]) -> Option<R> {
         let mut relays = relays.iter().copied();
         relays.find(|relay| self.until(key, *relay) <= now)
     }
@@ -76,7 +76,7 @@
     /// When the next caller returns. The first permit is due after `opens`, and this host
     /// has one of `hosts` equal parts of `rate`. A caller that can't wait longer than
     /// `patience` keeps no place.
-    pub fn next(
+    pub fn next_retry(
         &mut self,
         now: Mono,
         opens: Duration,
--- a/almondlock-state/src/machine.rs
+++ b/almondlock-state/src/machine.rs
@@ -32,7 +32,7 @@
     plan::{
         self,
         compile::Error as Refusal,
-        execute::{Context, Proposal},
+        execute::{Executor, Proposal},
     },
     poison, registration,
     replica::{self, Replica},
@@ -215,8 +215,8 @@
                     key: &key,
                     body: &body,
                     holder: &holder,
-                    keep: Duration::from_millis(keep),
-                    run: self.longest_run(&organisation),
+                    retention: Duration::from_millis(keep),
+                    run_limit: self.longest_run(&organisation),
                 };
                 let verdict = self.claims.claim(request, self.time(at));
                 return Ok(Reply::Claimed { verdict });
@@ -239,7 +239,7 @@
                 incarnation,
                 at,
             } => {
-                self.claims.lose(&host, incarnation, self.time(at));
+                self.claims.mark_lost(&host, incarnation, self.time(at));
             }
             _ => {}
         }
@@ -310,7 +310,7 @@
 
     fn on_plan(&mut self, command: Command, changes: &mut Changes) -> Result<Reply, Refusal> {
         let clock = self.clock;
-        let mut context = Context {
+        let mut context = Executor {
             tables: &mut self.tables,
             plans: &mut self.plans,
             history: &mut self.history,
@@ -342,11 +342,13 @@
             Command::Step {
                 plan,
                 index,
-                advance,
+                transition: advance,
                 at,
             } => {
                 context.now = clock.max(at);
-                context.advance(plan, index, advance).map(|()| plan)?
+                context
+                    .apply_transition(plan, index, advance)
+                    .map(|()| plan)?
             }
             _ => return Ok(accepted()),
         };
--- a/almondlock-state/tests/replaced_replica.rs
+++ b/almondlock-state/tests/replaced_replica.rs
@@ -9,8 +9,8 @@
     command::Command,
     intent::Intent,
     machine::Machine,
-    operator::{Operator, Role, hash},
-    plan::{Action, Advance, Id, State, due},
+    operator::{Operator, Role, hash_key},
+    plan::{Action, Id, State, Transition, due_actions},
     replica::{self, Member, Replica},
 };
 use common::{change, code, planned, propose, wall};
@@ -33,7 +33,7 @@
 fn group(numbers: &[(replica::Id, u16)]) -> Machine {
     let mut machine = Machine::new();
     let admin = Operator {
-        key: hash("anna"),
+        key: hash_key("anna"),
         role: Role::Admin,
     };
     let operators = [("anna".to_owned(), admin)].into();
@@ -47,7 +47,7 @@
 }
 
 fn asked(machine: &Machine) -> Vec<Member> {
-    let members = due(machine, wall(1))
+    let members = due_actions(machine, wall(1))
         .into_iter()
         .filter_map(|action| match action {
             Action::Member { member, .. } => Some(member),
@@ -56,11 +56,11 @@
     members.collect()
 }
 
-fn step(machine: &mut Machine, plan: Id, index: usize, advance: Advance) {
+fn step(machine: &mut Machine, plan: Id, index: usize, advance: Transition) {
     let step = Command::Step {
         plan,
         index,
-        advance,
+        transition: advance,
         at: wall(1),
     };
     assert_eq!(code(&machine.apply(step).reply), None);
@@ -77,19 +77,19 @@
         replica: replica(2),
     };
     let plan = change(&mut machine, "1", intent, 1);
-    step(&mut machine, plan.id, 0, Advance::Begin);
+    step(&mut machine, plan.id, 0, Transition::Begin);
     assert_eq!(asked(&machine), [Member::Add(replica(2))]);
     let mut machine = Machine::restore(&machine.snapshot()).unwrap();
     assert_eq!(asked(&machine), [Member::Add(replica(2))]);
-    step(&mut machine, plan.id, 0, Advance::Finish);
+    step(&mut machine, plan.id, 0, Transition::Finish);
     let replicas = members(&[(11, 1), (12, 2), (13, 3), (99, 2)]);
     machine.apply(Command::Replicas {
         replicas,
         at: wall(1),
     });
-    step(&mut machine, plan.id, 1, Advance::Begin);
+    step(&mut machine, plan.id, 1, Transition::Begin);
     assert_eq!(asked(&machine), [Member::Remove(12)]);
-    step(&mut machine, plan.id, 1, Advance::Finish);
+    step(&mut machine, plan.id, 1, Transition::Finish);
     assert_eq!(
         machine.plans().get(plan.id).map(|plan| plan.state),
         Some(State::Done)
@@ -108,7 +108,7 @@
     let member = |(id, it): (replica::Id, Replica)| (id, it.address, it.domain);
     let now = members(&[(11, 1), (12, 2)]);
     assert_eq!(
-        replica::changed(&machine, now.into_iter().map(member)),
+        replica::changed_replicas(&machine, now.into_iter().map(member)),
         None
     );
     change(
@@ -120,9 +120,9 @@
         1,
     );
     let now = members(&[(11, 1), (12, 2), (99, 3)]);
-    let copied = replica::changed(&machine, now.clone().into_iter().map(member));
+    let copied = replica::changed_replicas(&machine, now.clone().into_iter().map(member));
     assert_eq!(copied, Some(now));
-    let empty = replica::changed(&Machine::new(), [(1, replica(1))].map(member));
+    let empty = replica::changed_replicas(&Machine::new(), [(1, replica(1))].map(member));
     assert_eq!(empty, None, "not before the seed");
 }
 
@@ -136,9 +136,9 @@
         replica: replica(4),
     };
     let plan = change(&mut machine, "1", intent, 1);
-    step(&mut machine, plan.id, 0, Advance::Begin);
+    step(&mut machine, plan.id, 0, Transition::Begin);
     let message = "it doesn't catch up".to_owned();
-    step(&mut machine, plan.id, 0, Advance::Fail { message });
+    step(&mut machine, plan.id, 0, Transition::Fail { message });
     assert_eq!(
         machine.plans().get(plan.id).map(|plan| plan.state),
         Some(State::Failed)
