--- a/almondlock-entry/src/shared.rs
+++ b/almondlock-entry/src/shared.rs
@@ -21,7 +21,7 @@
 };
 use almondlock_node::Handle;
 use almondlock_policy::{
-    choice::{self, Home, Site},
+    choice::{self, Locality, Origin},
     length::Estimator,
     limit::{self, Limiter},
     poison::{self, Watch},
@@ -158,7 +158,7 @@
     pub handle: Handle,
     /// Where metrics go.
     pub metrics: Metrics,
-    home: Home,
+    home: Origin,
     directory: RwLock<Arc<Directory>>,
     limits: Mutex<Limiter>,
     pools: Mutex<HashMap<Pool, choice::Table>>,
@@ -190,7 +190,7 @@
 
 impl Shared {
     /// Empty tables; they fill from the node's view.
-    pub fn new(config: Config, handle: Handle, home: Home, metrics: Metrics) -> Arc<Shared> {
+    pub fn new(config: Config, handle: Handle, home: Origin, metrics: Metrics) -> Arc<Shared> {
         Arc::new(Shared {
             retries: Mutex::new(retry::Policy::new(config.retry)),
             lengths: Mutex::default(),
@@ -232,7 +232,7 @@
 
     fn set_limits(&self, view: &config::Config) {
         let mut limits = lock(&self.limits);
-        let hosts = view.settings.get(config::ENTRY_HOSTS);
+        let hosts = view.settings.get(config::ENTRY_HOSTS_SETTING);
         limits.set_hosts(hosts.and_then(|n| n.parse().ok()).unwrap_or(1));
         for (name, organisation) in &view.organisations {
             let limit = limit::Limit {
@@ -260,7 +260,7 @@
                 .or_insert_with(|| choice::Table::new(self.config.choice, self.home.clone()));
             for name in members {
                 if let Some(registration) = view.upstreams.get(name) {
-                    let site = Site {
+                    let site = Locality {
                         domain: registration.domain.clone(),
                         region: registration.region.clone(),
                     };
@@ -318,7 +318,7 @@
         now: Mono,
     ) -> Result<limit::Permit, limit::Refusal> {
         let permit = lock(&self.limits).admit(organisation, tokens, now)?;
-        lock(&self.retries).fresh(organisation, now);
+        lock(&self.retries).count_request(organisation, now);
         self.admitted.fetch_add(1, Ordering::Relaxed);
         self.metrics.prompt(tokens);
         Ok(permit)
@@ -347,7 +347,7 @@
 
     /// The estimated length of a model's prompt of so many bytes.
     pub fn estimate(&self, model: &Model, bytes: usize) -> Tokens {
-        lock(&self.lengths).tokens(model, bytes as u64)
+        lock(&self.lengths).estimate_tokens(model, bytes as u64)
     }
 
     /// Learns from a prompt that an engine counted.
@@ -363,7 +363,7 @@
     /// Tells the levels that change slowly.
     pub fn tell_levels(&self) {
         self.metrics.revision(self.handle.view().revision());
-        let left = lock(&self.retries).left();
+        let left = lock(&self.retries).remaining();
         self.metrics.budget_left(left.max(0.0) as u64);
     }
 
--- a/almondlock-gateway/src/backoff.rs
+++ b/almondlock-gateway/src/backoff.rs
@@ -1,14 +1,14 @@
-//! What upstreams ask of this host with their answers: to send nothing for a while, or,
-//! because they leave, nothing more.
+//! Pauses and departures that upstreams announce in their answers: to receive nothing for a
+//! while or, because they are leaving, nothing more.
 
 use almondlock_base::{id::Upstream, time::Mono};
 use almondlock_node::clock;
-use almondlock_policy::backoff::{Reason, delay};
+use almondlock_policy::backoff::{Reason, parse_delay};
 
 use crate::{
     dialect::Dialect,
-    life::{Course, Request},
     pick::Lack,
+    request::{History, Request},
     upstream::Head,
     worker::{Target, Worker},
 };
@@ -17,15 +17,15 @@
 where
     D: Dialect,
 {
-    /// Takes in what an upstream asks with an answer.
-    pub(crate) fn hear_backoff(&self, upstream: &Upstream, head: &Head) {
+    /// Applies the pause or departure that an answer announces.
+    pub(crate) fn apply_backoff_headers(&self, upstream: &Upstream, head: &Head) {
         let names = self.dialect.names();
-        // Another instance answers, and speaks for itself.
+        // Another instance answered, which can't speak for this one.
         if head.status == 421 {
             return;
         }
         let leaves = head.text(names.leaving.as_str()) == Some("1");
-        if leaves && self.backoffs.borrow_mut().leave(upstream) {
+        if leaves && self.backoffs.borrow_mut().mark_leaving(upstream) {
             self.shared.metrics.count("backoffs", "leaving");
             tracing::info!(%upstream, source = "answer", "upstream leaves");
         }
@@ -33,29 +33,34 @@
         let Some(text) = asked.filter(|_| head.status == 503) else {
             return;
         };
-        let Some(pause) = delay(text) else {
+        let Some(pause) = parse_delay(text) else {
             tracing::warn!(%upstream, pause = text, "unreadable pause");
             return;
         };
         let until = clock::mono() + pause;
-        if self.backoffs.borrow_mut().back_off(upstream, until) {
+        if self.backoffs.borrow_mut().pause(upstream, until) {
             self.shared.metrics.count("backoffs", "pause");
             tracing::info!(%upstream, for_ms = pause.as_millis(), "upstream asks for a pause");
         }
     }
 
-    /// The upstreams that a request may be sent to: not those that refused it, since they
-    /// would refuse it again, nor those that want nothing from this host.
+    /// Returns the upstreams that a request may be sent to. Leaves out those that refused
+    /// it, since they would refuse it again, and those that asked for a pause or are
+    /// leaving.
     pub(crate) fn open_targets(
         &self,
         request: &Request,
-        course: &Course,
+        history: &History,
         now: Mono,
     ) -> Result<Vec<Target>, Lack> {
-        let known = self.known();
-        let targets = known.instances.get(&request.service).into_iter().flatten();
+        let snapshot = self.snapshot();
+        let targets = snapshot
+            .instances
+            .get(&request.service)
+            .into_iter()
+            .flatten();
         let targets: Vec<&Target> = targets
-            .filter(|target| !course.refused.contains(&target.name))
+            .filter(|target| !history.refused.contains(&target.name))
             .collect();
         let open = targets.iter();
         let open = open.filter(|target| self.backoff(now, &target.name).is_none());
@@ -66,7 +71,7 @@
         }
     }
 
-    /// Why an upstream is to be sent nothing, if so.
+    /// Returns why nothing may be sent to an upstream, or `None` if it accepts requests.
     pub(crate) fn backoff(&self, now: Mono, upstream: &Upstream) -> Option<Reason> {
         self.backoffs.borrow().reason(now, upstream)
     }
--- a/almondlock-gateway/src/exchange/suspects.rs
+++ b/almondlock-gateway/src/exchange/suspects.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use almondlock_base::{id::Fingerprint, time::Mono};
-use almondlock_policy::poison::tally::{Standing, Tally};
+use almondlock_policy::poison::tally::{Status, Tally};
 use almondlock_state::instance::Birth;
 
 use super::message::{Loss, Suspect, millis};
@@ -29,8 +29,8 @@
     pub fn lose(&mut self, now: Mono, loss: &Loss) {
         let sent = now - Duration::from_millis(loss.age_ms.into());
         let life = (loss.key, loss.birth);
-        if self.tally.lose(now, loss.print, life, sent) {
-            let standing = self.tally.standing(now, &loss.print);
+        if self.tally.record_loss(now, loss.print, life, sent) {
+            let standing = self.tally.status(now, &loss.print);
             tracing::info!(
                 fingerprint = %loss.print, upstream = %loss.key, age_ms = loss.age_ms,
                 ?standing, "upstreams lost with a request"
@@ -41,7 +41,7 @@
 
     /// A host had an answer to a request.
     pub fn clear(&mut self, now: Mono, print: Fingerprint) {
-        if self.tally.clear(now, &print) {
+        if self.tally.record_answer(now, &print) {
             tracing::info!(fingerprint = %print, "a suspected request was answered");
             self.news.insert(print);
         }
@@ -52,7 +52,7 @@
     pub fn take(&mut self, now: Mono) -> Vec<Suspect> {
         if now.since(self.repeated) >= REPEAT {
             self.repeated = now;
-            self.news.extend(self.tally.known());
+            self.news.extend(self.tally.watched());
         }
         let news = std::mem::take(&mut self.news).into_iter().take(TOLD);
         news.map(|print| self.suspect(now, print)).collect()
@@ -60,19 +60,19 @@
 
     /// All of them, for hosts that were not heard of before.
     pub fn all(&self, now: Mono) -> Vec<Suspect> {
-        let known = self.tally.known().into_iter().take(TOLD);
+        let known = self.tally.watched().into_iter().take(TOLD);
         known.map(|print| self.suspect(now, print)).collect()
     }
 
     fn suspect(&self, now: Mono, print: Fingerprint) -> Suspect {
-        let standing = self.tally.standing(now, &print);
+        let standing = self.tally.status(now, &print);
         Suspect {
             print,
             refused_ms: match standing {
-                Standing::Refused(left) => Some(millis(left)),
-                Standing::Clear | Standing::Watched => None,
+                Status::Refused(left) => Some(millis(left)),
+                Status::Clear | Status::Watched => None,
             },
-            watched: standing == Standing::Watched,
+            watched: standing == Status::Watched,
         }
     }
 }
--- a/almondlock-gateway/src/lease.rs
+++ b/almondlock-gateway/src/lease.rs
@@ -1,12 +1,12 @@
-//! Memory that is set aside on engines for one attempt, from before it is sent
-//! until it has ended, whatever its end.
+//! Memory reserved on engines for one attempt, from before it is sent until it has ended in
+//! any way.
 //!
-//! **Failure.** A host that dies, an order that is lost, or one that an engine
-//! carries out seconds late leaves memory set aside that nobody uses: the engine
-//! then rejects prompts that it could hold. What is set aside therefore ends by
-//! itself after a short time unless it is renewed; it is given back as soon as
-//! the attempt ends; and where an order had no answer, it is given back again
-//! until the order can't be carried out any more.
+//! **Failure.** A host that dies, a command that is lost, or a command that an engine
+//! carries out seconds late leaves memory reserved that nobody uses, and the engine then
+//! rejects prompts that it could hold. So each reservation is a lease that expires after a
+//! short time unless it is renewed; it is released as soon as the attempt ends; and if a
+//! command was not answered, the release is repeated until the command can no longer be
+//! carried out.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -20,42 +20,44 @@
 };
 
 use crate::{
-    attempt::{Broken, CONNECT, recycle},
+    attempt::{CONNECT_TIMEOUT, Fault, recycle},
     dialect::{Call, Dialect},
-    memory::{self, Order, Outcome, Share},
+    failure::Failure,
+    memory::{self, Command, Outcome, Share},
     shared::Active,
     upstream::{self, Connection},
-    verdict::Failure,
     worker::{Target, Worker},
 };
 
-/// How long an engine may take to answer an order: a few ways there and back.
-/// Engines answer at once or, in trouble, not at all.
-const ANSWER: Duration = Duration::from_millis(400);
-/// Between two orders to give memory back, where the first failed at once.
+/// Time allowed for an engine to answer a command: a few round trips. Engines answer at
+/// once or, in trouble, not at all.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Pause between two release commands, if the first one failed at once.
 const RELEASE_PAUSE: Duration = Duration::from_millis(100);
 
-/// Memory set aside on one engine.
+/// Memory reserved on one engine.
 struct Lease {
     target: Target,
-    /// Its name, unique among all that were ever used.
+    /// Id of the reservation, unique among all that were ever used.
     id: String,
     tokens: u64,
-    /// The engine may have it: an order was sent, and not refused.
-    asked: Cell<bool>,
-    /// An order for it is under way, or had no answer: it may still be carried
-    /// out. Invariant: only if `asked`.
+    /// Whether the engine may hold the memory: a command was sent and not refused.
+    may_be_held: Cell<bool>,
+    /// Whether a command for it is in progress or was not answered, so that it may still be
+    /// carried out. Invariant: only if `may_be_held`.
     uncertain: Cell<bool>,
 }
 
-/// All memory of one attempt. Given back when dropped.
+/// All memory reserved for one attempt. Released when dropped.
 pub(crate) struct Leases<D>
 where
     D: Dialect,
 {
     worker: Rc<Worker<D>>,
+    /// Id of the request, for the log.
     request: Rc<str>,
     leases: Rc<[Lease]>,
+    /// Task that renews the leases.
     renewal: Option<JoinHandle<()>>,
 }
 
@@ -63,14 +65,14 @@
 where
     D: Dialect,
 {
-    /// Sets memory aside on all engines, or on none. On failure tells each engine
-    /// that failed.
-    pub(crate) async fn take(
+    /// Reserves memory on all engines or on none. On failure returns a fault for each
+    /// engine that failed.
+    pub(crate) async fn acquire(
         worker: &Rc<Worker<D>>,
         request: &str,
         targets: &[Target],
         shares: &[Share],
-    ) -> Result<Leases<D>, Vec<Broken>> {
+    ) -> Result<Leases<D>, Vec<Fault>> {
         let drawn: u64 = worker.rng.borrow_mut().random();
         let places = shares
             .iter()
@@ -79,22 +81,26 @@
             target: target.clone(),
             id: format!("{drawn:016x}-{i}"),
             tokens,
-            asked: Cell::new(false),
+            may_be_held: Cell::new(false),
             uncertain: Cell::new(false),
         });
-        // Dropped half-way, as when the caller leaves, they are given back too.
+        // If this future is dropped half-way, as when the caller leaves, the memory is
+        // released too.
         let mut leases = Leases {
             worker: Rc::clone(worker),
             request: Rc::from(request),
             leases: leases.collect(),
             renewal: None,
         };
-        let orders = leases.leases.iter().map(|lease| lease.reserve(worker));
+        let orders = leases
+            .leases
+            .iter()
+            .map(|lease| lease.reserve_or_renew(worker));
         let outcomes = join_all(orders).await;
         let failed = leases.leases.iter().zip(&outcomes);
         let failed = failed.filter(|(_, outcome)| **outcome != Outcome::Done);
-        let failed: Vec<Broken> = failed
-            .map(|(lease, outcome)| failure(lease, *outcome))
+        let failed: Vec<Fault> = failed
+            .map(|(lease, outcome)| reservation_fault(lease, *outcome))
             .collect();
         if !failed.is_empty() {
             return Err(failed);
@@ -104,7 +110,7 @@
         Ok(leases)
     }
 
-    /// The names of the memory, in the order of the shares.
+    /// Returns the ids of the reservations, in the order of the shares.
     pub(crate) fn ids(&self) -> Vec<String> {
         self.leases.iter().map(|lease| lease.id.clone()).collect()
     }
@@ -118,31 +124,30 @@
         if let Some(renewal) = self.renewal.take() {
             renewal.abort();
         }
-        if !self.leases.iter().any(|lease| lease.asked.get()) {
+        if !self.leases.iter().any(|lease| lease.may_be_held.get()) {
             return;
         }
         let ended = Ended {
             request: Rc::clone(&self.request),
             leases: Rc::clone(&self.leases),
-            active: self.worker.shared.enter(),
+            active: self.worker.shared.count_active(),
         };
-        // Without a receiver the process ends, and so does the memory, by
-        // itself.
-        let _ = self.worker.ended.send(ended);
+        // Without a receiver the process is ending, and the leases expire by themselves.
+        let _ = self.worker.ended_leases.send(ended);
     }
 }
 
-/// The memory of an attempt that has ended.
+/// The leases of an attempt that has ended.
 pub(crate) struct Ended {
     request: Rc<str>,
     leases: Rc<[Lease]>,
-    // A process that stops waits for this as for an answer in progress.
+    // Makes a stopping process wait for the release as for an answer in progress.
     active: Active,
 }
 
-/// Gives back the memory of attempts that have ended. Apart from them, since a
-/// value that is dropped can't wait, nor begin a task while a process ends.
-pub(crate) async fn give_back<D>(worker: Rc<Worker<D>>, mut ended: UnboundedReceiver<Ended>)
+/// Releases the leases of attempts that have ended. A separate task, since a value that is
+/// dropped can't wait, nor start a task while a process ends.
+pub(crate) async fn release_ended<D>(worker: Rc<Worker<D>>, mut ended: UnboundedReceiver<Ended>)
 where
     D: Dialect,
 {
@@ -154,7 +159,7 @@
     {
         let worker = Rc::clone(&worker);
         spawn_local(async move {
-            let asked = leases.iter().filter(|lease| lease.asked.get());
+            let asked = leases.iter().filter(|lease| lease.may_be_held.get());
             join_all(asked.map(|lease| lease.release(&worker, &request))).await;
             drop(active);
             let uncertain = leases.iter().filter(|lease| lease.uncertain.get());
@@ -164,129 +169,137 @@
 }
 
 impl Lease {
-    /// Sets it aside, or renews it. Only what is set aside already is renewed on an upstream
-    /// that wants nothing from this host: a request that runs there uses it.
-    async fn reserve<D>(&self, worker: &Worker<D>) -> Outcome
+    /// Reserves the memory or renews its lease. On an upstream that has asked for a pause
+    /// or is leaving, only existing leases are renewed, since a request that runs there
+    /// uses the memory.
+    async fn reserve_or_renew<D>(&self, worker: &Worker<D>) -> Outcome
     where
         D: Dialect,
     {
         let is_closed = worker.backoff(clock::mono(), &self.target.name).is_some();
-        if is_closed && !self.asked.get() {
+        if is_closed && !self.may_be_held.get() {
             return Outcome::Unreached;
         }
-        let order = Order::Reserve {
+        let order = Command::Reserve {
             id: &self.id,
             tokens: self.tokens,
-            hold: memory::hold(worker.bounds.memory_hold),
+            duration: memory::lease_duration(worker.bounds.memory_hold),
         };
-        let was_asked = self.asked.replace(true);
+        let was_asked = self.may_be_held.replace(true);
         let was_uncertain = self.uncertain.replace(true);
-        let outcome = self.order(worker, &order).await;
+        let outcome = self.send_command(worker, &order).await;
         if outcome != Outcome::Unknown {
             self.uncertain.set(was_uncertain);
         }
         if matches!(outcome, Outcome::Refused | Outcome::Unreached) {
-            self.asked.set(was_asked);
+            self.may_be_held.set(was_asked);
         }
         outcome
     }
 
-    /// Gives it back, until the engine has answered or it has ended by itself.
+    /// Releases the memory: repeats the command until the engine has answered or the lease
+    /// has expired.
     ///
-    /// **Failure.** An engine rejects a prompt and leaves the orders after that
-    /// unanswered for a second or two. Given up sooner, the memory stays set aside
-    /// to its end, which others find as an engine that is full.
+    /// **Failure.** An engine rejects a prompt and leaves the commands after it unanswered
+    /// for a second or two. If the release were given up sooner, the memory would stay
+    /// reserved until the lease expires, and other hosts would find the engine full.
     async fn release<D>(&self, worker: &Worker<D>, request: &str)
     where
         D: Dialect,
     {
-        let order = Order::Release { id: &self.id };
-        let until = clock::mono() + memory::hold(worker.bounds.memory_hold);
-        while clock::mono() < until && !worker.is_over(&self.target) {
-            if let Some(pause) = self.pause(worker) {
+        let order = Command::Release { id: &self.id };
+        let until = clock::mono() + memory::lease_duration(worker.bounds.memory_hold);
+        while clock::mono() < until && !worker.has_restarted(&self.target) {
+            if let Some(pause) = self.backoff_left(worker) {
                 sleep(pause.min(until.since(clock::mono()))).await;
                 continue;
             }
-            match self.order(worker, &order).await {
+            match self.send_command(worker, &order).await {
                 Outcome::Done | Outcome::Refused => return,
                 Outcome::Unknown | Outcome::Unreached => sleep(RELEASE_PAUSE).await,
             }
         }
         tracing::warn!(
             request, upstream = %self.target.name, memory = %self.id, tokens = self.tokens,
-            hold_ms = memory::hold(worker.bounds.memory_hold).as_millis(),
-            "memory not given back, has ended by itself"
+            hold_ms = memory::lease_duration(worker.bounds.memory_hold).as_millis(),
+            "engine memory not released; the lease has expired"
         );
     }
 
-    /// Gives back what an order sets aside that is carried out late.
+    /// Releases memory that an unanswered command may reserve when it is carried out late.
     async fn release_late<D>(&self, worker: &Worker<D>, request: &str)
     where
         D: Dialect,
     {
         tracing::info!(
             request, upstream = %self.target.name, memory = %self.id, tokens = self.tokens,
-            "an order had no answer, memory is given back until it is too old"
+            "command to reserve engine memory not answered; releasing until it can no longer take effect"
         );
-        let order = Order::Release { id: &self.id };
-        let until = clock::mono() + memory::LATE;
+        let order = Command::Release { id: &self.id };
+        let until = clock::mono() + memory::MAX_EXECUTION_DELAY;
         while clock::mono() < until {
-            sleep(memory::LATE_RELEASE).await;
-            if self.pause(worker).is_none() {
-                self.order(worker, &order).await;
+            sleep(memory::LATE_RELEASE_INTERVAL).await;
+            if self.backoff_left(worker).is_none() {
+                self.send_command(worker, &order).await;
             }
         }
     }
 
-    /// What is left of a pause that the upstream has asked for. Memory that isn't given back
-    /// meanwhile ends by itself.
-    fn pause<D>(&self, worker: &Worker<D>) -> Option<Duration>
+    /// Returns what is left of a pause that the upstream asked for. Leases that aren't
+    /// released in that time expire.
+    fn backoff_left<D>(&self, worker: &Worker<D>) -> Option<Duration>
     where
         D: Dialect,
     {
-        worker.backoff(clock::mono(), &self.target.name)?.left()
+        worker
+            .backoff(clock::mono(), &self.target.name)?
+            .remaining()
     }
 
-    async fn order<D>(&self, worker: &Worker<D>, order: &Order<'_>) -> Outcome
+    /// Sends a command and reports whether it was carried out.
+    async fn send_command<D>(&self, worker: &Worker<D>, order: &Command<'_>) -> Outcome
     where
         D: Dialect,
     {
-        let call = worker.dialect.order(order);
-        match timeout(ANSWER, send(worker, &self.target, &call)).await {
-            Ok(Ok(status)) => Outcome::of(status),
+        let call = worker.dialect.encode_command(order);
+        match timeout(ANSWER_TIMEOUT, post(worker, &self.target, &call)).await {
+            Ok(Ok(status)) => Outcome::from_status(status),
             Ok(Err(upstream::Error::Connect(_))) => Outcome::Unreached,
             Ok(Err(_)) | Err(_) => Outcome::Unknown,
         }
     }
 }
 
-fn failure(lease: &Lease, outcome: Outcome) -> Broken {
+/// Returns the fault for a reservation that failed.
+fn reservation_fault(lease: &Lease, outcome: Outcome) -> Fault {
     let (failure, what) = match outcome {
         Outcome::Unknown => (Failure::Unsent, "no answer"),
         Outcome::Unreached => (Failure::Rejected, "not reached"),
         Outcome::Done | Outcome::Refused => (Failure::Rejected, "refused"),
     };
-    let reason = format!("{} tokens of memory not set aside: {what}", lease.tokens);
-    Broken::new(failure, Some(&lease.target.name), reason)
+    let reason = format!("{} tokens of memory not reserved: {what}", lease.tokens);
+    Fault::new(failure, Some(&lease.target.name), reason)
 }
 
-/// Renews memory until it is given back.
+/// Renews leases until the task is aborted.
 async fn renew<D>(worker: Rc<Worker<D>>, leases: Rc<[Lease]>)
 where
     D: Dialect,
 {
-    let pause = memory::hold(worker.bounds.memory_hold).mul_f64(memory::RENEWAL_SHARE);
+    let pause = memory::lease_duration(worker.bounds.memory_hold).mul_f64(memory::RENEWAL_FRACTION);
     loop {
         sleep(pause).await;
-        // An engine that has started again would set memory aside anew, which
-        // nobody uses: the attempt that it was for ended with the earlier life.
-        let held = leases.iter().filter(|lease| !worker.is_over(&lease.target));
+        // Skips engines that have started again: a renewal there would reserve new memory
+        // that nobody uses, since the attempt ended with the engine's earlier life.
+        let held = leases
+            .iter()
+            .filter(|lease| !worker.has_restarted(&lease.target));
         let renewals = held.map(async |lease| {
-            let outcome = lease.reserve(&worker).await;
+            let outcome = lease.reserve_or_renew(&worker).await;
             if outcome != Outcome::Done {
                 tracing::warn!(
                     upstream = %lease.target.name, memory = %lease.id, ?outcome,
-                    "memory not renewed"
+                    "lease of engine memory not renewed"
                 );
             }
         });
@@ -294,8 +307,8 @@
     }
 }
 
-/// Sends an order and gives the status of its answer.
-async fn send<D>(worker: &Worker<D>, target: &Target, call: &Call) -> Result<u16, upstream::Error>
+/// Sends a command and returns the status of the answer.
+async fn post<D>(worker: &Worker<D>, target: &Target, call: &Call) -> Result<u16, upstream::Error>
 where
     D: Dialect,
 {
@@ -303,7 +316,7 @@
     let pooled = worker.pool.borrow_mut().take(now, &target.name, true);
     let mut connection = match pooled {
         Some(connection) => connection,
-        None => Connection::open(target.address, CONNECT).await?,
+        None => Connection::open(target.address, CONNECT_TIMEOUT).await?,
     };
     let names = worker.dialect.names();
     let head = format!(
@@ -318,11 +331,11 @@
     let outgoing = upstream::Request {
         head: head.as_bytes(),
         body: call.body.as_bytes(),
-        // An answer that echoes any id belongs to an earlier request.
+        // Empty, since an answer that echoes any id belongs to an earlier request.
         id: (names.request_id.as_str(), b""),
     };
     let answer = connection.exchange(&outgoing).await?;
-    worker.hear_backoff(&target.name, &answer);
+    worker.apply_backoff_headers(&target.name, &answer);
     let status = answer.status;
     recycle(worker, &target.name, connection, &answer).await;
     Ok(status)
--- a/almondlock-gateway/src/outgoing.rs
+++ b/almondlock-gateway/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! The head of a request as it goes to an upstream.
+//! Writes the head of a request to an upstream.
 
 use almondlock_base::time::Mono;
 use ntex::http::{
@@ -8,23 +8,25 @@
 
 use crate::{
     dialect::Dialect,
-    life::Request,
     pick::Choice,
+    request::Request,
     worker::{Target, Worker},
 };
 
-/// Where a request goes.
-pub(crate) struct Placed<'a> {
+/// Upstreams that take part in an attempt.
+pub(crate) struct Destination<'a> {
+    /// Upstreams that the request could be sent to.
     pub(crate) targets: &'a [Target],
-    /// Its numbers are places in the list of targets.
+    /// The upstreams that were chosen, as indices into `targets`.
     pub(crate) choice: &'a Choice,
-    /// The names of the memory that the first helpers hold.
+    /// Ids of the reserved memory, in the order of the shares.
     pub(crate) memory: &'a [String],
 }
 
-impl Placed<'_> {
-    /// The engines that read parts of the prompt, those with memory first. The one
-    /// that answers reads too; it is named only for its memory.
+impl Destination<'_> {
+    /// Returns the header value that lists the engines which read parts of the prompt,
+    /// those with reserved memory first. The answering engine reads too, but is listed only
+    /// if it has reserved memory.
     fn helpers<D>(&self, dialect: &D) -> String
     where
         D: Dialect,
@@ -37,17 +39,17 @@
         let readers = readers.map(|place| (*place, None));
         let helpers = holders.chain(readers).filter_map(|(place, memory)| {
             let target = self.targets.get(place)?;
-            Some(dialect.helper(target.address, memory))
+            Some(dialect.format_helper(target.address, memory))
         });
         helpers.collect::<Vec<_>>().join(",")
     }
 }
 
-/// Writes the head.
-pub(crate) fn head<D>(
+/// Writes the head. `after` is the event after which an interrupted stream resumes.
+pub(crate) fn write_head<D>(
     worker: &Worker<D>,
     request: &Request,
-    placed: &Placed<'_>,
+    destination: &Destination<'_>,
     after: Option<u64>,
     now: Mono,
 ) -> Vec<u8>
@@ -60,7 +62,7 @@
     put(&[
         request.method.as_str().as_bytes(),
         b" ",
-        request.target.as_bytes(),
+        request.path_and_query.as_bytes(),
         b" HTTP/1.1\r\n",
     ]);
     put(&[b"host: ", request.host.as_bytes(), b"\r\n"]);
@@ -73,8 +75,11 @@
     let mut set = |name: &HeaderName, value: &str| {
         put(&[name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"]);
     };
-    set(&names.deadline, &request.left(now).as_millis().to_string());
-    if let Some(target) = placed.targets.get(placed.choice.first) {
+    set(
+        &names.deadline,
+        &request.time_left(now).as_millis().to_string(),
+    );
+    if let Some(target) = destination.targets.get(destination.choice.first) {
         set(&names.instance, target.name.as_str());
     }
     if let Some(organisation) = &request.organisation {
@@ -86,7 +91,7 @@
     if request.demand.is_some() {
         set(&names.priority, &worker.priority(request, now).to_string());
     }
-    let helpers = placed.helpers(&worker.dialect);
+    let helpers = destination.helpers(&worker.dialect);
     if !helpers.is_empty() {
         set(&names.helpers, &helpers);
     }
--- a/almondlock-gateway/src/placement.rs
+++ b/almondlock-gateway/src/placement.rs
@@ -1,5 +1,6 @@
-//! Where an attempt goes: who answers, who reads parts, whose memory is set aside, and
-//! leave to send where an upstream names a limit.
+//! Decides where an attempt goes: which engine answers, which engines help to read the
+//! prompt, and on which engines memory is reserved. Obtains a permit if an upstream limits
+//! its rate.
 
 use std::rc::Rc;
 
@@ -7,105 +8,104 @@
 use almondlock_node::clock;
 use almondlock_policy::{
     admission,
-    places::Verdict,
     share::{Resource, Standing},
+    slots::Verdict,
 };
 
 use crate::{
-    attempt::Broken,
+    attempt::Fault,
     dialect::Dialect,
-    held::Held,
+    failure::Failure,
     lease::Leases,
-    life::{Course, Request, note},
     pick::{self, Candidate, Choice, Lack},
+    request::{History, Request, record_failure},
+    resources::Resources,
     slots::{Grant, Question, Waiter},
     startup,
-    verdict::Failure,
     worker::{Target, Worker},
 };
 
-/// How often others are chosen for engines that have no memory to give. Each time takes
-/// a way there and back.
-const PLACEMENTS: usize = 4;
-/// The part of its objective within which a request asks for memory on the engine that
-/// answers. Engines that leave orders unanswered take most of that.
-const ASKING_SHARE: f64 = 0.25;
+/// Maximum number of placements after engines refused memory. Each one takes a round trip.
+const MAX_PLACEMENTS: usize = 4;
+/// Fraction of the objective within which a request asks for memory on the answering
+/// engine. Engines that leave commands unanswered take most of that time.
+const RESERVATION_FRACTION: f64 = 0.25;
 
-/// How a placement ends that doesn't fail.
-pub(crate) enum Placed<D>
+/// Result of a placement.
+pub(crate) enum Placement<D>
 where
     D: Dialect,
 {
-    /// The attempt is sent.
-    Sent(Choice, Box<Held<D>>),
-    /// It waits for a slot, and is then placed anew.
-    Waits(Waiter<D>),
+    /// The attempt can be sent.
+    Send(Choice, Box<Resources<D>>),
+    /// The attempt waits for a slot and is then placed again.
+    Wait(Waiter<D>),
 }
 
-/// What was found out while an attempt is placed.
+/// What is learned while an attempt is being placed.
 #[derive(Default)]
 struct Search {
-    /// Upstreams that have no memory to give.
+    /// Upstreams that have no memory to reserve.
     full: Vec<Upstream>,
-    /// Those of them that didn't answer.
+    /// Those upstreams in `full` that did not answer.
     silent: Vec<Upstream>,
-    /// How often memory was asked for in vain.
-    placements: usize,
-    /// How often leave to send was asked for in vain.
-    questions: usize,
+    /// Number of placements at which an engine refused memory.
+    refused_placements: usize,
+    /// Number of requests for a permit that were refused.
+    refused_permits: usize,
 }
 
 impl Search {
-    /// Whether memory is asked for no more on the engine that answers: it admits the
-    /// prompt when a stream of its own has ended.
+    /// Returns whether this is the last placement. It reserves no memory on the answering
+    /// engine, which admits the prompt when one of its own streams has ended.
     fn is_last(&self, request: &Request, now: Mono) -> bool {
         let spent = now.since(request.arrived);
-        let is_over = spent > request.route.objective.mul_f64(ASKING_SHARE);
-        self.placements == PLACEMENTS || self.placements > 0 && is_over
+        let is_over = spent > request.route.objective.mul_f64(RESERVATION_FRACTION);
+        self.refused_placements == MAX_PLACEMENTS || self.refused_placements > 0 && is_over
     }
 
-    /// Some had no memory to give.
-    fn note<D>(
+    /// Records engines that refused memory.
+    fn record_refusals<D>(
         &mut self,
         worker: &Worker<D>,
         request: &Request,
-        failed: Vec<Broken>,
+        failed: Vec<Fault>,
         attempt: usize,
     ) where
         D: Dialect,
     {
-        for broken in failed {
-            note(worker, request, &broken, attempt);
-            if broken.failure == Failure::Unsent {
-                self.silent.extend(broken.upstream.clone());
+        for fault in failed {
+            record_failure(worker, request, &fault, attempt);
+            if fault.failure == Failure::Unsent {
+                self.silent.extend(fault.upstream.clone());
             }
-            self.full.extend(broken.upstream);
+            self.full.extend(fault.upstream);
         }
-        self.placements += 1;
+        self.refused_placements += 1;
     }
 }
 
-/// Chooses who takes part, and sets memory aside where a long prompt might find too
-/// little. An engine that has none to give is left out, and others are chosen.
+/// Chooses the participating upstreams, and reserves memory where a long prompt might find
+/// too little. An engine that refuses is left out, and others are chosen.
 ///
-/// **Failure.** Several hosts send long prompts to the same engine before they hear of
-/// each other, or an engine writes more than was known. A prompt that doesn't fit there
-/// waits until a stream ends, a second or two, while the engines that have read its
-/// parts hold them, and whatever comes to that engine waits behind it. An engine that
-/// has set the memory aside admits the prompt at once.
+/// **Failure.** Several hosts send long prompts to the same engine before they hear of each
+/// other, or an engine writes more than was known. A prompt that doesn't fit there waits a
+/// second or two until a stream ends, while the helpers that have read its parts hold them
+/// and later prompts queue behind it. An engine that has reserved the memory admits the
+/// prompt at once.
 pub(crate) async fn place<D>(
     worker: &Rc<Worker<D>>,
     request: &Request,
-    course: &Course,
+    history: &History,
     targets: &[Target],
     (after, grant): (Option<u64>, Option<&Grant>),
-) -> Result<Placed<D>, Broken>
+) -> Result<Placement<D>, Fault>
 where
     D: Dialect,
 {
-    let is_new = course.tried.is_empty() && after.is_none();
+    let is_new = history.tried.is_empty() && after.is_none();
     if is_new {
-        startup::settle(worker, request).await;
+        startup::wait_after_start(worker, request).await;
     }
     let mut search = Search::default();
     loop {
@@ -118,21 +118,21 @@
         worker.review_pace(now, &request.service);
         let candidates = targets.iter();
         let candidates: Vec<Candidate> = candidates
-            .map(|target| worker.candidate(now, target, &course.tried, &search.full))
+            .map(|target| worker.candidate(now, target, &history.tried, &search.full))
             .collect();
         let probe = worker
-            .may_probe(course)
+            .may_probe(history)
             .then(|| worker.probe(now, request, targets, &candidates))
             .flatten();
         let is_probe = probe.is_some();
         let choice = probe.map_or_else(|| choose(worker, request, &candidates), Ok);
-        let mut choice = choice.map_err(|lack| refused_for(worker, request, lack, now))?;
+        let mut choice = choice.map_err(|lack| refuse(worker, request, lack, now))?;
         if is_last {
             choice.shares.retain(|share| share.place != choice.first);
         }
         let verdict = match is_probe {
             true => Verdict::Send,
-            false => admit(
+            false => admit_to_slot(
                 worker,
                 request,
                 (targets, &candidates),
@@ -144,113 +144,120 @@
         match verdict {
             Verdict::Send => {}
             Verdict::Wait(ticket) => {
-                return Ok(Placed::Waits(Waiter::new(worker, request, ticket)));
+                return Ok(Placement::Wait(Waiter::new(worker, request, ticket)));
             }
-            Verdict::Refuse { returns } => {
-                return Err(Broken {
-                    returns: Some(returns),
-                    ..Broken::new(Failure::Unsent, None, "too many wait for a slot")
+            Verdict::Refuse {
+                retry_after: returns,
+            } => {
+                return Err(Fault {
+                    retry_after: Some(returns),
+                    ..Fault::new(Failure::Unsent, None, "too many wait for a slot")
                 });
             }
         }
-        let refused = refusal(worker, request, (targets, &choice), now);
+        let refused = admission_fault(worker, request, (targets, &choice), now);
         if let Some(refused) = refused.filter(|_| is_new) {
-            worker.note_refused(request, Resource::Reading, now, refused.returns);
+            worker.note_refused(request, Resource::Reading, now, refused.retry_after);
             return Err(refused);
         }
         let first = targets.get(choice.first);
-        let first = first.ok_or_else(|| lacking(Lack::Upstream))?;
-        if !worker.permit(request, first).await {
-            // It is known as spent from now on, so that another one is chosen.
-            search.questions += 1;
-            if search.questions > targets.len() {
-                return Err(refused_for(worker, request, Lack::Limit, clock::mono()));
+        let first = first.ok_or_else(|| lack_fault(Lack::Upstream))?;
+        if !worker.obtain_permit(request, first).await {
+            // The permit is now known to be unavailable, so the next round chooses another
+            // upstream.
+            search.refused_permits += 1;
+            if search.refused_permits > targets.len() {
+                return Err(refuse(worker, request, Lack::Limit, clock::mono()));
             }
             continue;
         }
-        let held = Held::new(worker, request, targets, &choice, now);
+        let resources = Resources::new(worker, request, targets, &choice, now);
         if choice.shares.is_empty() {
-            return Ok(Placed::Sent(choice, Box::new(held)));
+            return Ok(Placement::Send(choice, Box::new(resources)));
         }
-        match Leases::take(worker, &request.id, targets, &choice.shares).await {
+        match Leases::acquire(worker, &request.id, targets, &choice.shares).await {
             Ok(leases) => {
-                held.keep(leases);
-                return Ok(Placed::Sent(choice, Box::new(held)));
+                resources.attach_leases(leases);
+                return Ok(Placement::Send(choice, Box::new(resources)));
             }
-            Err(failed) => search.note(worker, request, failed, course.tried.len()),
+            Err(failed) => search.record_refusals(worker, request, failed, history.tried.len()),
         }
         if is_last {
-            return Err(lacking(Lack::Memory));
+            return Err(lack_fault(Lack::Memory));
         }
     }
 }
 
-/// Refused because something is missing. For a limit it is known when to come back.
-fn refused_for<D>(worker: &Worker<D>, request: &Request, lack: Lack, now: Mono) -> Broken
+/// Returns the fault for a request that can't be placed. For a rate limit it is known when
+/// to try again.
+fn refuse<D>(worker: &Worker<D>, request: &Request, lack: Lack, now: Mono) -> Fault
 where
     D: Dialect,
 {
     if lack == Lack::Memory {
-        // Memory of engines is held by prompts that are read.
+        // Memory of engines is held by prompts that are being read.
         worker.note_refused(request, Resource::Reading, now, None);
     }
     match lack {
-        Lack::Upstream | Lack::Memory | Lack::Backoff => lacking(lack),
-        Lack::Limit => Broken {
-            returns: Some(worker.limit_returns(request, now)),
-            ..Broken::new(Failure::Limited, None, lack)
+        Lack::Upstream | Lack::Memory | Lack::Backoff => lack_fault(lack),
+        Lack::Limit => Fault {
+            retry_after: Some(worker.limit_retry_after(request, now)),
+            ..Fault::new(Failure::Limited, None, lack)
         },
     }
 }
 
-pub(crate) fn lacking(lack: Lack) -> Broken {
-    Broken::new(Failure::Unsent, None, lack)
+/// Returns the fault for a request that can't be placed, without further effects.
+pub(crate) fn lack_fault(lack: Lack) -> Fault {
+    Fault::new(Failure::Unsent, None, lack)
 }
 
-/// Whether a prompt would be late, or the engines' time does more for others.
-fn refusal<D>(
+/// Returns a fault if the prompt would be late, or if the engines' time is better spent on
+/// other requests.
+fn admission_fault<D>(
     worker: &Worker<D>,
     request: &Request,
     (targets, choice): (&[Target], &Choice),
     now: Mono,
-) -> Option<Broken>
+) -> Option<Fault>
 where
     D: Dialect,
 {
-    let known = worker.known();
-    let service = known
+    let snapshot = worker.snapshot();
+    let service = snapshot
         .rules
         .as_ref()
         .and_then(|rules| rules.service(&request.service));
     let engine = service.and_then(|service| service.engine.as_ref());
     let (speed, demand) = (engine?, request.demand?);
-    let backlog = worker.backlog(now, &request.service, choice);
-    let case = admission::Case {
+    let backlog = worker.mean_backlog(now, &request.service, choice);
+    let case = admission::Candidate {
         prompt: demand.prompt,
         objective: request.route.objective,
-        spent: now.since(request.arrived),
-        expected: choice.expected,
+        elapsed: now.since(request.arrived),
+        expected_delay: choice.expected,
         backlog,
         // Counts of engines are far below the precision of an `f64`.
-        taken: (choice.helpers.len() + 1) as f64 / targets.len().max(1) as f64,
+        engine_ratio: (choice.helpers.len() + 1) as f64 / targets.len().max(1) as f64,
     };
     let standing = worker.standing(now, request);
-    let alone = choice.part + speed.writing(1, demand.prompt);
-    let returns = admission::refusal_of(speed, &case, standing, alone)?;
-    if standing != Standing::Within && admission::refusal(speed, &case).is_none() {
+    let alone = choice.part + speed.pass_time(1, demand.prompt);
+    let returns = admission::check_with_share(speed, &case, standing, alone)?;
+    if standing != Standing::Within && admission::check(speed, &case).is_none() {
         worker.note_deprioritised(request, now, "refused");
     }
     let (expected, backlog) = (choice.expected.as_millis(), backlog.as_millis());
-    let reason =
-        format!("first event expected in {expected} ms, mean backlog over a second {backlog} ms");
-    Some(Broken {
-        returns: Some(returns),
-        ..Broken::new(Failure::Unsent, None, reason)
+    let reason = format!(
+        "first event expected in {expected} ms, mean backlog over the last second {backlog} ms"
+    );
+    Some(Fault {
+        retry_after: Some(returns),
+        ..Fault::new(Failure::Unsent, None, reason)
     })
 }
 
-/// Whether a short prompt gets a slot now.
-fn admit<D>(
+/// Decides whether a short prompt gets a slot now.
+fn admit_to_slot<D>(
     worker: &Worker<D>,
     request: &Request,
     (targets, candidates): (&[Target], &[Candidate]),
@@ -262,11 +269,11 @@
     D: Dialect,
 {
     let is_short = choice.helpers.is_empty() && choice.part <= pick::SHORT;
-    if !worker.features.places || !is_short {
+    if !worker.features.slot_admission || !is_short {
         return Verdict::Send;
     }
-    let known = worker.known();
-    let rules = known.rules.as_ref();
+    let snapshot = worker.snapshot();
+    let rules = snapshot.rules.as_ref();
     let service = rules.and_then(|rules| rules.service(&request.service));
     let Some(speed) = service.and_then(|service| service.engine.as_ref()) else {
         return Verdict::Send;
@@ -282,6 +289,7 @@
     worker.admit(&question, choice, now)
 }
 
+/// Chooses an upstream, and helpers if the request is a prompt for engines.
 fn choose<D>(
     worker: &Worker<D>,
     request: &Request,
@@ -290,8 +298,8 @@
 where
     D: Dialect,
 {
-    let known = worker.known();
-    let rules = known.rules.as_ref();
+    let snapshot = worker.snapshot();
+    let rules = snapshot.rules.as_ref();
     let service = rules.and_then(|rules| rules.service(&request.service));
     let service = service.ok_or(Lack::Upstream)?;
     let mut rng = worker.rng.borrow_mut();
--- a/almondlock-gateway/tests/versions/mod.rs
+++ b/almondlock-gateway/tests/versions/mod.rs
@@ -27,7 +27,7 @@
 use almondlock_gateway::{
     budget,
     dialect::{Call, Dialect, Names, Outline, Section},
-    memory::Order,
+    memory::Command,
     rules::{Entry, Error, Kind, Limits, Organisation, Route, Rules, Target},
     server::{self, Bounds, Config, Features},
 };
@@ -47,7 +47,7 @@
     idle_time: Duration::from_secs(15),
 };
 
-/// Remembers which pieces it has read.
+/// A dialect that records which pieces it has parsed.
 #[derive(Clone)]
 pub struct Lines {
     names: Names,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// How often a piece was read.
+    /// Returns how often a piece was parsed.
     pub fn times(&self, piece: &str) -> usize {
         let read = self.read.lock().unwrap();
         read.iter().filter(|other| *other == piece).count()
@@ -100,11 +100,11 @@
         &self.names
     }
 
-    fn read(&self, _: &str) -> Result<Rules, Error> {
+    fn parse(&self, _: &str) -> Result<Rules, Error> {
         Err(Error::new("it has one piece"))
     }
 
-    fn outline(&self, pieces: &[Piece]) -> Option<Outline> {
+    fn parse_outline(&self, pieces: &[Piece]) -> Option<Outline> {
         let version = pieces.first()?.as_str().strip_prefix("v ")?;
         Some(Outline {
             version: version.parse().ok()?,
@@ -113,7 +113,7 @@
         })
     }
 
-    fn entry(&self, _: Section, piece: &str) -> Result<Entry, Error> {
+    fn parse_entry(&self, _: Section, piece: &str) -> Result<Entry, Error> {
         self.read.lock().unwrap().push(piece.to_owned());
         match piece.split(' ').collect::<Vec<_>>().as_slice() {
             ["s", name] => {
@@ -142,11 +142,11 @@
         }
     }
 
-    fn order(&self, _: &Order<'_>) -> Call {
+    fn encode_command(&self, _: &Command<'_>) -> Call {
         unreachable!("there are no engines")
     }
 
-    fn helper(&self, _: SocketAddr, _: Option<&str>) -> String {
+    fn format_helper(&self, _: SocketAddr, _: Option<&str>) -> String {
         unreachable!("there are no engines")
     }
 }
@@ -166,7 +166,7 @@
     }
 }
 
-/// A version of these pieces.
+/// Returns a version that consists of these pieces.
 pub fn document(version: u64, pieces: &[&str]) -> Document {
     let first = format!("v {version}");
     let all = [first.as_str()].into_iter().chain(pieces.iter().copied());
@@ -184,7 +184,7 @@
 }
 
 impl Gateway {
-    /// Starts one in front of an upstream of the service `s`, with its first version.
+    /// Starts a gateway with its first version, in front of an upstream of the service `s`.
     pub fn start(upstream: SocketAddr, first: Document) -> Gateway {
         let (listen, ready) = (free_address(), free_address());
         let (started, running) = mpsc::channel();
@@ -242,7 +242,7 @@
         assert!(config.revision > Revision::ZERO && self.view.replace(config));
     }
 
-    /// Stops it; gives how long that took.
+    /// Stops the gateway and returns how long that took.
     pub fn stop(&self) -> Duration {
         self.stop.blocking_send(()).unwrap();
         let stopped = self.stopped.lock().unwrap();
@@ -268,7 +268,7 @@
     let retries = budget::Config {
         window: Duration::from_secs(10),
         ratio: 0.2,
-        free: 5,
+        min_retries: 5,
     };
     Config {
         listen,
@@ -277,7 +277,7 @@
         relays: Vec::new(),
         domain: Domain::new("d").unwrap(),
         bounds: Bounds {
-            stale: Duration::from_secs(3),
+            max_config_age: Duration::from_secs(3),
             retries,
             memory_hold: Duration::from_millis(400),
         },
@@ -288,8 +288,8 @@
     }
 }
 
-/// Tests draw addresses at the same time, so none is drawn twice, and from below
-/// the range that the system hands out.
+/// Returns an unused address. Tests run at the same time, so no port is returned twice, and
+/// ports lie below the range that the system hands out.
 fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let start = 10_000 + (std::process::id() % 200) as u16 * 50;
--- a/almondlock-policy/examples/footprint.rs
+++ b/almondlock-policy/examples/footprint.rs
@@ -12,7 +12,7 @@
     unit::Tokens,
 };
 use almondlock_policy::{
-    choice::{self, Home, Site, Table},
+    choice::{self, Locality, Origin, Table},
     gate::{self, Gate},
     ledger::{self, Item, Kind, Ledger, Owner},
     limit::{self, Limit, Limiter},
@@ -55,7 +55,7 @@
 
 fn gate() -> Gate {
     let config = gate::Config {
-        records: ITEMS as usize,
+        max_records: ITEMS as usize,
         ..gate::Config::default()
     };
     let mut gate = Gate::new(config, Incarnation(1));
@@ -73,7 +73,7 @@
 
 fn queue() -> Queue<Attempt> {
     let config = queue::Config {
-        capacity: ITEMS as usize,
+        max_waiting: ITEMS as usize,
         ..queue::Config::short()
     };
     let mut queue = Queue::new(config);
@@ -91,7 +91,7 @@
             weight: 1,
             prompt: Tokens(1_000 + counter % 50_000),
             cached: Tokens::ZERO,
-            output: Tokens(200),
+            max_output: Tokens(200),
             deadline: Mono::from_millis(600_000 + counter),
             suspect: false,
         };
@@ -104,7 +104,7 @@
 fn table(upstreams: u64) -> Table {
     let domain = |i: u64| Domain::new(&format!("domain-{}", i % 6)).expect("a plain name");
     let region = Region::new("region").expect("a plain name");
-    let home = Home {
+    let home = Origin {
         host: host(),
         domain: domain(0),
         region: region.clone(),
@@ -112,7 +112,7 @@
     let mut table = Table::new(choice::Config::default(), home);
     for i in 0..upstreams {
         let name = Upstream::new(&format!("engine-{i:08}")).expect("a plain name");
-        let site = Site {
+        let site = Locality {
             domain: domain(i),
             region: region.clone(),
         };
@@ -136,14 +136,14 @@
 fn retries() -> retry::Policy {
     let mut policy = retry::Policy::new(retry::Config::default());
     for i in 0..ITEMS {
-        policy.fresh(&organisation(i), Mono::ZERO);
+        policy.count_request(&organisation(i), Mono::ZERO);
     }
     policy
 }
 
 fn watch() -> Watch {
     let config = poison::Config {
-        harmless: ITEMS as usize,
+        max_harmless: ITEMS as usize,
         ..poison::Config::default()
     };
     let mut watch = Watch::new(config);
--- a/almondlock-policy/src/gate.rs
+++ b/almondlock-policy/src/gate.rs
@@ -30,8 +30,8 @@
 //! life is raised past it. An attempt below the floor without a record is
 //! refused, and settling it says [`Ran::Unknown`], because the forgotten record
 //! may have been of an attempt that ran. Time (until the attempt's deadline and
-//! [`Config::keep`] are both past) only decides how long answers stay exact;
-//! safety rests on the floor. A floor itself is kept for [`Config::silence`]
+//! [`Config::retention`] are both past) only decides how long answers stay exact;
+//! safety rests on the floor. A floor itself is kept for [`Config::floor_retention`]
 //! after its life was last heard of, which exceeds the time for which a kernel
 //! retransmits what a dead process left in its buffers.
 
@@ -50,20 +50,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
     /// How long a closed attempt is remembered at least, unless there are more
-    /// than [`Config::records`].
-    pub keep: Duration,
+    /// than [`Config::max_records`].
+    pub retention: Duration,
     /// How many closed attempts are remembered at most.
-    pub records: usize,
+    pub max_records: usize,
     /// How long the floor of an entry host's life outlasts the last word of it.
-    pub silence: Duration,
+    pub floor_retention: Duration,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            keep: Duration::from_secs(600),
-            records: 65_536,
-            silence: Duration::from_secs(3_600),
+            retention: Duration::from_secs(600),
+            max_records: 65_536,
+            floor_retention: Duration::from_secs(3_600),
         }
     }
 }
@@ -90,7 +90,7 @@
 
 /// The answer to a settled attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct Settlement {
     /// Whether it ran. `No` is a promise: it will not run later either.
     pub ran: Ran,
     /// What the sidecar does about it.
@@ -261,8 +261,8 @@
     }
 
     /// Gives an attempt up and says whether it ran.
-    pub fn settle(&mut self, attempt: &Attempt, target: Incarnation, now: Mono) -> Settled {
-        let done = |ran| Settled {
+    pub fn settle(&mut self, attempt: &Attempt, target: Incarnation, now: Mono) -> Settlement {
+        let done = |ran| Settlement {
             ran,
             action: Action::None,
         };
@@ -274,12 +274,12 @@
         match self.records.get(attempt).map(|record| record.stage) {
             Some(Stage::Queued) => {
                 self.close(attempt, Ran::No, now);
-                Settled {
+                Settlement {
                     ran: Ran::No,
                     action: Action::Dequeue,
                 }
             }
-            Some(Stage::Running) => Settled {
+            Some(Stage::Running) => Settlement {
                 ran: Ran::Yes,
                 action: Action::Cancel,
             },
@@ -299,7 +299,7 @@
         while self.closing.first().is_some_and(|(until, _)| *until <= now) {
             self.forget_first();
         }
-        let silence = self.config.silence;
+        let silence = self.config.floor_retention;
         let records = &self.records;
         self.floors.retain(|(host, incarnation), floor| {
             let known = |a: &Attempt| a.host == *host && a.incarnation == *incarnation;
@@ -331,9 +331,9 @@
             return;
         };
         record.stage = Stage::Closed(ran);
-        record.until = record.deadline.max(now) + self.config.keep;
+        record.until = record.deadline.max(now) + self.config.retention;
         self.closing.insert((record.until, attempt.clone()));
-        while self.closing.len() > self.config.records {
+        while self.closing.len() > self.config.max_records {
             self.forget_first();
         }
     }
--- a/almondlock-policy/src/limit/lend.rs
+++ b/almondlock-policy/src/limit/lend.rs
@@ -14,10 +14,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
     /// How long a part is lent. An unused one is back after that.
-    pub lease: Duration,
+    pub lease_time: Duration,
     /// The share of a limit, in percent, that the entry hosts have as floors.
     /// The same figure as in their [`Config`](super::Config).
-    pub floor: u32,
+    pub floor_percent: u32,
     /// How long requests admitted under a lease may outlast it. Tokens lent to a
     /// host that is not heard of any more count as lent for so long after the
     /// lease.
@@ -27,8 +27,8 @@
 impl Default for Terms {
     fn default() -> Terms {
         Terms {
-            lease: Duration::from_secs(2),
-            floor: 50,
+            lease_time: Duration::from_secs(2),
+            floor_percent: 50,
             linger: Duration::from_secs(60),
         }
     }
@@ -36,9 +36,9 @@
 
 /// A part of a limit as the lender counts it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct Allotment {
     /// Thousandths of requests per second.
-    pub rate: u64,
+    pub rate_thousandths: u64,
     /// Tokens in flight.
     pub tokens: Tokens,
 }
@@ -48,21 +48,21 @@
 struct Lent {
     /// What was lent, with the end of each lease. A smaller part does not end a
     /// larger one that was lent before: the answer may have been lost.
-    leases: Vec<(Part, Mono)>,
+    leases: Vec<(Allotment, Mono)>,
     /// The most tokens that it may have in flight over its floor, and until
     /// when.
     peak: Tokens,
     peak_until: Mono,
     /// What it asked for last, so that parts can follow demand.
-    wanted: Part,
+    wanted: Allotment,
 }
 
 impl Lent {
     /// The most that it may use now.
-    fn most(&self, now: Mono) -> Part {
+    fn most(&self, now: Mono) -> Allotment {
         let live = self.leases.iter().filter(|(_, until)| now < *until);
-        let most = live.fold(Part::default(), |most, (part, _)| Part {
-            rate: most.rate.max(part.rate),
+        let most = live.fold(Allotment::default(), |most, (part, _)| Allotment {
+            rate_thousandths: most.rate_thousandths.max(part.rate_thousandths),
             tokens: most.tokens.max(part.tokens),
         });
         let lingering = if now < self.peak_until {
@@ -70,7 +70,7 @@
         } else {
             Tokens::ZERO
         };
-        Part {
+        Allotment {
             tokens: most.tokens.max(lingering),
             ..most
         }
@@ -84,7 +84,7 @@
         self.peak = self.most(now).tokens;
     }
 
-    fn lend(&mut self, part: Part, until: Mono, linger: Duration) {
+    fn lend(&mut self, part: Allotment, until: Mono, linger: Duration) {
         self.leases.push((part, until));
         self.peak = self.peak.max(part.tokens);
         self.peak_until = until + linger;
@@ -107,9 +107,9 @@
 /// lender.set(&bank, Limit { rate: 0, tokens: Tokens(100_000) });
 /// let entry = Host::new("entry-1")?;
 /// let demand = Demand { requests: 0, tokens: Tokens(30_000) };
-/// assert_eq!(lender.ask(&entry, &bank, demand, used, Mono::ZERO).tokens, Tokens::ZERO);
+/// assert_eq!(lender.allot(&entry, &bank, demand, used, Mono::ZERO).tokens, Tokens::ZERO);
 /// let later = Mono::from_millis(62_000);
-/// assert_eq!(lender.ask(&entry, &bank, demand, used, later).tokens, Tokens(30_000));
+/// assert_eq!(lender.allot(&entry, &bank, demand, used, later).tokens, Tokens(30_000));
 /// # Ok::<(), almondlock_base::id::Error>(())
 /// ```
 #[derive(Debug)]
@@ -127,7 +127,7 @@
     pub fn new(terms: Terms, now: Mono) -> Lender {
         Lender {
             terms,
-            opens: now + terms.lease + terms.linger,
+            opens: now + terms.lease_time + terms.linger,
             limits: HashMap::new(),
             lent: HashMap::new(),
         }
@@ -145,63 +145,68 @@
     }
 
     /// How long a part is lent. The entry host counts it from before it asked.
-    pub fn lease(&self) -> Duration {
-        self.terms.lease
+    pub fn lease_time(&self) -> Duration {
+        self.terms.lease_time
     }
 
     /// Lends a part. `used` is what the host has in flight over its floor.
     ///
     /// Where more is wanted than there is, each host gets a part in proportion
     /// to what it wants, as soon as the others' leases have ended.
-    pub fn ask(
+    pub fn allot(
         &mut self,
         host: &Host,
         organisation: &Organisation,
         demand: Demand,
         used: Tokens,
         now: Mono,
-    ) -> Part {
+    ) -> Allotment {
         let Some(limit) = self.limits.get(organisation).copied() else {
-            return Part::default();
+            return Allotment::default();
         };
         let spare = self.spare(limit);
         let all = self.lent.entry(organisation.clone()).or_default();
-        all.retain(|name, lent| name == host || lent.most(now) != Part::default());
+        all.retain(|name, lent| name == host || lent.most(now) != Allotment::default());
         let own = all.entry(host.clone()).or_default();
         own.hear(used, now);
-        own.wanted = Part {
-            rate: demand.requests.saturating_mul(1_000),
+        own.wanted = Allotment {
+            rate_thousandths: demand.requests.saturating_mul(1_000),
             tokens: demand.tokens,
         };
         if now < self.opens {
-            return Part::default();
+            return Allotment::default();
         }
         let part = portion(all, host, spare, now);
         if let Some(own) = all.get_mut(host) {
-            own.lend(part, now + self.terms.lease, self.terms.linger);
+            own.lend(part, now + self.terms.lease_time, self.terms.linger);
         }
         part
     }
 
     /// What the floors leave of a limit.
-    fn spare(&self, limit: Limit) -> Part {
-        let rest = u64::from(100 - self.terms.floor.min(100));
+    fn spare(&self, limit: Limit) -> Allotment {
+        let rest = u64::from(100 - self.terms.floor_percent.min(100));
         let tokens = u128::from(limit.tokens.0) * u128::from(rest) / 100;
-        Part {
-            rate: u64::from(limit.rate) * 10 * rest,
+        Allotment {
+            rate_thousandths: u64::from(limit.rate) * 10 * rest,
             tokens: Tokens(u64::try_from(tokens).unwrap_or(u64::MAX)),
         }
     }
 }
 
 /// A host's fair part of `spare`, and never more than what the others leave.
-fn portion(all: &HashMap<Host, Lent>, host: &Host, spare: Part, now: Mono) -> Part {
+fn portion(all: &HashMap<Host, Lent>, host: &Host, spare: Allotment, now: Mono) -> Allotment {
     let others = all.iter().filter(|(name, _)| *name != host);
     let taken = sum(others.map(|(_, lent)| lent.most(now)));
     let wanted = all.get(host).map(|lent| lent.wanted).unwrap_or_default();
     let total = sum(all.values().map(|lent| lent.wanted));
-    Part {
-        rate: fair(wanted.rate, total.rate, spare.rate, taken.rate),
+    Allotment {
+        rate_thousandths: fair(
+            wanted.rate_thousandths,
+            total.rate_thousandths,
+            spare.rate_thousandths,
+            taken.rate_thousandths,
+        ),
         tokens: Tokens(fair(
             wanted.tokens.0,
             total.tokens.0,
@@ -221,12 +226,12 @@
     part.min(spare.saturating_sub(taken))
 }
 
-fn sum<S>(parts: S) -> Part
+fn sum<S>(parts: S) -> Allotment
 where
-    S: Iterator<Item = Part>,
+    S: Iterator<Item = Allotment>,
 {
-    parts.fold(Part::default(), |sum, part| Part {
-        rate: sum.rate.saturating_add(part.rate),
+    parts.fold(Allotment::default(), |sum, part| Allotment {
+        rate_thousandths: sum.rate_thousandths.saturating_add(part.rate_thousandths),
         tokens: sum.tokens + part.tokens,
     })
 }
--- a/almondlock-state/examples/state_slopes.rs
+++ b/almondlock-state/examples/state_slopes.rs
@@ -22,7 +22,7 @@
     intent::{Intent, Limits},
     limit,
     machine::Machine,
-    operator::hash,
+    operator::hash_key,
 };
 use anyhow::{Context, Result};
 
@@ -101,7 +101,7 @@
     let claim = |number: usize| Command::Claim {
         organisation: owners[number % 8].clone(),
         key: key(number),
-        body: Blob::from(hash(&key(number)).as_bytes()),
+        body: Blob::from(hash_key(&key(number)).as_bytes()),
         holder: holder(number as u64),
         keep: 3_600_000,
         at: AT,
@@ -114,8 +114,12 @@
         outcome: Blob(Vec::new()),
         at: AT,
     };
-    measure("claims", &mut machine, (0..limit::CLAIMS).map(claim))?;
-    measure("settlements", &mut machine, (0..limit::CLAIMS).map(settle))?;
+    measure("claims", &mut machine, (0..limit::MAX_CLAIMS).map(claim))?;
+    measure(
+        "settlements",
+        &mut machine,
+        (0..limit::MAX_CLAIMS).map(settle),
+    )?;
     snapshot("full table of claims", &machine)?;
     let start = Instant::now();
     machine.apply(Command::Expire {
@@ -156,7 +160,7 @@
             limits: Limits::default(),
         };
         change(&mut machine, 2 * number, add)?;
-        let hash = hash(&number.to_string());
+        let hash = hash_key(&number.to_string());
         change(
             &mut machine,
             2 * number + 1,
@@ -237,7 +241,7 @@
         start.elapsed()
     );
     let start = Instant::now();
-    let due = almondlock_state::plan::due(&machine, Wall::from_millis(2_000)).len();
+    let due = almondlock_state::plan::due_actions(&machine, Wall::from_millis(2_000)).len();
     println!("what is due ({due} steps): {:?}", start.elapsed());
     snapshot("880 upstreams and a rollout", &machine)
 }
@@ -246,7 +250,7 @@
     let mut machine = Machine::new();
     let upstream = Upstream::new("engine-1")?;
     let mut commands = Vec::new();
-    for number in 0..limit::QUARANTINES {
+    for number in 0..limit::MAX_QUARANTINES {
         let owner = Organisation::new(&format!("organisation-{}", number % 32))?;
         commands.push(Command::Blame {
             fingerprint: Fingerprint::new(&owner, "/", &number.to_le_bytes()),
