--- a/almondlock-policy/src/admission.rs
+++ b/almondlock-policy/src/admission.rs
@@ -38,28 +38,28 @@
 /// A long prompt is refused when its first event is expected later than this
 /// part of its objective. What comes after it, pauses and parts of others, has
 /// the rest.
-const HOPELESS: f64 = 0.55;
+const BUSY_LIMIT_RATIO: f64 = 0.55;
 
 /// The same while the engines are idle, for a prompt that takes few of them: what is
 /// expected then comes true, but for a pass or two.
-const LATEST: f64 = 0.9;
+const IDLE_LIMIT_RATIO: f64 = 0.9;
 
 /// The part of the engines that counts as all of them: prompts that come after one that
 /// takes so many find few others idle.
-const MANY: f64 = 1.0 / 5.0;
+const WHOLE_FLEET_RATIO: f64 = 1.0 / 5.0;
 
 /// What takes an engine less time than this is worth its time also when late: refused,
 /// the largest prompts of a middling kind would hardly ever be served.
-const COSTLY: Duration = Duration::from_millis(1_100);
+const EXEMPT_READ_TIME: Duration = Duration::from_millis(1_100);
 
 /// Engines that have less than this part of an objective left to read, in the
 /// mean over the last moments, count as idle: about one prompt of 45,000 tokens
 /// for each three of them.
-const IDLE: f64 = 0.03;
+const IDLE_BACKLOG_RATIO: f64 = 0.03;
 
 /// Over what time the mean is taken. One large prompt on its own takes the
 /// engines about as long, and mustn't count as a stretch of them.
-const SMOOTHING: Duration = Duration::from_secs(1);
+const BACKLOG_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
 /// What is known of a prompt when it is decided on.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -80,8 +80,8 @@
 }
 
 /// Whether a prompt is refused: if it is, when its caller should come back.
-pub fn check(speed: &Speed, case: &Candidate) -> Option<Duration> {
-    check_with_share(speed, case, Standing::Within, Duration::ZERO)
+pub fn check(speed: &Speed, candidate: &Candidate) -> Option<Duration> {
+    check_with_share(speed, candidate, Standing::Within, Duration::ZERO)
 }
 
 /// The same for a prompt of an organisation that stands like this with its share. `alone` is
@@ -89,27 +89,29 @@
 /// to read.
 pub fn check_with_share(
     speed: &Speed,
-    case: &Candidate,
+    candidate: &Candidate,
     standing: Standing,
     alone: Duration,
 ) -> Option<Duration> {
-    if speed.reading_time(case.prompt) <= COSTLY {
+    if speed.reading_time(candidate.prompt) <= EXEMPT_READ_TIME {
         return None;
     }
-    let late = case.elapsed + case.expected_delay;
-    let bound = case.objective.mul_f64(HOPELESS);
-    let busy_bound = bound.mul_f64(relative_yield(speed, case));
-    let busy_bound = tightened(busy_bound, standing, case.elapsed + alone);
-    let idle = case.objective.mul_f64(IDLE);
-    let is_idle = case.backlog <= idle;
-    let idle_bound = case.objective.mul_f64(idle_share(case, idle));
+    let late = candidate.elapsed + candidate.expected_delay;
+    let bound = candidate.objective.mul_f64(BUSY_LIMIT_RATIO);
+    let busy_bound = bound.mul_f64(relative_yield(speed, candidate));
+    let busy_bound = tighten_bound(busy_bound, standing, candidate.elapsed + alone);
+    let idle = candidate.objective.mul_f64(IDLE_BACKLOG_RATIO);
+    let is_idle = candidate.backlog <= idle;
+    let idle_bound = candidate
+        .objective
+        .mul_f64(idle_limit_ratio(candidate, idle));
     let is_refused = late > if is_idle { idle_bound } else { busy_bound };
     is_refused.then(|| late.saturating_sub(busy_bound))
 }
 
 /// The bound for a prompt while the engines are busy, given how its organisation stands. Not
-/// tightened below `alone`, by when the prompt is expected if its engines are idle.
-fn tightened(bound: Duration, standing: Standing, alone: Duration) -> Duration {
+/// tighten_bound below `alone`, by when the prompt is expected if its engines are idle.
+fn tighten_bound(bound: Duration, standing: Standing, alone: Duration) -> Duration {
     match standing {
         Standing::Within => bound,
         Standing::Over { by } => bound.min(bound.div_f64(1.0 + by.max(0.0)).max(alone)),
@@ -118,18 +120,20 @@
 
 /// By which part of its objective a prompt must be expected that comes to idle engines:
 /// sooner the more they have left to read, and the more of them it takes.
-fn idle_share(case: &Candidate, idle: Duration) -> f64 {
-    let busy = case.backlog.as_secs_f64() / idle.as_secs_f64().max(f64::MIN_POSITIVE);
-    let taken = busy.max(case.engine_ratio / MANY).clamp(0.0, 1.0);
-    LATEST - (LATEST - HOPELESS) * taken
+fn idle_limit_ratio(candidate: &Candidate, idle: Duration) -> f64 {
+    let busy = candidate.backlog.as_secs_f64() / idle.as_secs_f64().max(f64::MIN_POSITIVE);
+    let taken = busy
+        .max(candidate.engine_ratio / WHOLE_FLEET_RATIO)
+        .clamp(0.0, 1.0);
+    IDLE_LIMIT_RATIO - (IDLE_LIMIT_RATIO - BUSY_LIMIT_RATIO) * taken
 }
 
 /// What a prompt yields for the engines' time, as a part of what one does that an
 /// engine reads alone within the objective. At most 1.
-fn relative_yield(speed: &Speed, case: &Candidate) -> f64 {
-    let reference = speed.readable_tokens(case.objective);
+fn relative_yield(speed: &Speed, candidate: &Candidate) -> f64 {
+    let reference = speed.readable_tokens(candidate.objective);
     let (own, usual) = (
-        speed.reading_rate(case.prompt),
+        speed.reading_rate(candidate.prompt),
         speed.reading_rate(reference),
     );
     if usual > 0.0 {
@@ -153,7 +157,7 @@
     pub fn observe(&mut self, now: Mono, backlog: Duration) -> Duration {
         let backlog = backlog.as_secs_f64();
         let mean = self.last.map_or(backlog, |(at, mean)| {
-            let age = now.since(at).as_secs_f64() / SMOOTHING.as_secs_f64();
+            let age = now.since(at).as_secs_f64() / BACKLOG_TIME_CONSTANT.as_secs_f64();
             let kept = (-age).exp();
             mean * kept + backlog * (1.0 - kept)
         });
--- a/almondlock-policy/src/bucket.rs
+++ b/almondlock-policy/src/bucket.rs
@@ -5,14 +5,14 @@
 use almondlock_base::time::Mono;
 
 /// Millionths in one request.
-pub(crate) const WHOLE: u64 = 1_000_000;
+pub(crate) const MICROREQUESTS: u64 = 1_000_000;
 
 /// What is saved up of a rate, in millionths of requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Bucket {
     credit: u64,
     // When it was filled last. None: never, and the first time fills it up.
-    at: Option<Mono>,
+    refilled_at: Option<Mono>,
 }
 
 impl Bucket {
@@ -20,7 +20,7 @@
     pub(crate) const fn empty(now: Mono) -> Bucket {
         Bucket {
             credit: 0,
-            at: Some(now),
+            refilled_at: Some(now),
         }
     }
 
@@ -28,18 +28,18 @@
     /// second, up to what `burst` earns.
     ///
     /// A full bucket always holds one request, else a small rate could never be used.
-    pub(crate) fn fill(&mut self, rate: u64, burst: Duration, now: Mono) {
+    pub(crate) fn refill(&mut self, rate: u64, burst: Duration, now: Mono) {
         let rate = u128::from(rate);
-        let most = (rate * burst.as_micros() / 1000).max(u128::from(WHOLE));
-        let earned = match self.at {
-            None => most,
+        let capacity = (rate * burst.as_micros() / 1000).max(u128::from(MICROREQUESTS));
+        let earned = match self.refilled_at {
+            None => capacity,
             Some(at) => rate * now.since(at).as_micros() / 1000,
         };
-        let credit = (u128::from(self.credit) + earned).min(most);
+        let credit = (u128::from(self.credit) + earned).min(capacity);
         // Fractions below a millionth are lost at each call; starting the next
         // span at `now` only where something was earned bounds that loss.
-        if earned > 0 || self.at.is_none() {
-            self.at = Some(self.at.map_or(now, |at| at.max(now)));
+        if earned > 0 || self.refilled_at.is_none() {
+            self.refilled_at = Some(self.refilled_at.map_or(now, |at| at.max(now)));
         }
         self.credit = u64::try_from(credit).unwrap_or(u64::MAX);
     }
@@ -50,11 +50,11 @@
     ///
     /// How long it takes at `rate` until there is one.
     pub(crate) fn take(&mut self, rate: u64) -> Result<(), Duration> {
-        if let Some(rest) = self.credit.checked_sub(WHOLE) {
+        if let Some(rest) = self.credit.checked_sub(MICROREQUESTS) {
             self.credit = rest;
             return Ok(());
         }
-        let missing = u128::from(WHOLE - self.credit) * 1000;
+        let missing = u128::from(MICROREQUESTS - self.credit) * 1000;
         let micros = missing.div_ceil(u128::from(rate.max(1)));
         let micros = u64::try_from(micros).unwrap_or(u64::MAX);
         Err(Duration::from_micros(micros))
--- a/almondlock-policy/src/deadline.rs
+++ b/almondlock-policy/src/deadline.rs
@@ -89,23 +89,23 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Forecast {
     // Invariant: all three are above zero, the last one at most 1.
-    prefill: f64,
-    decode: f64,
+    prefill_speed: f64,
+    decode_speed: f64,
     /// The part of the tokens asked for that answers really have.
-    used: f64,
+    used_ratio: f64,
 }
 
 /// How much one answer counts against what was known.
-const GAIN: f64 = 0.05;
+const SMOOTHING_RATIO: f64 = 0.05;
 
 impl Default for Forecast {
     /// 8,000 prompt tokens and 40 answer tokens a second, and answers a
     /// quarter as long as allowed.
     fn default() -> Forecast {
         Forecast {
-            prefill: 8_000.0,
-            decode: 40.0,
-            used: 0.25,
+            prefill_speed: 8_000.0,
+            decode_speed: 40.0,
+            used_ratio: 0.25,
         }
     }
 }
@@ -140,29 +140,29 @@
 
     /// Learns how long a prefill took, from its start on the engine.
     pub fn observe_prefill(&mut self, tokens: Tokens, took: Duration) {
-        learn(&mut self.prefill, tokens, took);
+        update_speed(&mut self.prefill_speed, tokens, took);
     }
 
     /// Learns how long an answer took from its first token on.
     pub fn observe_decode(&mut self, output: Tokens, allowed: Tokens, took: Duration) {
-        learn(&mut self.decode, output, took);
+        update_speed(&mut self.decode_speed, output, took);
         if allowed > Tokens::ZERO {
             let used = (output.0 as f64 / allowed.0 as f64).clamp(0.01, 1.0);
-            self.used += (used - self.used) * GAIN;
+            self.used_ratio += (used - self.used_ratio) * SMOOTHING_RATIO;
         }
     }
 
     fn service_time(&self, work: &Work) -> Duration {
-        let prefill = work.prompt.saturating_sub(work.cached).0 as f64 / self.prefill;
-        let decode = work.max_output.0 as f64 * self.used / self.decode;
+        let prefill = work.prompt.saturating_sub(work.cached).0 as f64 / self.prefill_speed;
+        let decode = work.max_output.0 as f64 * self.used_ratio / self.decode_speed;
         Duration::from_secs_f64((prefill + decode).min(1e9))
     }
 }
 
-fn learn(speed: &mut f64, tokens: Tokens, took: Duration) {
+fn update_speed(speed: &mut f64, tokens: Tokens, took: Duration) {
     if tokens == Tokens::ZERO || took.is_zero() {
         return;
     }
     let seen = (tokens.0 as f64 / took.as_secs_f64()).max(1.0);
-    *speed += (seen - *speed) * GAIN;
+    *speed += (seen - *speed) * SMOOTHING_RATIO;
 }
--- a/almondlock-policy/src/gang/mod.rs
+++ b/almondlock-policy/src/gang/mod.rs
@@ -86,16 +86,16 @@
 ///     failed_recently: false,
 /// };
 /// let members: Vec<Member> = (0..5).map(member).collect();
-/// let parts = plan_reservations(&members, Tokens(1_000_000)).unwrap();
-/// let names: Vec<&str> = parts.iter().map(|part| part.upstream.as_str()).collect();
+/// let reservations = plan_reservations(&members, Tokens(1_000_000)).unwrap();
+/// let names: Vec<&str> = reservations.iter().map(|part| part.upstream.as_str()).collect();
 /// assert_eq!(names, ["engine-4", "engine-3", "engine-2"]);
 /// ```
 pub fn plan_reservations(members: &[Member], need: Tokens) -> Option<Vec<Reservation>> {
     let healthy = members.iter().filter(|member| !member.failed_recently);
-    fewest(healthy.collect(), need).or_else(|| fewest(members.iter().collect(), need))
+    plan_fewest(healthy.collect(), need).or_else(|| plan_fewest(members.iter().collect(), need))
 }
 
-fn fewest(mut ranked: Vec<&Member>, need: Tokens) -> Option<Vec<Reservation>> {
+fn plan_fewest(mut ranked: Vec<&Member>, need: Tokens) -> Option<Vec<Reservation>> {
     ranked.sort_by(|a, b| {
         a.failed_recently
             .cmp(&b.failed_recently)
@@ -150,7 +150,7 @@
     Gathering,
     Running,
     Failed(Code),
-    Over,
+    Finished,
 }
 
 /// The reservations of one prompt, kept by the entry host that it came to.
@@ -158,8 +158,8 @@
 pub struct Gang {
     // Invariant: in the order of the upstreams' names, each once. All gangs of
     // the fleet follow this order; that is what keeps them from deadlock.
-    parts: Vec<Reservation>,
-    // Invariant: as long as `parts`; while gathering, some `Held`, then at most
+    reservations: Vec<Reservation>,
+    // Invariant: as long as `reservations`; while gathering, some `Held`, then at most
     // one `Asked`, then all `Free`.
     holds: Vec<Hold>,
     state: State,
@@ -169,12 +169,12 @@
 impl Gang {
     /// A gang of these parts, that gives up when the time is over by which the
     /// prompt must have started.
-    pub fn new(mut parts: Vec<Reservation>, deadline: Mono) -> Gang {
-        parts.sort_by(|a, b| a.upstream.cmp(&b.upstream));
-        parts.dedup_by(|a, b| a.upstream == b.upstream);
+    pub fn new(mut reservations: Vec<Reservation>, deadline: Mono) -> Gang {
+        reservations.sort_by(|a, b| a.upstream.cmp(&b.upstream));
+        reservations.dedup_by(|a, b| a.upstream == b.upstream);
         Gang {
-            holds: vec![Hold::Free; parts.len()],
-            parts,
+            holds: vec![Hold::Free; reservations.len()],
+            reservations,
             state: State::Gathering,
             deadline,
         }
@@ -182,14 +182,14 @@
 
     /// The parts, in the order in which they are asked for.
     pub fn reservations(&self) -> &[Reservation] {
-        &self.parts
+        &self.reservations
     }
 
     /// Why it failed, if it did.
     pub fn failure(&self) -> Option<Code> {
         match self.state {
             State::Failed(code) => Some(code),
-            State::Gathering | State::Running | State::Over => None,
+            State::Gathering | State::Running | State::Finished => None,
         }
     }
 
@@ -202,7 +202,7 @@
         match self.state {
             State::Gathering => self.gather(),
             State::Running => Step::Wait,
-            State::Failed(_) | State::Over => self.give_back(),
+            State::Failed(_) | State::Finished => self.release_all(),
         }
     }
 
@@ -235,7 +235,7 @@
     /// The prompt has ended, or its caller has left.
     pub fn finish(&mut self) {
         if !matches!(self.state, State::Failed(_)) {
-            self.state = State::Over;
+            self.state = State::Finished;
         }
     }
 
@@ -253,7 +253,7 @@
 
     /// What was asked for is given back too: the grant may be on its way, and a
     /// release of what was never granted costs nothing.
-    fn give_back(&mut self) -> Step {
+    fn release_all(&mut self) -> Step {
         let mut back = Vec::new();
         for (index, hold) in self.holds.iter_mut().enumerate() {
             if matches!(hold, Hold::Held | Hold::Asked) {
--- a/almondlock-policy/src/gang/waitlist.rs
+++ b/almondlock-policy/src/gang/waitlist.rs
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Ask<I> {
+struct Waiter<I> {
     id: I,
     tokens: Tokens,
     since: Mono,
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct Waitlist<I> {
     config: Config,
-    waiting: VecDeque<Ask<I>>,
+    waiting: VecDeque<Waiter<I>>,
 }
 
 impl<I> Waitlist<I>
@@ -78,7 +78,7 @@
                 code: Code::PromptTooLong,
             });
         }
-        if self.waiting.iter().any(|ask| ask.id == id) {
+        if self.waiting.iter().any(|waiter| waiter.id == id) {
             return Err(Refusal {
                 code: Code::AlreadyRunning,
             });
@@ -88,7 +88,7 @@
                 code: Code::Overloaded,
             });
         }
-        self.waiting.push_back(Ask {
+        self.waiting.push_back(Waiter {
             id,
             tokens,
             since: now,
@@ -104,7 +104,7 @@
         if first.tokens + reserve > free {
             return None;
         }
-        self.waiting.pop_front().map(|ask| ask.id)
+        self.waiting.pop_front().map(|waiter| waiter.id)
     }
 
     /// Whether memory is collected: the queue then starts only short jobs, in
@@ -112,22 +112,26 @@
     pub fn is_collecting(&self, now: Mono) -> bool {
         let patience = self.config.collect_after;
         let first = self.waiting.front();
-        first.is_some_and(|ask| now.since(ask.since) >= patience)
+        first.is_some_and(|waiter| now.since(waiter.since) >= patience)
     }
 
     /// Takes a reservation out. `false` when it does not wait here.
     pub fn remove(&mut self, id: &I) -> bool {
         let before = self.waiting.len();
-        self.waiting.retain(|ask| ask.id != *id);
+        self.waiting.retain(|waiter| waiter.id != *id);
         self.waiting.len() < before
     }
 
     /// Takes out those whose time is over, each to be answered at once.
     pub fn take_expired(&mut self, now: Mono) -> Vec<I> {
-        let over = |ask: &&Ask<I>| ask.deadline <= now;
-        let gone = self.waiting.iter().filter(over).map(|ask| ask.id.clone());
+        let over = |waiter: &&Waiter<I>| waiter.deadline <= now;
+        let gone = self
+            .waiting
+            .iter()
+            .filter(over)
+            .map(|waiter| waiter.id.clone());
         let gone = gone.collect();
-        self.waiting.retain(|ask| now < ask.deadline);
+        self.waiting.retain(|waiter| now < waiter.deadline);
         gone
     }
 
@@ -135,8 +139,8 @@
     /// say.
     pub fn next_event(&self, now: Mono) -> Option<Mono> {
         let patience = self.config.collect_after;
-        let collect = self.waiting.front().map(|ask| ask.since + patience);
-        let expiry = self.waiting.iter().map(|ask| ask.deadline).min();
+        let collect = self.waiting.front().map(|waiter| waiter.since + patience);
+        let expiry = self.waiting.iter().map(|waiter| waiter.deadline).min();
         collect
             .filter(|at| *at > now)
             .into_iter()
--- a/almondlock-policy/src/gate.rs
+++ b/almondlock-policy/src/gate.rs
@@ -109,8 +109,8 @@
     stage: Stage,
     /// When the attempt's time is over, by this host's clock.
     deadline: Mono,
-    /// Key in `Gate::closing` while closed.
-    until: Mono,
+    /// Key in `Gate::closed_by_expiry` while closed.
+    forget_at: Mono,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -118,7 +118,7 @@
     /// Every counter below this one was either recorded here and forgotten, or
     /// never came. Only goes up.
     counter: u64,
-    heard: Mono,
+    last_contact: Mono,
 }
 
 /// The gate of one life of one sidecar. Its knowledge ends with the process;
@@ -130,7 +130,7 @@
     leaving: bool,
     records: HashMap<Attempt, Record>,
     // Invariant: holds exactly the closed records, by the time to forget them.
-    closing: BTreeSet<(Mono, Attempt)>,
+    closed_by_expiry: BTreeSet<(Mono, Attempt)>,
     floors: HashMap<(Host, Incarnation), Floor>,
 }
 
@@ -142,7 +142,7 @@
             incarnation,
             leaving: false,
             records: HashMap::new(),
-            closing: BTreeSet::new(),
+            closed_by_expiry: BTreeSet::new(),
             floors: HashMap::new(),
         }
     }
@@ -204,7 +204,7 @@
                 ran: Ran::No,
             });
         }
-        self.hear(attempt, now);
+        self.note_contact(attempt, now);
         if let Some(record) = self.records.get(attempt) {
             return Err(refuse_copy(record.stage));
         }
@@ -270,7 +270,7 @@
         if target != self.incarnation {
             return done(Ran::Unknown);
         }
-        self.hear(attempt, now);
+        self.note_contact(attempt, now);
         match self.records.get(attempt).map(|record| record.stage) {
             Some(Stage::Queued) => {
                 self.close(attempt, Ran::No, now);
@@ -296,14 +296,18 @@
     /// Forgets what may be forgotten. To be called now and then; the number of
     /// records is bounded also without.
     pub fn sweep(&mut self, now: Mono) {
-        while self.closing.first().is_some_and(|(until, _)| *until <= now) {
-            self.forget_first();
+        while self
+            .closed_by_expiry
+            .first()
+            .is_some_and(|(until, _)| *until <= now)
+        {
+            self.forget_oldest();
         }
         let silence = self.config.floor_retention;
         let records = &self.records;
         self.floors.retain(|(host, incarnation), floor| {
             let known = |a: &Attempt| a.host == *host && a.incarnation == *incarnation;
-            now.since(floor.heard) < silence || records.keys().any(known)
+            now.since(floor.last_contact) < silence || records.keys().any(known)
         });
     }
 
@@ -321,7 +325,7 @@
         let record = Record {
             stage: Stage::Queued,
             deadline,
-            until: Mono::ZERO,
+            forget_at: Mono::ZERO,
         };
         self.records.insert(attempt.clone(), record);
     }
@@ -331,15 +335,16 @@
             return;
         };
         record.stage = Stage::Closed(ran);
-        record.until = record.deadline.max(now) + self.config.retention;
-        self.closing.insert((record.until, attempt.clone()));
-        while self.closing.len() > self.config.max_records {
-            self.forget_first();
+        record.forget_at = record.deadline.max(now) + self.config.retention;
+        self.closed_by_expiry
+            .insert((record.forget_at, attempt.clone()));
+        while self.closed_by_expiry.len() > self.config.max_records {
+            self.forget_oldest();
         }
     }
 
-    fn forget_first(&mut self) {
-        let Some((_, attempt)) = self.closing.pop_first() else {
+    fn forget_oldest(&mut self) {
+        let Some((_, attempt)) = self.closed_by_expiry.pop_first() else {
             return;
         };
         self.records.remove(&attempt);
@@ -348,13 +353,13 @@
         }
     }
 
-    fn hear(&mut self, attempt: &Attempt, now: Mono) {
+    fn note_contact(&mut self, attempt: &Attempt, now: Mono) {
         let life = (attempt.host.clone(), attempt.incarnation);
         let floor = self.floors.entry(life).or_insert(Floor {
             counter: 0,
-            heard: now,
+            last_contact: now,
         });
-        floor.heard = floor.heard.max(now);
+        floor.last_contact = floor.last_contact.max(now);
     }
 
     fn is_below_floor(&self, attempt: &Attempt) -> bool {
--- a/almondlock-policy/src/limit/lend.rs
+++ b/almondlock-policy/src/limit/lender.rs
@@ -45,7 +45,7 @@
 
 /// What one host may hold of a limit.
 #[derive(Clone, Debug, Default)]
-struct Lent {
+struct Holding {
     /// What was lent, with the end of each lease. A smaller part does not end a
     /// larger one that was lent before: the answer may have been lost.
     leases: Vec<(Allotment, Mono)>,
@@ -57,9 +57,9 @@
     wanted: Allotment,
 }
 
-impl Lent {
+impl Holding {
     /// The most that it may use now.
-    fn most(&self, now: Mono) -> Allotment {
+    fn max_usable(&self, now: Mono) -> Allotment {
         let live = self.leases.iter().filter(|(_, until)| now < *until);
         let most = live.fold(Allotment::default(), |most, (part, _)| Allotment {
             rate_thousandths: most.rate_thousandths.max(part.rate_thousandths),
@@ -77,14 +77,14 @@
     }
 
     /// Takes the host's word for what it has in flight over its floor.
-    fn hear(&mut self, used: Tokens, now: Mono) {
+    fn note_used(&mut self, used: Tokens, now: Mono) {
         self.leases.retain(|(_, until)| now < *until);
         self.peak = used;
         self.peak_until = Mono::from_micros(u64::MAX);
-        self.peak = self.most(now).tokens;
+        self.peak = self.max_usable(now).tokens;
     }
 
-    fn lend(&mut self, part: Allotment, until: Mono, linger: Duration) {
+    fn add_lease(&mut self, part: Allotment, until: Mono, linger: Duration) {
         self.leases.push((part, until));
         self.peak = self.peak.max(part.tokens);
         self.peak_until = until + linger;
@@ -115,11 +115,11 @@
 #[derive(Debug)]
 pub struct Lender {
     terms: Terms,
-    opens: Mono,
+    opens_at: Mono,
     limits: HashMap<Organisation, Limit>,
     // Invariant: for each organisation, the parts that have not ended add up to
     // at most what its floors leave.
-    lent: HashMap<Organisation, HashMap<Host, Lent>>,
+    holdings: HashMap<Organisation, HashMap<Host, Holding>>,
 }
 
 impl Lender {
@@ -127,9 +127,9 @@
     pub fn new(terms: Terms, now: Mono) -> Lender {
         Lender {
             terms,
-            opens: now + terms.lease_time + terms.linger,
+            opens_at: now + terms.lease_time + terms.linger,
             limits: HashMap::new(),
-            lent: HashMap::new(),
+            holdings: HashMap::new(),
         }
     }
 
@@ -141,7 +141,7 @@
     /// Forgets an organisation.
     pub fn remove(&mut self, organisation: &Organisation) {
         self.limits.remove(organisation);
-        self.lent.remove(organisation);
+        self.holdings.remove(organisation);
     }
 
     /// How long a part is lent. The entry host counts it from before it asked.
@@ -164,27 +164,27 @@
         let Some(limit) = self.limits.get(organisation).copied() else {
             return Allotment::default();
         };
-        let spare = self.spare(limit);
-        let all = self.lent.entry(organisation.clone()).or_default();
-        all.retain(|name, lent| name == host || lent.most(now) != Allotment::default());
+        let spare = self.lendable(limit);
+        let all = self.holdings.entry(organisation.clone()).or_default();
+        all.retain(|name, holding| name == host || holding.max_usable(now) != Allotment::default());
         let own = all.entry(host.clone()).or_default();
-        own.hear(used, now);
+        own.note_used(used, now);
         own.wanted = Allotment {
             rate_thousandths: demand.requests.saturating_mul(1_000),
             tokens: demand.tokens,
         };
-        if now < self.opens {
+        if now < self.opens_at {
             return Allotment::default();
         }
-        let part = portion(all, host, spare, now);
+        let part = fair_allotment(all, host, spare, now);
         if let Some(own) = all.get_mut(host) {
-            own.lend(part, now + self.terms.lease_time, self.terms.linger);
+            own.add_lease(part, now + self.terms.lease_time, self.terms.linger);
         }
         part
     }
 
     /// What the floors leave of a limit.
-    fn spare(&self, limit: Limit) -> Allotment {
+    fn lendable(&self, limit: Limit) -> Allotment {
         let rest = u64::from(100 - self.terms.floor_percent.min(100));
         let tokens = u128::from(limit.tokens.0) * u128::from(rest) / 100;
         Allotment {
@@ -195,19 +195,27 @@
 }
 
 /// A host's fair part of `spare`, and never more than what the others leave.
-fn portion(all: &HashMap<Host, Lent>, host: &Host, spare: Allotment, now: Mono) -> Allotment {
+fn fair_allotment(
+    all: &HashMap<Host, Holding>,
+    host: &Host,
+    spare: Allotment,
+    now: Mono,
+) -> Allotment {
     let others = all.iter().filter(|(name, _)| *name != host);
-    let taken = sum(others.map(|(_, lent)| lent.most(now)));
-    let wanted = all.get(host).map(|lent| lent.wanted).unwrap_or_default();
-    let total = sum(all.values().map(|lent| lent.wanted));
+    let taken = sum_allotments(others.map(|(_, holding)| holding.max_usable(now)));
+    let wanted = all
+        .get(host)
+        .map(|holding| holding.wanted)
+        .unwrap_or_default();
+    let total = sum_allotments(all.values().map(|holding| holding.wanted));
     Allotment {
-        rate_thousandths: fair(
+        rate_thousandths: fair_amount(
             wanted.rate_thousandths,
             total.rate_thousandths,
             spare.rate_thousandths,
             taken.rate_thousandths,
         ),
-        tokens: Tokens(fair(
+        tokens: Tokens(fair_amount(
             wanted.tokens.0,
             total.tokens.0,
             spare.tokens.0,
@@ -216,7 +224,7 @@
     }
 }
 
-fn fair(wanted: u64, total: u64, spare: u64, taken: u64) -> u64 {
+fn fair_amount(wanted: u64, total: u64, spare: u64, taken: u64) -> u64 {
     let part = if total <= spare {
         wanted
     } else {
@@ -226,7 +234,7 @@
     part.min(spare.saturating_sub(taken))
 }
 
-fn sum<S>(parts: S) -> Allotment
+fn sum_allotments<S>(parts: S) -> Allotment
 where
     S: Iterator<Item = Allotment>,
 {
--- a/almondlock-policy/src/limit/mod.rs
+++ b/almondlock-policy/src/limit/mod.rs
@@ -26,7 +26,7 @@
 //! # Ok::<(), almondlock_base::id::Error>(())
 //! ```
 
-mod lend;
+mod lender;
 
 use std::{
     collections::HashMap,
@@ -39,7 +39,7 @@
 
 use almondlock_base::{Code, id::Organisation, time::Mono, unit::Tokens};
 
-pub use self::lend::{Allotment, Lender, Terms};
+pub use self::lender::{Allotment, Lender, Terms};
 use crate::bucket::Bucket;
 
 /// How a fleet-wide limit is divided.
@@ -124,11 +124,11 @@
     limit: Limit,
     lease: Option<Lease>,
     /// What is saved up of the rate.
-    saved: Bucket,
+    bucket: Bucket,
     // Invariant: the sum of the tokens of all live permits of this account.
     in_flight: Arc<AtomicU64>,
     /// Requests and tokens turned away since demand was last asked for.
-    missed: Demand,
+    refused_demand: Demand,
 }
 
 /// What an organisation could have used and did not get. An entry host that
@@ -170,9 +170,9 @@
             .or_insert_with(|| Account {
                 limit,
                 lease: None,
-                saved: Bucket::default(),
+                bucket: Bucket::default(),
                 in_flight: Arc::default(),
-                missed: Demand::default(),
+                refused_demand: Demand::default(),
             });
         account.limit = limit;
     }
@@ -207,7 +207,7 @@
 
     /// What was turned away since the last call: what to ask the lender for.
     pub fn take_demand(&mut self, organisation: &Organisation) -> Demand {
-        let take = |a: &mut Account| std::mem::take(&mut a.missed);
+        let take = |a: &mut Account| std::mem::take(&mut a.refused_demand);
         self.accounts
             .get_mut(organisation)
             .map(take)
@@ -233,7 +233,7 @@
                 retry_after: Duration::ZERO,
             });
         };
-        account.expire(now);
+        account.expire_lease(now);
         account.refill(&config, now);
         account.check_tokens(&config, tokens)?;
         account.take_request(&config)?;
@@ -246,12 +246,12 @@
 }
 
 impl Account {
-    fn expire(&mut self, now: Mono) {
+    fn expire_lease(&mut self, now: Mono) {
         self.lease = self.lease.filter(|lease| now < lease.until);
     }
 
     /// Thousandths of requests per second that this host may let through.
-    fn rate(&self, config: &Config) -> u64 {
+    fn allowed_rate(&self, config: &Config) -> u64 {
         let floor = u64::from(self.limit.rate) * 10 * u64::from(config.floor_percent.min(100));
         floor / u64::from(config.hosts.max(1))
             + self.lease.map_or(0, |lease| lease.rate_thousandths)
@@ -265,13 +265,14 @@
     }
 
     /// Tokens that this host may have in flight.
-    fn tokens(&self, config: &Config) -> u64 {
+    fn allowed_tokens(&self, config: &Config) -> u64 {
         let lent = self.lease.map_or(0, |lease| lease.tokens.0);
         self.floor_tokens(config).saturating_add(lent)
     }
 
     fn refill(&mut self, config: &Config, now: Mono) {
-        self.saved.fill(self.rate(config), config.burst, now);
+        self.bucket
+            .refill(self.allowed_rate(config), config.burst, now);
     }
 
     fn check_tokens(&mut self, config: &Config, tokens: Tokens) -> Result<(), Refusal> {
@@ -279,10 +280,10 @@
             return Ok(());
         }
         let used = self.in_flight.load(Ordering::Relaxed);
-        if used.saturating_add(tokens.0) <= self.tokens(config) {
+        if used.saturating_add(tokens.0) <= self.allowed_tokens(config) {
             return Ok(());
         }
-        self.missed.tokens += tokens;
+        self.refused_demand.tokens += tokens;
         Err(Refusal {
             code: Code::ShareExceeded,
             retry_after: config.full_retry_after,
@@ -293,10 +294,10 @@
         if self.limit.rate == 0 {
             return Ok(());
         }
-        let Err(wait) = self.saved.take(self.rate(config)) else {
+        let Err(wait) = self.bucket.take(self.allowed_rate(config)) else {
             return Ok(());
         };
-        self.missed.requests += 1;
+        self.refused_demand.requests += 1;
         Err(Refusal {
             code: Code::RateLimited,
             retry_after: wait,
--- a/almondlock-policy/src/poison.rs
+++ b/almondlock-policy/src/poison.rs
@@ -199,7 +199,7 @@
     // records, so it is bounded by the requests in flight and recent deaths.
     copies: HashMap<Fingerprint, Copies>,
     harmless: HashMap<Fingerprint, Mono>,
-    order: VecDeque<Fingerprint>,
+    trust_order: VecDeque<Fingerprint>,
 }
 
 impl Watch {
@@ -209,7 +209,7 @@
             config,
             copies: HashMap::new(),
             harmless: HashMap::new(),
-            order: VecDeque::new(),
+            trust_order: VecDeque::new(),
         }
     }
 
@@ -287,10 +287,10 @@
 
     fn trust(&mut self, print: Fingerprint, now: Mono) {
         if self.harmless.insert(print, now).is_none() {
-            self.order.push_back(print);
+            self.trust_order.push_back(print);
         }
-        while self.order.len() > self.config.max_harmless {
-            if let Some(oldest) = self.order.pop_front() {
+        while self.trust_order.len() > self.config.max_harmless {
+            if let Some(oldest) = self.trust_order.pop_front() {
                 self.harmless.remove(&oldest);
             }
         }
--- a/almondlock-policy/src/poison/tally.rs
+++ b/almondlock-policy/src/poison/tally.rs
@@ -26,14 +26,14 @@
 /// How long a request is refused after its last death.
 pub const REFUSAL_TIME: Duration = Duration::from_secs(600);
 /// How long deaths count that don't refuse it.
-const SUSPECTED: Duration = Duration::from_secs(60);
+const SUSPICION_TIME: Duration = Duration::from_secs(60);
 /// Requests that are kept; the oldest go first.
 pub const MAX_SUSPECTS: usize = 4_096;
 /// A life that was lost counts as dead until it has lost nothing for so long: longer than
 /// hosts pass over an upstream that failed before they try it again.
-const DEAD: Duration = Duration::from_secs(3);
+const LOSS_MEMORY: Duration = Duration::from_secs(3);
 /// How much later than it happened a death may be known.
-const NOTICE: Duration = Duration::from_millis(20);
+const DETECTION_DELAY: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Debug)]
 struct Suspect<L> {
@@ -47,9 +47,9 @@
         self.deaths.len() >= REFUSAL_DEATHS && now.since(self.last) < REFUSAL_TIME
     }
 
-    fn lasts(&self) -> Duration {
+    fn retention(&self) -> Duration {
         match self.deaths.len() < REFUSAL_DEATHS {
-            true => SUSPECTED,
+            true => SUSPICION_TIME,
             // Once it may run again its deaths count as long as before.
             false => REFUSAL_TIME * 2,
         }
@@ -72,14 +72,14 @@
 pub struct Tally<L> {
     suspects: HashMap<Fingerprint, Suspect<L>>,
     /// Lives that count as dead: when each was first lost, and last.
-    dead: HashMap<L, (Mono, Mono)>,
+    lost_lives: HashMap<L, (Mono, Mono)>,
 }
 
 impl<L> Default for Tally<L> {
     fn default() -> Tally<L> {
         Tally {
             suspects: HashMap::new(),
-            dead: HashMap::new(),
+            lost_lives: HashMap::new(),
         }
     }
 }
@@ -91,10 +91,10 @@
     /// A copy that was sent at `sent` was lost on a life of an upstream. Whether that has
     /// changed what hosts have to know.
     pub fn record_loss(&mut self, now: Mono, print: Fingerprint, life: L, sent: Mono) -> bool {
-        self.forget(now);
-        let (died, last) = self.dead.entry(life.clone()).or_insert((now, now));
+        self.forget_expired(now);
+        let (died, last) = self.lost_lives.entry(life.clone()).or_insert((now, now));
         *last = now;
-        if sent > *died + NOTICE {
+        if sent > *died + DETECTION_DELAY {
             return false;
         }
         if !self.suspects.contains_key(&print) {
@@ -104,7 +104,7 @@
             deaths: Vec::new(),
             last: Mono::ZERO,
         });
-        if sent + NOTICE < suspect.last || suspect.deaths.contains(&life) {
+        if sent + DETECTION_DELAY < suspect.last || suspect.deaths.contains(&life) {
             return false;
         }
         suspect.last = now;
@@ -143,10 +143,11 @@
         known.map(|(print, _)| *print).collect()
     }
 
-    fn forget(&mut self, now: Mono) {
+    fn forget_expired(&mut self, now: Mono) {
         self.suspects
-            .retain(|_, suspect| now.since(suspect.last) < suspect.lasts());
-        self.dead.retain(|_, (_, last)| now.since(*last) < DEAD);
+            .retain(|_, suspect| now.since(suspect.last) < suspect.retention());
+        self.lost_lives
+            .retain(|_, (_, last)| now.since(*last) < LOSS_MEMORY);
     }
 
     /// The oldest goes, one that isn't refused if there is one.
--- a/almondlock-policy/src/queue/config.rs
+++ b/almondlock-policy/src/queue/config.rs
@@ -4,7 +4,7 @@
 
 use almondlock_base::unit::Tokens;
 
-use super::GROUPS;
+use super::PREFILL_GROUP_COUNT;
 
 /// How a [`Queue`](super::Queue) orders work.
 ///
@@ -30,7 +30,7 @@
     pub quantum_tokens: u64,
     /// Prompt tokens that may be in prefill at once: of short jobs, of medium
     /// ones, of all longer ones. One job of each is always let through.
-    pub prefill_limits: [Tokens; GROUPS],
+    pub prefill_limits: [Tokens; PREFILL_GROUP_COUNT],
     /// Batch slots, in percent, that one organisation leaves to the others.
     pub headroom_percent: u32,
     /// Whether smaller jobs may pass a job that has no room yet.
@@ -81,7 +81,7 @@
             promote_overdue: false,
             reserve_percent: 0,
             quantum_tokens: u64::MAX,
-            prefill_limits: [Tokens(u64::MAX); GROUPS],
+            prefill_limits: [Tokens(u64::MAX); PREFILL_GROUP_COUNT],
             headroom_percent: 0,
             backfill: false,
             refuse_unreachable: false,
--- a/almondlock-policy/src/queue/line.rs
+++ b/almondlock-policy/src/queue/flow.rs
@@ -13,7 +13,7 @@
 
 impl Lane {
     pub(super) const SUSPECT: Lane = Lane(4);
-    /// That of jobs which run alone. No organisation's line has it.
+    /// That of jobs which run alone. No organisation's flow has it.
     pub(super) const ALONE: Lane = Lane(5);
     pub(super) const ALL: [Lane; 5] = [Lane(0), Lane(1), Lane(2), Lane(3), Lane::SUSPECT];
 
@@ -28,7 +28,7 @@
 
 /// Where a job stands.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Place {
+pub(super) struct Position {
     pub(super) number: u64,
     pub(super) due: Mono,
     pub(super) lane: Lane,
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Line {
+pub(super) struct Flow {
     /// Tokens served per unit of weight.
     counter: u64,
     lanes: [BTreeSet<(Mono, u64)>; 5],
@@ -45,9 +45,9 @@
     running: u32,
 }
 
-impl Line {
-    pub(super) fn new(least: u64) -> Line {
-        Line {
+impl Flow {
+    pub(super) fn new(least: u64) -> Flow {
+        Flow {
             counter: least,
             lanes: Default::default(),
             waiting: 0,
--- a/almondlock-policy/src/queue/load.rs
+++ b/almondlock-policy/src/queue/load.rs
@@ -2,7 +2,7 @@
 
 use almondlock_base::unit::Tokens;
 
-use super::{GROUPS, Job, group};
+use super::{Job, PREFILL_GROUP_COUNT, prefill_group};
 use crate::length::Class;
 
 #[derive(Debug)]
@@ -11,7 +11,7 @@
     /// Whether its prompt is still being processed.
     pub(super) prefilling: bool,
     /// Whether it started while room was kept for a longer job.
-    pub(super) held: bool,
+    pub(super) during_hold: bool,
     /// Whether nothing else may run beside it.
     pub(super) alone: bool,
 }
@@ -21,13 +21,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     /// Prompt tokens in prefill, by group of classes.
-    pub(super) prefill: [Tokens; GROUPS],
+    pub(super) prefill: [Tokens; PREFILL_GROUP_COUNT],
     pub(super) short_memory: Tokens,
     pub(super) short_slots: u32,
     /// Of the short ones, those that started while room was kept for a longer
     /// job.
-    pub(super) held_memory: Tokens,
-    pub(super) held_slots: u32,
+    pub(super) hold_memory: Tokens,
+    pub(super) hold_slots: u32,
     pub(super) suspects: u32,
     /// Jobs that run alone: one at most.
     pub(super) alone: u32,
@@ -36,13 +36,13 @@
 impl Load {
     pub(super) fn enter(&mut self, running: &Running) {
         let job = &running.job;
-        self.prefill[group(job.class())] += job.prefill_tokens();
+        self.prefill[prefill_group(job.class())] += job.prefill_tokens();
         if job.class() == Class::Short {
             self.short_memory += job.memory_need();
             self.short_slots += 1;
-            if running.held {
-                self.held_memory += job.memory_need();
-                self.held_slots += 1;
+            if running.during_hold {
+                self.hold_memory += job.memory_need();
+                self.hold_slots += 1;
             }
         }
         self.suspects += u32::from(job.suspect || running.alone);
@@ -50,7 +50,7 @@
     }
 
     pub(super) fn end_prefill(&mut self, class: Class, tokens: Tokens) {
-        let active = &mut self.prefill[group(class)];
+        let active = &mut self.prefill[prefill_group(class)];
         *active = active.saturating_sub(tokens);
     }
 
@@ -62,9 +62,9 @@
         if job.class() == Class::Short {
             self.short_memory = self.short_memory.saturating_sub(job.memory_need());
             self.short_slots = self.short_slots.saturating_sub(1);
-            if running.held {
-                self.held_memory = self.held_memory.saturating_sub(job.memory_need());
-                self.held_slots = self.held_slots.saturating_sub(1);
+            if running.during_hold {
+                self.hold_memory = self.hold_memory.saturating_sub(job.memory_need());
+                self.hold_slots = self.hold_slots.saturating_sub(1);
             }
         }
         let suspect = job.suspect || running.alone;
--- a/almondlock-policy/src/queue/meter.rs
+++ b/almondlock-policy/src/queue/meter.rs
@@ -10,34 +10,34 @@
 use almondlock_base::{time::Mono, unit::Tokens};
 
 /// How much a window counts against what was known.
-const GAIN: f64 = 0.1;
+const SMOOTHING_RATIO: f64 = 0.1;
 /// Fewest tokens that say something about the speed.
-const SAMPLE: Tokens = Tokens(512);
+const MIN_SAMPLE: Tokens = Tokens(512);
 /// How many times what is in part done a window has to hold: its error is at
 /// most one part in so many, at each end.
-const MARGIN: u64 = 8;
+const MIN_WINDOW_RATIO: u64 = 8;
 
 #[derive(Clone, Debug)]
 pub(super) struct Meter {
     /// Tokens per second. At least 1.
     speed: f64,
-    since: Mono,
+    window_start: Mono,
     /// Tokens of the prompts in prefill.
     active: Tokens,
     /// The same when the window began, and those that ended part-way since.
-    before: Tokens,
+    unseen_tokens: Tokens,
     /// Tokens of the prompts whose prefill ended in the window.
-    done: Tokens,
+    finished_tokens: Tokens,
 }
 
 impl Meter {
     pub(super) fn new(speed: f64) -> Meter {
         Meter {
             speed: speed.max(1.0),
-            since: Mono::ZERO,
+            window_start: Mono::ZERO,
             active: Tokens::ZERO,
-            before: Tokens::ZERO,
-            done: Tokens::ZERO,
+            unseen_tokens: Tokens::ZERO,
+            finished_tokens: Tokens::ZERO,
         }
     }
 
@@ -45,42 +45,42 @@
         self.speed
     }
 
-    pub(super) fn start(&mut self, tokens: Tokens, now: Mono) {
+    pub(super) fn start_prefill(&mut self, tokens: Tokens, now: Mono) {
         if self.active == Tokens::ZERO {
-            self.begin(now);
+            self.begin_window(now);
         }
         self.active += tokens;
     }
 
-    pub(super) fn done(&mut self, tokens: Tokens, now: Mono) {
+    pub(super) fn finish_prefill(&mut self, tokens: Tokens, now: Mono) {
         self.active = self.active.saturating_sub(tokens);
-        self.done += tokens;
-        let unseen = self.before.max(self.active);
-        let ends = self.done.0 >= unseen.0.saturating_mul(MARGIN);
+        self.finished_tokens += tokens;
+        let unseen = self.unseen_tokens.max(self.active);
+        let ends = self.finished_tokens.0 >= unseen.0.saturating_mul(MIN_WINDOW_RATIO);
         if ends {
-            self.learn(now);
-            self.begin(now);
+            self.update_speed(now);
+            self.begin_window(now);
         }
     }
 
     /// A prefill ended part-way. How much of it was processed can't be seen
     /// either.
-    pub(super) fn broke(&mut self, tokens: Tokens) {
+    pub(super) fn abort_prefill(&mut self, tokens: Tokens) {
         self.active = self.active.saturating_sub(tokens);
-        self.before += tokens;
+        self.unseen_tokens += tokens;
     }
 
-    fn begin(&mut self, now: Mono) {
-        self.since = now;
-        self.before = self.active;
-        self.done = Tokens::ZERO;
+    fn begin_window(&mut self, now: Mono) {
+        self.window_start = now;
+        self.unseen_tokens = self.active;
+        self.finished_tokens = Tokens::ZERO;
     }
 
-    fn learn(&mut self, now: Mono) {
-        let took = now.since(self.since);
-        if self.done >= SAMPLE && !took.is_zero() {
-            let seen = self.done.0 as f64 / took.as_secs_f64();
-            self.speed = (self.speed + (seen - self.speed) * GAIN).max(1.0);
+    fn update_speed(&mut self, now: Mono) {
+        let took = now.since(self.window_start);
+        if self.finished_tokens >= MIN_SAMPLE && !took.is_zero() {
+            let seen = self.finished_tokens.0 as f64 / took.as_secs_f64();
+            self.speed = (self.speed + (seen - self.speed) * SMOOTHING_RATIO).max(1.0);
         }
     }
 }
--- a/almondlock-policy/src/queue/mod.rs
+++ b/almondlock-policy/src/queue/mod.rs
@@ -53,8 +53,8 @@
 //! ```
 
 mod config;
+mod flow;
 mod job;
-mod line;
 mod load;
 mod meter;
 mod wait;
@@ -72,7 +72,7 @@
     job::{Expiry, Grant, Job, Refusal, Room},
 };
 use self::{
-    line::{Lane, Line, Place},
+    flow::{Flow, Lane, Position},
     load::{Load, Running},
     meter::Meter,
 };
@@ -87,24 +87,24 @@
 
 /// How much faster than seen an engine is taken to be before a job is given up
 /// as hopeless.
-const HOPE: f64 = 1.5;
+const OPTIMISM_RATIO: f64 = 1.5;
 
 /// Where counters start: high enough for what may be saved up.
-const FLOOR: u64 = 1 << 40;
+const INITIAL_COUNTER_TOKENS: u64 = 1 << 40;
 
 /// The jobs that wait for one engine, and those that run on it.
 #[derive(Debug)]
 pub struct Queue<I> {
     config: Config,
     next: u64,
-    // Invariant: `places` and `waiting` hold the same jobs, and each stands in
-    // the line of its organisation and in `deadlines` exactly once.
-    places: HashMap<I, Place>,
+    // Invariant: `positions` and `waiting` hold the same jobs, and each stands in
+    // the flow of its organisation and in `deadlines` exactly once.
+    positions: HashMap<I, Position>,
     waiting: HashMap<u64, Waiting<I>>,
     deadlines: BTreeSet<(Mono, u64)>,
     /// Waiting jobs that run alone, by their due time.
     alone: BTreeSet<(Mono, u64)>,
-    lines: HashMap<Organisation, Line>,
+    flows: HashMap<Organisation, Flow>,
     running: HashMap<I, Running>,
     load: Load,
     queued: [Tokens; 4],
@@ -125,16 +125,16 @@
             meter: Meter::new(config.initial_speed),
             config,
             next: 0,
-            places: HashMap::new(),
+            positions: HashMap::new(),
             waiting: HashMap::new(),
             deadlines: BTreeSet::new(),
             alone: BTreeSet::new(),
-            lines: HashMap::new(),
+            flows: HashMap::new(),
             running: HashMap::new(),
             load: Load::default(),
             queued: [Tokens::ZERO; 4],
             hold: false,
-            floor: FLOOR,
+            floor: INITIAL_COUNTER_TOKENS,
         }
     }
 
@@ -179,7 +179,7 @@
     /// Refused when the engine can never hold it, when too much waits, or when
     /// its deadline can't be met even if it started now.
     pub fn push(&mut self, id: I, job: Job, room: &Room, now: Mono) -> Result<(), Refusal> {
-        self.check(&id, &job, room, now)?;
+        self.check_admissible(&id, &job, room, now)?;
         let lane = Lane::of(&job);
         self.insert(id, job, lane, now);
         Ok(())
@@ -192,15 +192,15 @@
     ///
     /// Refused as by [`Queue::push`].
     pub fn push_alone(&mut self, id: I, job: Job, room: &Room, now: Mono) -> Result<(), Refusal> {
-        self.check(&id, &job, room, now)?;
+        self.check_admissible(&id, &job, room, now)?;
         self.insert(id, job, Lane::ALONE, now);
         Ok(())
     }
 
     /// Takes a waiting job out. `false` when it does not wait here.
     pub fn remove(&mut self, id: &I) -> bool {
-        let found = self.places.get(id).copied();
-        found.is_some_and(|place| self.take(place).is_some())
+        let found = self.positions.get(id).copied();
+        found.is_some_and(|position| self.remove_waiting(position).is_some())
     }
 
     /// Takes out the jobs that are given up, each to be answered at once.
@@ -214,11 +214,11 @@
             if start > now {
                 break;
             }
-            let Some(place) = self.place_of(number) else {
+            let Some(position) = self.position_of(number) else {
                 self.deadlines.pop_first();
                 continue;
             };
-            let Some(waiting) = self.take(place) else {
+            let Some(waiting) = self.remove_waiting(position) else {
                 continue;
             };
             let passed = waiting.job.deadline <= now;
@@ -244,9 +244,9 @@
     /// Starts the next job, if there is room for it. To be called until it
     /// returns `None`, with the room that is left each time.
     pub fn grant(&mut self, now: Mono, room: &Room) -> Option<Grant<I>> {
-        let (place, held) = self.choose(now, room)?;
-        let waiting = self.take(place)?;
-        Some(self.enter(waiting, place, held, now))
+        let (position, held) = self.choose(now, room)?;
+        let waiting = self.remove_waiting(position)?;
+        Some(self.start_waiting(waiting, position, held, now))
     }
 
     /// Notes that a running job's prompt has been processed: its first token
@@ -260,7 +260,7 @@
         }
         let (class, tokens) = (running.job.class(), running.job.prefill_tokens());
         self.load.end_prefill(class, tokens);
-        self.meter.done(tokens, now);
+        self.meter.finish_prefill(tokens, now);
     }
 
     /// Notes that a running job is over and what it answered.
@@ -270,27 +270,27 @@
         };
         self.load.leave(&running);
         if running.prefilling {
-            self.meter.broke(running.job.prefill_tokens());
+            self.meter.abort_prefill(running.job.prefill_tokens());
         }
-        if let Some(line) = self.lines.get_mut(&running.job.organisation) {
-            line.finish(&running.job, output);
+        if let Some(flow) = self.flows.get_mut(&running.job.organisation) {
+            flow.finish(&running.job, output);
         }
-        self.forget_idle(&running.job.organisation);
+        self.drop_idle_flow(&running.job.organisation);
     }
 
-    fn check(&self, id: &I, job: &Job, room: &Room, now: Mono) -> Result<(), Refusal> {
-        if self.places.contains_key(id) || self.running.contains_key(id) {
-            return Err(refusal(Code::AlreadyRunning, Duration::ZERO));
+    fn check_admissible(&self, id: &I, job: &Job, room: &Room, now: Mono) -> Result<(), Refusal> {
+        if self.positions.contains_key(id) || self.running.contains_key(id) {
+            return Err(refuse(Code::AlreadyRunning, Duration::ZERO));
         }
         if job.memory_need() > room.total_memory {
-            return Err(refusal(Code::PromptTooLong, Duration::ZERO));
+            return Err(refuse(Code::PromptTooLong, Duration::ZERO));
         }
         let pause = self.estimate_wait(Class::Short).max(self.config.base_time);
         if self.waiting.len() >= self.config.max_waiting {
-            return Err(refusal(Code::Overloaded, pause));
+            return Err(refuse(Code::Overloaded, pause));
         }
-        if self.config.refuse_unreachable && now + self.hoped(job) > job.deadline {
-            return Err(refusal(Code::DeadlineUnreachable, pause));
+        if self.config.refuse_unreachable && now + self.min_service_time(job) > job.deadline {
+            return Err(refuse(Code::DeadlineUnreachable, pause));
         }
         Ok(())
     }
@@ -299,17 +299,17 @@
         let number = self.next;
         self.next += 1;
         let class = job.class();
-        let due = self.due(&job, lane, now);
-        let least = self.least_counter();
+        let due = self.due_time(&job, lane, now);
+        let least = self.idle_counter();
         if lane == Lane::ALONE {
             self.alone.insert((due, number));
         } else {
-            let line = self.lines.entry(job.organisation.clone());
-            let line = line.or_insert_with(|| Line::new(least));
-            line.arrive(lane, (due, number), least);
+            let flow = self.flows.entry(job.organisation.clone());
+            let flow = flow.or_insert_with(|| Flow::new(least));
+            flow.arrive(lane, (due, number), least);
         }
         let last_start = self.last_start(&job);
-        let place = Place {
+        let position = Position {
             number,
             due,
             lane,
@@ -317,7 +317,7 @@
         };
         self.deadlines.insert((last_start, number));
         self.queued[class.index()] += job.prefill_tokens();
-        self.places.insert(id.clone(), place);
+        self.positions.insert(id.clone(), position);
         self.waiting.insert(
             number,
             Waiting {
@@ -331,7 +331,7 @@
     /// When a job should start at the latest. One that runs alone stops all
     /// others from that moment on, so it first waits for the engine to fall idle
     /// by itself, through half of its time.
-    fn due(&self, job: &Job, lane: Lane, now: Mono) -> Mono {
+    fn due_time(&self, job: &Job, lane: Lane, now: Mono) -> Mono {
         if lane == Lane::ALONE {
             return now + job.deadline.since(now) / 2;
         }
@@ -342,7 +342,7 @@
     /// The last moment at which a job could start and still be in time.
     fn last_start(&self, job: &Job) -> Mono {
         if self.config.refuse_unreachable {
-            job.deadline - self.hoped(job)
+            job.deadline - self.min_service_time(job)
         } else {
             job.deadline
         }
@@ -351,51 +351,63 @@
     /// How long a job takes at least. The engine is taken for faster than it
     /// was seen to be: steps that are not full look slow, and a request that is
     /// refused by a wrong estimate is lost.
-    fn hoped(&self, job: &Job) -> Duration {
-        self.service_time(job.prefill_tokens()).div_f64(HOPE)
+    fn min_service_time(&self, job: &Job) -> Duration {
+        self.service_time(job.prefill_tokens())
+            .div_f64(OPTIMISM_RATIO)
     }
 
-    fn place_of(&self, number: u64) -> Option<Place> {
+    fn position_of(&self, number: u64) -> Option<Position> {
         let waiting = self.waiting.get(&number)?;
-        self.places.get(&waiting.id).copied()
+        self.positions.get(&waiting.id).copied()
     }
 
-    fn take(&mut self, place: Place) -> Option<Waiting<I>> {
-        let waiting = self.waiting.remove(&place.number)?;
-        self.places.remove(&waiting.id);
-        self.deadlines.remove(&(place.last_start, place.number));
+    fn remove_waiting(&mut self, position: Position) -> Option<Waiting<I>> {
+        let waiting = self.waiting.remove(&position.number)?;
+        self.positions.remove(&waiting.id);
+        self.deadlines
+            .remove(&(position.last_start, position.number));
         let queued = &mut self.queued[waiting.job.class().index()];
         *queued = queued.saturating_sub(waiting.job.prefill_tokens());
-        let key = (place.due, place.number);
-        if place.lane == Lane::ALONE {
+        let key = (position.due, position.number);
+        if position.lane == Lane::ALONE {
             self.alone.remove(&key);
-        } else if let Some(line) = self.lines.get_mut(&waiting.job.organisation) {
-            line.leave(place.lane, key);
+        } else if let Some(flow) = self.flows.get_mut(&waiting.job.organisation) {
+            flow.leave(position.lane, key);
         }
-        self.forget_idle(&waiting.job.organisation);
+        self.drop_idle_flow(&waiting.job.organisation);
         Some(waiting)
     }
 
-    fn enter(&mut self, waiting: Waiting<I>, place: Place, held: bool, now: Mono) -> Grant<I> {
+    fn start_waiting(
+        &mut self,
+        waiting: Waiting<I>,
+        position: Position,
+        held: bool,
+        now: Mono,
+    ) -> Grant<I> {
         let Waiting { id, job, since } = waiting;
         let class = job.class();
-        let much = self.has_much(&job.organisation);
-        let least = self.least_counter();
-        let line = self.lines.entry(job.organisation.clone());
-        line.or_insert_with(|| Line::new(least)).start(&job);
+        let has_excess = self.has_excess_running(&job.organisation);
+        let least = self.idle_counter();
+        let flow = self.flows.entry(job.organisation.clone());
+        flow.or_insert_with(|| Flow::new(least)).start(&job);
         let running = Running {
             job,
             prefilling: true,
-            held,
-            alone: place.lane == Lane::ALONE,
+            during_hold: held,
+            alone: position.lane == Lane::ALONE,
         };
         self.load.enter(&running);
-        self.meter.start(running.job.prefill_tokens(), now);
+        self.meter.start_prefill(running.job.prefill_tokens(), now);
         self.running.insert(id.clone(), running);
         Grant {
             id,
             class,
-            priority: priority(class, self.config.promote_overdue && now >= place.due, much),
+            priority: priority(
+                class,
+                self.config.promote_overdue && now >= position.due,
+                has_excess,
+            ),
             waited: now.since(since),
         }
     }
@@ -404,18 +416,18 @@
     /// others by so much that its next jobs go before any of theirs. It goes up
     /// with the floor, so what is saved up stays bounded, however often an
     /// organisation comes and goes.
-    fn least_counter(&self) -> u64 {
+    fn idle_counter(&self) -> u64 {
         self.floor
             .saturating_sub(self.config.quantum_tokens.saturating_add(1))
     }
 
-    /// A line that neither waits nor runs is dropped when its counter would be
+    /// A flow that neither waits nor runs is dropped when its counter would be
     /// lifted anyway; otherwise it would escape what it owes.
-    fn forget_idle(&mut self, organisation: &Organisation) {
-        let least = self.least_counter();
-        let idle = |line: &Line| line.is_idle() && line.counter() <= least;
-        if self.lines.get(organisation).is_some_and(idle) {
-            self.lines.remove(organisation);
+    fn drop_idle_flow(&mut self, organisation: &Organisation) {
+        let least = self.idle_counter();
+        let idle = |flow: &Flow| flow.is_idle() && flow.counter() <= least;
+        if self.flows.get(organisation).is_some_and(idle) {
+            self.flows.remove(organisation);
         }
     }
 }
@@ -424,16 +436,16 @@
 /// running after the others. A job that `rises` does so by a class, but never to
 /// the level of short ones: an engine that takes equals in turn would process
 /// the whole of a long prompt before them.
-fn priority(class: Class, rises: bool, much: bool) -> u8 {
-    let rank = group(class) as u8;
+fn priority(class: Class, rises: bool, has_excess: bool) -> u8 {
+    let rank = prefill_group(class) as u8;
     let rank = if rises && rank > 1 { rank - 1 } else { rank };
-    2 * rank + u8::from(much)
+    2 * rank + u8::from(has_excess)
 }
 
 /// The classes that have prompts in prefill apart from each other. The longest
 /// two share: what the longer one waits for the shorter one here is little
 /// against its own time, and much if each of those went before it.
-const fn group(class: Class) -> usize {
+const fn prefill_group(class: Class) -> usize {
     match class {
         Class::Short => 0,
         Class::Medium => 1,
@@ -442,8 +454,8 @@
 }
 
 /// How many of those there are.
-const GROUPS: usize = 3;
+const PREFILL_GROUP_COUNT: usize = 3;
 
-fn refusal(code: Code, retry_after: Duration) -> Refusal {
+fn refuse(code: Code, retry_after: Duration) -> Refusal {
     Refusal { code, retry_after }
 }
--- a/almondlock-policy/src/queue/wait.rs
+++ b/almondlock-policy/src/queue/wait.rs
@@ -5,8 +5,9 @@
 use almondlock_base::{id::Organisation, time::Mono, unit::Tokens};
 
 use super::{
-    Job, Queue, Room, group,
-    line::{Lane, Line, Place},
+    Job, Queue, Room,
+    flow::{Flow, Lane, Position},
+    prefill_group,
 };
 use crate::length::Class;
 
@@ -17,18 +18,18 @@
     /// Memory or a batch slot is lacking.
     NoRoom,
     /// Enough prompts of its kind are being processed.
-    Busy,
+    PrefillBusy,
 }
 
 impl<I> Queue<I>
 where
     I: Clone + Eq + Hash,
 {
-    /// The place of the job to start next, and whether a longer one that is due
+    /// The position of the job to start next, and whether a longer one that is due
     /// is kept room for meanwhile.
-    pub(super) fn choose(&mut self, now: Mono, room: &Room) -> Option<(Place, bool)> {
-        if let Some(place) = self.choose_alone(room) {
-            return Some((place, false));
+    pub(super) fn choose(&mut self, now: Mono, room: &Room) -> Option<(Position, bool)> {
+        if let Some(position) = self.choose_alone(room) {
+            return Some((position, false));
         }
         if room.free_slots == 0 || self.load.alone > 0 || self.is_draining(now) {
             return None;
@@ -37,14 +38,14 @@
         self.floor = self.floor.max(lowest);
         let ceiling = lowest.saturating_add(self.config.quantum_tokens);
         let mut held = self.hold;
-        let mut place = self.choose_among(0..=ceiling, &mut held, now, room);
-        if place.is_none() {
+        let mut position = self.choose_among(0..=ceiling, &mut held, now, room);
+        if position.is_none() {
             // Nothing of those has room now. The others have been served more
             // and go on all the same: an idle engine helps nobody.
             let others = ceiling.saturating_add(1)..=u64::MAX;
-            place = self.choose_among(others, &mut held, now, room);
+            position = self.choose_among(others, &mut held, now, room);
         }
-        place.map(|place| (place, held))
+        position.map(|position| (position, held))
     }
 
     /// Whether a job that runs alone is due: nothing else starts until it did.
@@ -53,11 +54,11 @@
     }
 
     /// The job to run alone, once the engine is idle.
-    fn choose_alone(&self, room: &Room) -> Option<Place> {
+    fn choose_alone(&self, room: &Room) -> Option<Position> {
         let (_, number) = self.alone.first().copied()?;
         let fits = self.waiting.get(&number)?.job.memory_need() <= room.free_memory;
         let idle = fits && self.running.is_empty() && room.free_slots > 0;
-        self.place_of(number).filter(|_| idle)
+        self.position_of(number).filter(|_| idle)
     }
 
     /// The job that is due first and has room, of the organisations whose
@@ -68,22 +69,22 @@
         held: &mut bool,
         now: Mono,
         room: &Room,
-    ) -> Option<Place> {
+    ) -> Option<Position> {
         // Each round takes the job due next in the lanes still open. If the
         // first of a lane has no room, those behind it wait with it, so there
         // are as many rounds as lanes at most.
         let mut closed = [false; Lane::ALL.len()];
         while let Some((key, lane)) = self.first_due(room, &counters, &closed) {
-            let place = self.place_of(key.1)?;
+            let position = self.position_of(key.1)?;
             let job = &self.waiting.get(&key.1)?.job;
-            let fit = self.fit(job, room, *held);
+            let fit = self.check_fit(job, room, *held);
             if fit == Fit::Now {
-                return Some(place);
+                return Some(position);
             }
             if !self.config.backfill {
                 return None;
             }
-            *held |= fit == Fit::NoRoom && now >= place.due && job.class() != Class::Short;
+            *held |= fit == Fit::NoRoom && now >= position.due && job.class() != Class::Short;
             closed[lane] = true;
         }
         None
@@ -91,21 +92,21 @@
 
     /// The lowest counter of the organisations that may start something.
     fn lowest_counter(&self, room: &Room) -> Option<u64> {
-        let eligible = |line: &&Line| line.is_waiting() && self.leaves_headroom(line, room);
-        self.lines
+        let eligible = |flow: &&Flow| flow.is_waiting() && self.has_headroom(flow, room);
+        self.flows
             .values()
             .filter(eligible)
-            .map(Line::counter)
+            .map(Flow::counter)
             .min()
     }
 
     /// One organisation never takes the last places in the batch, so that
     /// another one's short job finds one at once and need not wait until a
     /// whole answer has ended.
-    fn leaves_headroom(&self, line: &Line, room: &Room) -> bool {
-        let headroom = percent(u64::from(room.total_slots), self.config.headroom_percent);
+    fn has_headroom(&self, flow: &Flow, room: &Room) -> bool {
+        let headroom = percent_of(u64::from(room.total_slots), self.config.headroom_percent);
         let most = u64::from(room.total_slots).saturating_sub(headroom).max(1);
-        u64::from(line.running()) < most
+        u64::from(flow.running()) < most
     }
 
     fn first_due(
@@ -115,10 +116,10 @@
         closed: &[bool; Lane::ALL.len()],
     ) -> Option<((Mono, u64), usize)> {
         let mut best: Option<((Mono, u64), usize)> = None;
-        for line in self.lines.values() {
-            if !line.is_waiting()
-                || !counters.contains(&line.counter())
-                || !self.leaves_headroom(line, room)
+        for flow in self.flows.values() {
+            if !flow.is_waiting()
+                || !counters.contains(&flow.counter())
+                || !self.has_headroom(flow, room)
             {
                 continue;
             }
@@ -126,7 +127,7 @@
                 if closed[index] || (lane == Lane::SUSPECT && self.load.suspects > 0) {
                     continue;
                 }
-                let Some(key) = line.first(lane) else {
+                let Some(key) = flow.first(lane) else {
                     continue;
                 };
                 if best.is_none_or(|(b, _)| key < b) {
@@ -139,13 +140,13 @@
 
     /// Whether the engine has room for a job. `held` says that a longer one is
     /// due, so that only the reserved part may be used.
-    fn fit(&self, job: &Job, room: &Room, held: bool) -> Fit {
-        if !self.prefill_fits(job) {
-            return Fit::Busy;
+    fn check_fit(&self, job: &Job, room: &Room, held: bool) -> Fit {
+        if !self.may_prefill(job) {
+            return Fit::PrefillBusy;
         }
         let fits = match job.class() {
             _ if job.memory_need() > room.free_memory => false,
-            Class::Short => !held || self.fits_reserve(job, room),
+            Class::Short => !held || self.has_reserve_room(job, room),
             Class::Medium | Class::Long | Class::Huge => !held && self.spares_reserve(job, room),
         };
         if fits { Fit::Now } else { Fit::NoRoom }
@@ -155,17 +156,17 @@
     /// started while room is kept counts: if all short jobs counted, those that
     /// fill the engine when a long one falls due would stop the short ones
     /// until most of them have ended.
-    fn fits_reserve(&self, job: &Job, room: &Room) -> bool {
-        let memory = percent(room.total_memory.0, self.config.reserve_percent);
-        let slots = percent(u64::from(room.total_slots), self.config.reserve_percent);
-        self.load.held_memory.0.saturating_add(job.memory_need().0) <= memory
-            && u64::from(self.load.held_slots) < slots.max(1)
+    fn has_reserve_room(&self, job: &Job, room: &Room) -> bool {
+        let memory = percent_of(room.total_memory.0, self.config.reserve_percent);
+        let slots = percent_of(u64::from(room.total_slots), self.config.reserve_percent);
+        self.load.hold_memory.0.saturating_add(job.memory_need().0) <= memory
+            && u64::from(self.load.hold_slots) < slots.max(1)
     }
 
     /// What is to be left free of the reserved part: what short jobs don't hold
     /// of it already.
     pub fn reserve_left(&self, room: &Room) -> Tokens {
-        let memory = Tokens(percent(room.total_memory.0, self.config.reserve_percent));
+        let memory = Tokens(percent_of(room.total_memory.0, self.config.reserve_percent));
         memory.saturating_sub(self.load.short_memory)
     }
 
@@ -174,9 +175,9 @@
     /// fits with the reserved part gets it, else it could never run.
     fn spares_reserve(&self, job: &Job, room: &Room) -> bool {
         let need = job.memory_need().0;
-        let memory = percent(room.total_memory.0, self.config.reserve_percent);
+        let memory = percent_of(room.total_memory.0, self.config.reserve_percent);
         let memory = memory.min(room.total_memory.0.saturating_sub(need));
-        let slots = percent(u64::from(room.total_slots), self.config.reserve_percent);
+        let slots = percent_of(u64::from(room.total_slots), self.config.reserve_percent);
         let unused_memory = memory.saturating_sub(self.load.short_memory.0);
         let unused_slots = slots.saturating_sub(u64::from(self.load.short_slots));
         need.saturating_add(unused_memory) <= room.free_memory.0
@@ -187,19 +188,19 @@
     /// over can't be passed any more. At least one job of each group runs. A
     /// short or medium one of an organisation that has little running is not
     /// kept back by those of others: the engine puts it before them.
-    fn prefill_fits(&self, job: &Job) -> bool {
-        let group = group(job.class());
+    fn may_prefill(&self, job: &Job) -> bool {
+        let group = prefill_group(job.class());
         let active = self.load.prefill[group];
         let limit = self.config.prefill_limits[group];
-        let passes = || job.class() < Class::Long && !self.has_much(&job.organisation);
+        let passes = || job.class() < Class::Long && !self.has_excess_running(&job.organisation);
         active == Tokens::ZERO || active + job.prefill_tokens() <= limit || passes()
     }
 
     /// Whether an organisation with one job more would have more running than
     /// its part, were there one organisation more.
-    pub(super) fn has_much(&self, organisation: &Organisation) -> bool {
-        let running = self.lines.get(organisation).map_or(0, Line::running) as usize;
-        let active = self.lines.values().filter(|line| !line.is_idle()).count();
+    pub(super) fn has_excess_running(&self, organisation: &Organisation) -> bool {
+        let running = self.flows.get(organisation).map_or(0, Flow::running) as usize;
+        let active = self.flows.values().filter(|flow| !flow.is_idle()).count();
         (running + 1) * (active + 1) > self.running.len() + 1
     }
 
@@ -207,7 +208,10 @@
     /// goes before it, at the speed seen lately.
     pub fn estimate_wait(&self, class: Class) -> Duration {
         let waiting: Tokens = self.queued[..=class.index()].iter().copied().sum();
-        let running: Tokens = self.load.prefill[..=group(class)].iter().copied().sum();
+        let running: Tokens = self.load.prefill[..=prefill_group(class)]
+            .iter()
+            .copied()
+            .sum();
         self.service_time(waiting + running)
     }
 
@@ -222,7 +226,7 @@
     }
 }
 
-fn percent(whole: u64, percent: u32) -> u64 {
+fn percent_of(whole: u64, percent: u32) -> u64 {
     let part = u128::from(whole) * u128::from(percent.min(100)) / 100;
     u64::try_from(part).unwrap_or(u64::MAX)
 }
--- a/almondlock-policy/src/retry.rs
+++ b/almondlock-policy/src/retry.rs
@@ -153,17 +153,17 @@
 struct Budget {
     // Invariant: between 0 and the burst.
     saved: f64,
-    at: Option<Mono>,
+    refilled_at: Option<Mono>,
 }
 
 impl Budget {
     fn refill(&mut self, config: &Config, now: Mono) {
-        let earned = match self.at {
+        let earned = match self.refilled_at {
             None => config.max_saved,
             Some(at) => now.since(at).as_secs_f64() * config.free_per_second,
         };
         self.saved = (self.saved + earned).min(config.max_saved);
-        self.at = Some(self.at.map_or(now, |at| at.max(now)));
+        self.refilled_at = Some(self.refilled_at.map_or(now, |at| at.max(now)));
     }
 
     fn deposit(&mut self, config: &Config, now: Mono) {
@@ -239,21 +239,21 @@
             Safety::Never => return self.give_up(failure.code, failure.ran),
         };
         let after = if is_charged(failure.code) {
-            self.back_off(made, rng)
+            self.draw_backoff(made, rng)
         } else {
             Duration::ZERO
         };
         if made >= self.config.max_attempts || after >= left {
-            return self.exhausted(failure);
+            return self.give_up_exhausted(failure);
         }
-        if is_charged(failure.code) && !self.pay(organisation, now) {
-            return self.exhausted(failure);
+        if is_charged(failure.code) && !self.pay_retry(organisation, now) {
+            return self.give_up_exhausted(failure);
         }
         Decision::Retry { after, offset }
     }
 
     /// Both budgets pay, or neither does.
-    fn pay(&mut self, organisation: &Organisation, now: Mono) -> bool {
+    fn pay_retry(&mut self, organisation: &Organisation, now: Mono) -> bool {
         let Some(own) = self.organisations.get_mut(organisation) else {
             return false;
         };
@@ -267,7 +267,7 @@
 
     /// Doubles with each attempt, and is drawn from the upper half: requests
     /// that failed together do not come back together.
-    fn back_off<R>(&self, made: u32, rng: &mut R) -> Duration
+    fn draw_backoff<R>(&self, made: u32, rng: &mut R) -> Duration
     where
         R: Rng,
     {
@@ -282,7 +282,7 @@
 
     /// A request that ran keeps the code that says how it failed; one that did
     /// not is refused as such.
-    fn exhausted(&self, failure: &Failure) -> Decision {
+    fn give_up_exhausted(&self, failure: &Failure) -> Decision {
         if failure.ran == Ran::No && failure.streamed == 0 {
             self.give_up(Code::RetriesExhausted, Ran::No)
         } else {
--- a/almondlock-policy/src/throttle/client.rs
+++ b/almondlock-policy/src/throttle/client.rs
@@ -7,21 +7,21 @@
 use super::Rate;
 
 /// A relay that didn't answer is asked again after this long.
-const SILENT: Duration = Duration::from_millis(500);
+const UNANSWERED_PAUSE: Duration = Duration::from_millis(500);
 
 /// When relays that had no permit have one again.
 #[derive(Debug)]
 pub struct Selector<K, R> {
     // By upstream and relay.
-    empty: HashMap<(K, R), Mono>,
-    silent: HashMap<R, Mono>,
+    refused_until: HashMap<(K, R), Mono>,
+    unanswered_until: HashMap<R, Mono>,
 }
 
 impl<K, R> Default for Selector<K, R> {
     fn default() -> Selector<K, R> {
         Selector {
-            empty: HashMap::new(),
-            silent: HashMap::new(),
+            refused_until: HashMap::new(),
+            unanswered_until: HashMap::new(),
         }
     }
 }
@@ -34,32 +34,32 @@
     /// The first of the relays that may have a permit for this upstream.
     pub fn next_relay(&self, now: Mono, key: &K, relays: &[R]) -> Option<R> {
         let mut relays = relays.iter().copied();
-        relays.find(|relay| self.until(key, *relay) <= now)
+        relays.find(|relay| self.blocked_until(key, *relay) <= now)
     }
 
     /// A relay has none until so long after now.
     pub fn note_refusal(&mut self, now: Mono, key: &K, relay: R, wait: Duration) {
-        self.silent.remove(&relay);
-        self.empty.retain(|_, until| now < *until);
-        self.empty.insert((key.clone(), relay), now + wait);
+        self.unanswered_until.remove(&relay);
+        self.refused_until.retain(|_, until| now < *until);
+        self.refused_until.insert((key.clone(), relay), now + wait);
     }
 
     /// A relay did not answer.
     pub fn note_no_answer(&mut self, now: Mono, relay: R) {
-        self.silent.retain(|_, until| now < *until);
-        self.silent.insert(relay, now + SILENT);
+        self.unanswered_until.retain(|_, until| now < *until);
+        self.unanswered_until.insert(relay, now + UNANSWERED_PAUSE);
     }
 
     /// When one of the relays may have a permit.
     pub fn time_to_permit(&self, now: Mono, key: &K, relays: &[R]) -> Duration {
-        let untils = relays.iter().map(|relay| self.until(key, *relay));
-        let first = untils.min().unwrap_or(now + SILENT);
+        let untils = relays.iter().map(|relay| self.blocked_until(key, *relay));
+        let first = untils.min().unwrap_or(now + UNANSWERED_PAUSE);
         first.since(now)
     }
 
-    fn until(&self, key: &K, relay: R) -> Mono {
-        let empty = self.empty.get(&(key.clone(), relay)).copied();
-        let silent = self.silent.get(&relay).copied();
+    fn blocked_until(&self, key: &K, relay: R) -> Mono {
+        let empty = self.refused_until.get(&(key.clone(), relay)).copied();
+        let silent = self.unanswered_until.get(&relay).copied();
         empty.max(silent).unwrap_or(Mono::ZERO)
     }
 }
@@ -69,7 +69,7 @@
 /// but one of them would be refused again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stagger {
-    last: Mono,
+    last_retry: Mono,
 }
 
 impl Stagger {
@@ -83,11 +83,11 @@
         (rate, hosts): (Rate, u32),
         patience: Duration,
     ) -> Duration {
-        let next = (now + opens).max(self.last);
+        let next = (now + opens).max(self.last_retry);
         let wait = next.since(now);
         if wait <= patience {
             let gap = f64::from(hosts.max(1)) / rate.per_second().max(f64::MIN_POSITIVE);
-            self.last = next + Duration::try_from_secs_f64(gap).unwrap_or(patience);
+            self.last_retry = next + Duration::try_from_secs_f64(gap).unwrap_or(patience);
         }
         wait
     }
--- a/almondlock-policy/src/throttle/issuer.rs
+++ b/almondlock-policy/src/throttle/issuer.rs
@@ -12,7 +12,7 @@
 
 /// What an upstream takes when it names a limit of 0: a question now and then, by which
 /// the end of the limit is seen. In thousandths of requests a second.
-const LEAST: u32 = 50;
+const MIN_RATE_THOUSANDTHS: u32 = 50;
 
 /// Gives out one relay's part of each limit.
 ///
@@ -42,9 +42,10 @@
     ///
     /// When the next one is due, if there is none now.
     pub fn take(&mut self, now: Mono, key: K, rate: Rate, parts: u32) -> Result<(), Duration> {
-        let rate = u64::from(rate.thousandths().max(LEAST)) / u64::from(parts.max(1));
+        let rate =
+            u64::from(rate.thousandths().max(MIN_RATE_THOUSANDTHS)) / u64::from(parts.max(1));
         let bucket = self.buckets.entry(key).or_insert(Bucket::empty(now));
-        bucket.fill(rate, BURST, now);
+        bucket.refill(rate, BURST, now);
         bucket.take(rate)
     }
 
