--- a/almondlock-policy/src/admission.rs
+++ b/almondlock-policy/src/admission.rs
@@ -1,33 +1,34 @@
-//! Whether a long prompt is refused at once: because it would be late, or
-//! because the engines' time does more for others.
+//! Decides whether a long prompt is refused on arrival, because its answer would be late or
+//! because the engines' time is worth more to other requests.
 //!
-//! **Load pattern.** In stretches with many long prompts the engines have more
-//! to read than they can in time. Each prompt that is taken all the same is
-//! worth little when it comes late, and makes those behind it late as well,
-//! until all are. Refused at once, its caller can come back when the stretch is
-//! over. And prompts are dear very unevenly: reading takes time that grows with
-//! the square of the length, so that one of 900,000 tokens takes as long as
-//! eighteen of 182,000, which are four times as many tokens.
+//! **Load pattern.** At times so many long prompts arrive that the engines can't process
+//! them all within their objectives. A prompt that is admitted all the same gets a late
+//! answer, which is worth little, and delays the prompts behind it until all of them are
+//! late. If it is refused at once, its caller can come back after the peak. The cost of
+//! prompts differs widely: the processing time grows with the square of the length, so that
+//! a prompt of 900,000 tokens takes as long as eighteen of 182,000, which together have
+//! four times as many tokens.
 //!
-//! **A price for engine time.** A caller gets about as much out of a prompt as it
-//! has tokens; what it costs is the engines' time. Tokens for each second of that
-//! time is what admitting it yields. The reference is a prompt that one engine
-//! reads alone within its objective. One that yields half as much may be expected
-//! half as late as the reference. That is a bid price (as for seats of different
-//! fares) which rises in step with the wait ahead: the more is promised already,
-//! the more a prompt must yield to be taken. While the engines have next to
-//! nothing left to read nobody is displaced, and whatever can be in time is taken;
-//! so the largest are served in calm stretches. How late a prompt may be expected then
-//! depends on how many of the engines it takes: with a few of many, those that come after
-//! it find others; with all of a small fleet they wait behind it.
+//! **A price for engine time.** The value of a prompt to its caller is taken to be its
+//! number of tokens, and its cost is the engine time. Tokens per second of engine time are
+//! its yield. The reference is a prompt that one engine, working on it alone, processes
+//! within its objective. A prompt with half the yield of the reference is admitted only if
+//! it is expected in half the time. This is a bid price (as airlines use for fare classes)
+//! that rises with the wait: the more work the engines have been promised, the more a
+//! prompt must yield to be admitted. While the engines have almost nothing left to process,
+//! no other request is displaced, and each prompt that can be in time is admitted; so the
+//! largest prompts are served in quiet times. How late a prompt may then be expected
+//! depends on the part of the engines that it takes: if it takes a few of many, later
+//! prompts find other engines; if it takes all engines of a small fleet, they wait behind
+//! it.
 //!
-//! **When to come back.** A refused caller is told to come back once the engines have
-//! read what keeps it out: after as much time as it was expected beyond its bound.
-//! Coming back at once, it meets the same engines and is refused again.
+//! **Retry delay.** A refused caller is told to come back once the engines have worked off
+//! what delays its prompt too much, which is the time by which the prompt exceeds its
+//! bound. If it came back at once, it would meet the same engines and be refused again.
 //!
-//! **Over its share.** While the engines are busy, the bound for an organisation that is over
-//! its fair share is divided by how many times its share it has. A prompt that nothing is
-//! read before is judged as any other: it displaces nobody.
+//! **Fair share.** While the engines are busy, the bound for an organisation over its fair
+//! share is divided by the multiple of its share that it has. A prompt that would not wait
+//! for others is not affected: it displaces no other request.
 
 use std::time::Duration;
 
@@ -35,58 +36,60 @@
 
 use crate::{engine::Speed, share::Standing};
 
-/// A long prompt is refused when its first event is expected later than this
-/// part of its objective. What comes after it, pauses and parts of others, has
-/// the rest.
+/// Part of the objective within which the first event of a prompt at the reference yield
+/// must be expected while the engines are busy. The rest is a margin for the pauses and the
+/// work of other prompts that come later.
 const BUSY_LIMIT_RATIO: f64 = 0.55;
 
-/// The same while the engines are idle, for a prompt that takes few of them: what is
-/// expected then comes true, but for a pass or two.
+/// Part of the objective within which the first event must be expected while the engines
+/// are idle, for a prompt that takes few of them. The estimate is then accurate to a pass
+/// or two.
 const IDLE_LIMIT_RATIO: f64 = 0.9;
 
-/// The part of the engines that counts as all of them: prompts that come after one that
-/// takes so many find few others idle.
+/// Part of the engines from which on a prompt counts as taking all of them, since later
+/// prompts then find few idle engines.
 const WHOLE_FLEET_RATIO: f64 = 1.0 / 5.0;
 
-/// What takes an engine less time than this is worth its time also when late: refused,
-/// the largest prompts of a middling kind would hardly ever be served.
+/// A prompt that an engine processes in less time than this is never refused, even if it
+/// will be late. Otherwise the largest prompts of medium length would hardly ever be
+/// served.
 const EXEMPT_READ_TIME: Duration = Duration::from_millis(1_100);
 
-/// Engines that have less than this part of an objective left to read, in the
-/// mean over the last moments, count as idle: about one prompt of 45,000 tokens
-/// for each three of them.
+/// Engines whose mean backlog is below this part of the objective count as idle. It is
+/// about one prompt of 45,000 tokens for every three engines.
 const IDLE_BACKLOG_RATIO: f64 = 0.03;
 
-/// Over what time the mean is taken. One large prompt on its own takes the
-/// engines about as long, and mustn't count as a stretch of them.
+/// Time constant of the mean backlog. One large prompt takes the engines about as long, and
+/// must not count as a peak by itself.
 const BACKLOG_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
-/// What is known of a prompt when it is decided on.
+/// A prompt to be admitted or refused, with the state of the engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its tokens.
+    /// Length of the prompt in tokens.
     pub prompt: u64,
-    /// When its first event should be there, from its arrival.
+    /// Time from the prompt's arrival within which its first event should come.
     pub objective: Duration,
-    /// The time since its arrival.
+    /// Time since the prompt's arrival.
     pub elapsed: Duration,
-    /// When its first event is expected, from now.
+    /// Time from now until its first event is expected.
     pub expected_delay: Duration,
-    /// What an engine has left to read, in the mean of all and of the last
-    /// moments.
+    /// Time that an engine needs for the work it has left: the mean over all engines and
+    /// over the last moments.
     pub backlog: Duration,
-    /// The part of all engines that would read it.
+    /// Part of all engines that would process the prompt.
     pub engine_ratio: f64,
 }
 
-/// Whether a prompt is refused: if it is, when its caller should come back.
+/// Decides on a prompt of an organisation within its share. Returns the time after which
+/// the caller should come back if the prompt is refused, and `None` if it is admitted.
 pub fn check(speed: &Speed, candidate: &Candidate) -> Option<Duration> {
     check_with_share(speed, candidate, Standing::Within, Duration::ZERO)
 }
 
-/// The same for a prompt of an organisation that stands like this with its share. `alone` is
-/// when the prompt's first event would be expected, from now, if its engines had nothing else
-/// to read.
+/// Decides on a prompt as [`check`] does, with the standing of its organisation. `alone` is
+/// the time from now until the prompt's first event would be expected if its engines had no
+/// other work.
 pub fn check_with_share(
     speed: &Speed,
     candidate: &Candidate,
@@ -109,8 +112,9 @@
     is_refused.then(|| late.saturating_sub(busy_bound))
 }
 
-/// The bound for a prompt while the engines are busy, given how its organisation stands. Not
-/// tighten_bound below `alone`, by when the prompt is expected if its engines are idle.
+/// Returns the bound for a prompt while the engines are busy, lowered if its organisation
+/// is over its share, but not below `alone`, the time at which it is expected on idle
+/// engines.
 fn tighten_bound(bound: Duration, standing: Standing, alone: Duration) -> Duration {
     match standing {
         Standing::Within => bound,
@@ -118,8 +122,9 @@
     }
 }
 
-/// By which part of its objective a prompt must be expected that comes to idle engines:
-/// sooner the more they have left to read, and the more of them it takes.
+/// Returns the part of its objective within which a prompt must be expected on idle
+/// engines. It is lower the more work the engines have left and the more of them the prompt
+/// takes.
 fn idle_limit_ratio(candidate: &Candidate, idle: Duration) -> f64 {
     let busy = candidate.backlog.as_secs_f64() / idle.as_secs_f64().max(f64::MIN_POSITIVE);
     let taken = busy
@@ -128,8 +133,8 @@
     IDLE_LIMIT_RATIO - (IDLE_LIMIT_RATIO - BUSY_LIMIT_RATIO) * taken
 }
 
-/// What a prompt yields for the engines' time, as a part of what one does that an
-/// engine reads alone within the objective. At most 1.
+/// Returns a prompt's yield in tokens per second of engine time, relative to that of a
+/// prompt that an engine processes alone within the objective. At most 1.
 fn relative_yield(speed: &Speed, candidate: &Candidate) -> f64 {
     let reference = speed.readable_tokens(candidate.objective);
     let (own, usual) = (
@@ -143,17 +148,16 @@
     }
 }
 
-/// The mean backlog of the engines over the last moments, weighted by how long
-/// ago each was seen.
+/// Mean backlog of the engines over the last moments. The weight of a value falls
+/// exponentially with its age.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backlog {
-    // When it was last told, and the mean then, in seconds.
+    // Time of the last value, and the mean at that time in seconds.
     last: Option<(Mono, f64)>,
 }
 
 impl Backlog {
-    /// Takes in what the engines have left to read now, in the mean of all, and
-    /// gives the mean over time.
+    /// Adds the present backlog, a mean over all engines, and returns the mean over time.
     pub fn observe(&mut self, now: Mono, backlog: Duration) -> Duration {
         let backlog = backlog.as_secs_f64();
         let mean = self.last.map_or(backlog, |(at, mean)| {
--- a/almondlock-policy/src/queue/config.rs
+++ b/almondlock-policy/src/queue/config.rs
@@ -1,4 +1,4 @@
-//! What a queue can be told.
+//! The configuration of a queue.
 
 use std::time::Duration;
 
@@ -8,47 +8,46 @@
 
 /// How a [`Queue`](super::Queue) orders work.
 ///
-/// [`Config::fifo`] is the baseline: first come, first served, nothing
-/// reserved. [`Config::short`] and [`Config::even`] are the two settings that
-/// deployments choose between.
+/// [`Config::fifo`] is a baseline: first come, first served, without reserved room.
+/// [`Config::short`] and [`Config::even`] are the two configurations that deployments
+/// choose between.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// How many times its own service time a job may be passed over for
-    /// shorter ones. 0 is first come first served; a large figure comes near
-    /// to shortest job first. It bounds how long the longest wait.
+    /// How many times its own service time a job may be passed by shorter jobs. It bounds
+    /// the wait of the longest jobs. 0 is first come, first served; a large value
+    /// approaches shortest job first.
     pub stretch: f64,
-    /// Whether a job that is overdue when it starts gets the engine priority of
-    /// the next shorter class, yet never that of short ones. Helps the longest
-    /// at the cost of the medium ones.
+    /// Whether a job that is overdue when it starts gets the engine priority of the next
+    /// shorter class, but never that of short jobs. It helps the longest jobs at the cost
+    /// of medium ones.
     pub promote_overdue: bool,
-    /// The share of engine memory and batch slots that only short prompts use,
-    /// in percent.
+    /// Percentage of engine memory and batch slots that only short prompts use.
     pub reserve_percent: u32,
-    /// How many tokens (per unit of weight) an organisation may be ahead of the
-    /// others before they go first whatever their jobs' length. As much may be
-    /// saved up by one that asks for little.
+    /// Number of tokens per unit of weight that an organisation may be ahead of the others
+    /// before they go first whatever the length of their jobs. It also bounds the credit of
+    /// an organisation that asks for little.
     pub quantum_tokens: u64,
-    /// Prompt tokens that may be in prefill at once: of short jobs, of medium
-    /// ones, of all longer ones. One job of each is always let through.
+    /// Maximum number of prompt tokens in prefill at once: of short jobs, of medium ones,
+    /// and of all longer ones. One job of each group is always let through.
     pub prefill_limits: [Tokens; PREFILL_GROUP_COUNT],
-    /// Batch slots, in percent, that one organisation leaves to the others.
+    /// Percentage of batch slots that one organisation leaves to the others.
     pub headroom_percent: u32,
     /// Whether smaller jobs may pass a job that has no room yet.
     pub backfill: bool,
-    /// Whether a job is given up as soon as its deadline can't be met, rather
-    /// than when it passes.
+    /// Whether a job is given up as soon as it can't meet its deadline, instead of when the
+    /// deadline passes.
     pub refuse_unreachable: bool,
-    /// Prefill speed to assume before the first is seen, in tokens per second.
+    /// Prefill speed in tokens per second that is assumed before the first measurement.
     pub initial_speed: f64,
-    /// How long a job of no length takes: what [`Config::stretch`] stretches
-    /// for the shortest ones.
+    /// Service time of a job of length zero. With [`Config::stretch`] it sets how long the
+    /// shortest jobs may be passed.
     pub base_time: Duration,
-    /// Jobs that may wait.
+    /// Maximum number of waiting jobs.
     pub max_waiting: usize,
 }
 
 impl Config {
-    /// Weighs the slowdown of short prompts most.
+    /// Returns the configuration that favours the slowdown of short prompts.
     pub fn short() -> Config {
         Config {
             stretch: 4.0,
@@ -65,7 +64,7 @@
         }
     }
 
-    /// Weighs the time to first token over all lengths most.
+    /// Returns the configuration that favours the time to first token over all lengths.
     pub fn even() -> Config {
         Config {
             stretch: 1.0,
@@ -74,7 +73,7 @@
         }
     }
 
-    /// First come, first served, as a baseline.
+    /// Returns the baseline: first come, first served.
     pub fn fifo() -> Config {
         Config {
             stretch: 0.0,
@@ -90,12 +89,12 @@
     }
 }
 
-/// Largest stretch that is acted on.
+/// Largest stretch that has an effect.
 const STRETCH_LIMIT: f64 = 1_000.0;
 
 impl Config {
-    /// Settings are read from text, where `nan` is a number too; multiplying a
-    /// span by it would panic at the first job.
+    /// Returns the stretch within its bounds. Settings are read from text, where `nan` is a
+    /// number too, and a duration multiplied by it would panic at the first job.
     pub(super) fn bounded_stretch(&self) -> f64 {
         if self.stretch.is_nan() {
             return 0.0;
--- a/almondlock-policy/src/queue/flow.rs
+++ b/almondlock-policy/src/queue/flow.rs
@@ -1,4 +1,5 @@
-//! The waiting jobs of one organisation.
+//! The waiting jobs of one organisation and its fairness counter, a *flow* in the terms of
+//! fair queueing.
 
 use std::collections::BTreeSet;
 
@@ -6,14 +7,14 @@
 
 use super::Job;
 
-/// What a job waits in: its class, or the lane of those under suspicion, which
-/// is looked at only while no other suspect runs.
+/// Where a job waits within a flow: the lane of its class, or that of suspects, which is
+/// considered only while no other suspect runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Lane(usize);
 
 impl Lane {
     pub(super) const SUSPECT: Lane = Lane(4);
-    /// That of jobs which run alone. No organisation's flow has it.
+    /// Lane of jobs that run alone. It belongs to the queue and not to a flow.
     pub(super) const ALONE: Lane = Lane(5);
     pub(super) const ALL: [Lane; 5] = [Lane(0), Lane(1), Lane(2), Lane(3), Lane::SUSPECT];
 
@@ -26,16 +27,17 @@
     }
 }
 
-/// Where a job stands.
+/// Where a job waits: its number and the keys of the indices that hold it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Position {
     pub(super) number: u64,
     pub(super) due: Mono,
     pub(super) lane: Lane,
-    /// The key in `Queue::deadlines`.
+    /// Its key in `Queue::deadlines`.
     pub(super) last_start: Mono,
 }
 
+/// The waiting jobs of one organisation by lane, ordered by due time.
 #[derive(Debug)]
 pub(super) struct Flow {
     /// Tokens served per unit of weight.
@@ -71,9 +73,9 @@
         self.waiting > 0
     }
 
-    /// An organisation that had nothing waiting is lifted to the least counter
-    /// allowed. Without that it could save up its share through a quiet day and
-    /// then hold the engine for as long.
+    /// Adds a waiting job. The counter of an organisation that had none waiting is raised
+    /// to `least`. Otherwise it could save up its share through a quiet day and then hold
+    /// the engine for as long.
     pub(super) fn arrive(&mut self, lane: Lane, key: (Mono, u64), least: u64) {
         if self.waiting == 0 {
             self.counter = self.counter.max(least);
@@ -86,20 +88,22 @@
         self.waiting -= usize::from(removed);
     }
 
+    /// Counts a job that starts, with the longest answer it may have.
     pub(super) fn start(&mut self, job: &Job) {
         self.running += 1;
         let tokens = job.prefill_tokens() + job.max_output;
         self.counter = self.counter.saturating_add(cost(tokens, job.weight));
     }
 
-    /// The counter was charged for the longest answer; the rest is given back.
+    /// Counts a job that ended. The counter was charged for the longest answer; the
+    /// difference is given back.
     pub(super) fn finish(&mut self, job: &Job, output: Tokens) {
         self.running = self.running.saturating_sub(1);
         let unused = job.max_output.saturating_sub(output);
         self.counter = self.counter.saturating_sub(cost(unused, job.weight));
     }
 
-    /// The job that is due first in a lane.
+    /// Returns the key of the job in a lane that has the earliest due time.
     pub(super) fn first(&self, lane: Lane) -> Option<(Mono, u64)> {
         self.lanes[lane.0].first().copied()
     }
--- a/almondlock-policy/src/queue/job.rs
+++ b/almondlock-policy/src/queue/job.rs
@@ -1,4 +1,4 @@
-//! What goes into a queue and what comes out.
+//! The types that go into a queue and come out of it.
 
 use std::{fmt, time::Duration};
 
@@ -6,58 +6,59 @@
 
 use crate::length::Class;
 
-/// What the queue has to know of an attempt.
+/// An attempt as the queue sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Who pays for it.
+    /// The organisation that sent it.
     pub organisation: Organisation,
-    /// The organisation's share against the others'.
+    /// Weight of the organisation's share relative to those of other organisations.
     pub weight: u32,
     /// Length of the prompt.
     pub prompt: Tokens,
-    /// How much of the prompt's start the engine has cached, as believed.
+    /// Number of tokens at the start of the prompt that the engine is believed to have
+    /// cached.
     pub cached: Tokens,
-    /// Most tokens it may answer with.
+    /// Maximum length of the answer.
     pub max_output: Tokens,
-    /// When its time is over.
+    /// Time by which the answer must be complete.
     pub deadline: Mono,
-    /// Whether it is under suspicion of killing engines.
+    /// Whether it is suspected of killing engines.
     pub suspect: bool,
 }
 
 impl Job {
-    /// Engine memory that it needs in the end.
+    /// Returns the engine memory that it needs when its answer has the maximum length.
     pub fn memory_need(&self) -> Tokens {
         self.prompt + self.max_output
     }
 
-    /// Tokens still to be prefilled.
+    /// Returns the number of prompt tokens that are not cached.
     pub fn prefill_tokens(&self) -> Tokens {
         self.prompt.saturating_sub(self.cached)
     }
 
-    /// Its length class, by the work it is: a long prompt whose start is cached
-    /// delays others no more than a short one.
+    /// Returns its length class by the tokens to process: a long prompt whose start is
+    /// cached delays others no more than a short one.
     pub fn class(&self) -> Class {
         Class::of(self.prefill_tokens())
     }
 }
 
-/// What is free on the engine.
+/// The free and the total memory and batch slots of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Room {
     /// Free memory.
     pub free_memory: Tokens,
-    /// All its memory.
+    /// Total memory.
     pub total_memory: Tokens,
-    /// Free places in the batch.
+    /// Number of free batch slots.
     pub free_slots: u32,
-    /// All places in the batch.
+    /// Total number of batch slots.
     pub total_slots: u32,
 }
 
 impl Room {
-    /// An engine on which nothing runs.
+    /// Returns the room of an engine on which nothing runs.
     pub fn idle(capacity: Tokens, slots: u32) -> Room {
         Room {
             free_memory: capacity,
@@ -73,31 +74,31 @@
 pub struct Grant<I> {
     /// The job.
     pub id: I,
-    /// Its class.
+    /// Its length class.
     pub class: Class,
-    /// The engine's priority for it; 0 goes before all others.
+    /// Its priority on the engine; 0 goes before all others.
     pub priority: u8,
-    /// How long it waited.
+    /// Time that it waited in the queue.
     pub waited: Duration,
 }
 
-/// A job that is given up before it started.
+/// A job that was given up before it started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expiry<I> {
     /// The job. It is no longer in the queue.
     pub id: I,
     /// [`Code::QueueTimeout`] or [`Code::DeadlineUnreachable`].
     pub code: Code,
-    /// When its caller may come back.
+    /// Time after which its caller may come back.
     pub retry_after: Duration,
 }
 
-/// A job that may not wait here.
+/// Why a job was not added to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The numbered reason.
+    /// The result code.
     pub code: Code,
-    /// When to come back, zero for never.
+    /// Time after which the caller may come back. Zero means that it should not.
     pub retry_after: Duration,
 }
 
--- a/almondlock-policy/src/queue/load.rs
+++ b/almondlock-policy/src/queue/load.rs
@@ -1,10 +1,12 @@
-//! What runs on the engine, as far as the order of what waits depends on it.
+//! Sums over the jobs that run on the engine, as far as the order of waiting jobs depends
+//! on them.
 
 use almondlock_base::unit::Tokens;
 
 use super::{Job, PREFILL_GROUP_COUNT, prefill_group};
 use crate::length::Class;
 
+/// A job that runs.
 #[derive(Debug)]
 pub(super) struct Running {
     pub(super) job: Job,
@@ -12,24 +14,27 @@
     pub(super) prefilling: bool,
     /// Whether it started while room was kept for a longer job.
     pub(super) during_hold: bool,
-    /// Whether nothing else may run beside it.
+    /// Whether no other job may run beside it.
     pub(super) alone: bool,
 }
 
-/// Sums over the jobs that run. Invariant: equal to the sum over
-/// `Queue::running`, held so by `Queue::enter` and `Queue::leave`.
+/// Sums over the running jobs. Invariant: equal to the sum over `Queue::running`, which
+/// `Queue::start_waiting` and `Queue::finish` maintain.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     /// Prompt tokens in prefill, by group of classes.
     pub(super) prefill: [Tokens; PREFILL_GROUP_COUNT],
+    /// Memory of the short jobs.
     pub(super) short_memory: Tokens,
+    /// Batch slots of the short jobs.
     pub(super) short_slots: u32,
-    /// Of the short ones, those that started while room was kept for a longer
-    /// job.
+    /// Memory of the short jobs that started while room was kept for a longer job.
     pub(super) hold_memory: Tokens,
+    /// Batch slots of the short jobs that started while room was kept for a longer job.
     pub(super) hold_slots: u32,
+    /// Number of suspects, including jobs that run alone.
     pub(super) suspects: u32,
-    /// Jobs that run alone: one at most.
+    /// Number of jobs that run alone, at most one.
     pub(super) alone: u32,
 }
 
--- a/almondlock-policy/src/queue/meter.rs
+++ b/almondlock-policy/src/queue/meter.rs
@@ -1,22 +1,23 @@
-//! How fast an engine processes prompts, seen from beside it.
+//! Measures the prefill speed of an engine from beside it.
 //!
-//! An engine works on several prompts at once, so the pace of one says little:
-//! four side by side each look four times too slow. What is measured is all
-//! that was processed in a *window*, divided by its length. A window begins
-//! when the first prompt starts and ends when none is left; under steady load,
-//! when what was processed in it exceeds by far what was or is in part done,
-//! which can't be seen.
+//! An engine processes several prompts at once, so the speed of one prompt says little: of
+//! four prompts side by side, each looks four times too slow. The meter divides all tokens
+//! that were processed in a *window* by the length of the window. A window begins when the
+//! first prompt starts and ends when no prompt is in prefill. Under steady load it ends
+//! when the finished tokens far exceed the tokens of prompts that are processed in part,
+//! since it can't be seen how much of those is done.
 
 use almondlock_base::{time::Mono, unit::Tokens};
 
-/// How much a window counts against what was known.
+/// Weight of a window's speed against the speed known before.
 const SMOOTHING_RATIO: f64 = 0.1;
-/// Fewest tokens that say something about the speed.
+/// Least number of tokens in a window from which the speed is measured.
 const MIN_SAMPLE: Tokens = Tokens(512);
-/// How many times what is in part done a window has to hold: its error is at
-/// most one part in so many, at each end.
+/// How many times the tokens of prompts processed in part a window's finished tokens must
+/// be. It bounds the error to one part in this number at each end of the window.
 const MIN_WINDOW_RATIO: u64 = 8;
 
+/// The measured speed and the present window.
 #[derive(Clone, Debug)]
 pub(super) struct Meter {
     /// Tokens per second. At least 1.
@@ -24,7 +25,8 @@
     window_start: Mono,
     /// Tokens of the prompts in prefill.
     active: Tokens,
-    /// The same when the window began, and those that ended part-way since.
+    /// Tokens of prompts of which an unknown part was processed in the window: those in
+    /// prefill when it began, and those whose prefill was aborted since.
     unseen_tokens: Tokens,
     /// Tokens of the prompts whose prefill ended in the window.
     finished_tokens: Tokens,
@@ -63,8 +65,7 @@
         }
     }
 
-    /// A prefill ended part-way. How much of it was processed can't be seen
-    /// either.
+    /// Records a prefill that ended early. It can't be seen how much of it was processed.
     pub(super) fn abort_prefill(&mut self, tokens: Tokens) {
         self.active = self.active.saturating_sub(tokens);
         self.unseen_tokens += tokens;
--- a/almondlock-policy/src/queue/mod.rs
+++ b/almondlock-policy/src/queue/mod.rs
@@ -1,32 +1,31 @@
-//! Which attempt starts next on an engine.
+//! Decides which attempt starts next on an engine.
 //!
-//! Work waits here, beside the engine, and not inside it: what waits here can
-//! be withdrawn and proved not run, and the order can still change when
-//! something shorter or more urgent comes.
+//! Work waits here, beside the engine, and not inside it: an attempt that waits here can be
+//! withdrawn and is proved not to have run, and the order can still change when a shorter
+//! or more urgent attempt comes.
 //!
 //! # Order
 //!
-//! Each job has a *due time*: its arrival plus [`Config::stretch`] times the
-//! time its own prefill takes. The job with the earliest due time goes first.
-//! A short prompt is due almost when it arrives and passes the long ones; a
-//! long one is due later, but at a fixed moment, and whatever arrives after
-//! that moment is due after it. So no stream of short prompts can keep it
-//! waiting for ever, and the one figure says how far to lean to either side.
-//! Fixed priorities by class were weighed: they starve the longest. Highest
-//! response ratio orders alike but must be computed again at each look.
+//! Each job has a *due time*: its arrival plus [`Config::stretch`] times the time of its
+//! own prefill. The job with the earliest due time starts first. A short prompt is due soon
+//! after its arrival and passes the long ones; a long prompt is due later, but at a fixed
+//! time, and all jobs that arrive after that time are due after it. So no stream of short
+//! prompts can delay it for ever, and one figure sets the balance between short and long
+//! prompts. Fixed priorities by class would starve the longest prompts. Highest response
+//! ratio next gives a similar order but must be computed again for each choice.
 //!
-//! A long job that is due and finds no room would never find it if shorter ones
-//! took each freed piece. From then on the room outside the reserved part is
-//! kept for it, and short jobs go on in the reserved part alone.
+//! A long job that is due and finds no room would never get any if shorter jobs took each
+//! piece of memory that becomes free. From then on the room outside the reserved part is
+//! kept for the long job, and short jobs use only the reserved part.
 //!
 //! # Fairness
 //!
-//! Before due times, organisations: each has a counter of the tokens it was
-//! served, divided by its weight, as in the virtual token counter of Sheng et
-//! al. Only organisations within [`Config::quantum_tokens`] of the lowest counter that
-//! has work take part in the choice above. One that comes back after a pause is
-//! lifted to just under that: what it left unused beyond it was lent for good,
-//! and its next jobs go first. On the engine, too, an organisation that has less
+//! Organisations come before due times. Each organisation has a counter of the tokens that
+//! it was served, divided by its weight, as in the Virtual Token Counter of Sheng et al.
+//! Only organisations within [`Config::quantum_tokens`] of the lowest counter that has work
+//! take part in the choice by due time. The counter of an organisation that comes back
+//! after a pause is raised to just below that range: its next jobs go first, and what it
+//! left unused beyond that is lost. On the engine, too, an organisation that has less
 //! running than a newcomer's fair part goes before those that have more.
 //!
 //! ```
@@ -78,6 +77,7 @@
 };
 use crate::length::Class;
 
+/// A job that waits.
 #[derive(Debug)]
 struct Waiting<I> {
     id: I,
@@ -85,33 +85,36 @@
     since: Mono,
 }
 
-/// How much faster than seen an engine is taken to be before a job is given up
-/// as hopeless.
+/// How many times faster than measured the engine is assumed to be when a job is given up
+/// because it can't meet its deadline.
 const OPTIMISM_RATIO: f64 = 1.5;
 
-/// Where counters start: high enough for what may be saved up.
+/// Initial value of the counters: high enough that the credit of a returning organisation
+/// can be subtracted.
 const INITIAL_COUNTER_TOKENS: u64 = 1 << 40;
 
 /// The jobs that wait for one engine, and those that run on it.
 #[derive(Debug)]
 pub struct Queue<I> {
     config: Config,
+    /// Number of the next job that is added. Numbers break ties between due times.
     next: u64,
     // Invariant: `positions` and `waiting` hold the same jobs, and each stands in
     // the flow of its organisation and in `deadlines` exactly once.
     positions: HashMap<I, Position>,
     waiting: HashMap<u64, Waiting<I>>,
     deadlines: BTreeSet<(Mono, u64)>,
-    /// Waiting jobs that run alone, by their due time.
+    /// Waiting jobs that must run alone, by due time.
     alone: BTreeSet<(Mono, u64)>,
     flows: HashMap<Organisation, Flow>,
     running: HashMap<I, Running>,
     load: Load,
+    /// Prompt tokens of the waiting jobs that are not cached, by class.
     queued: [Tokens; 4],
     meter: Meter,
-    /// Whether room is kept for something outside this queue.
+    /// Whether room is kept for work outside this queue.
     hold: bool,
-    /// The lowest counter last granted from. Only goes up.
+    /// Lowest counter at the last grant. Only goes up.
     floor: u64,
 }
 
@@ -119,7 +122,7 @@
 where
     I: Clone + Eq + Hash,
 {
-    /// An empty queue.
+    /// Returns an empty queue.
     pub fn new(config: Config) -> Queue<I> {
         Queue {
             meter: Meter::new(config.initial_speed),
@@ -138,46 +141,47 @@
         }
     }
 
-    /// Changes the order for jobs that come from now on, and the reserved room
-    /// for all.
+    /// Replaces the configuration. The order changes for jobs that come from now on, the
+    /// reserved room for all jobs.
     pub fn set_config(&mut self, config: Config) {
         self.config = config;
     }
 
-    /// Says whether room is to be kept for something outside this queue, as for
-    /// a longer job that is due: only short jobs start then, in the reserved
-    /// part. A [`Waitlist`](crate::gang::Waitlist) that collects memory asks for it.
+    /// Sets whether room is kept for work outside this queue, as for a long job that is
+    /// due: then only short jobs start, in the reserved part. Used while a
+    /// [`Waitlist`](crate::gang::Waitlist) collects memory.
     pub fn set_hold(&mut self, hold: bool) {
         self.hold = hold;
     }
 
-    /// How many jobs wait.
+    /// Returns the number of waiting jobs.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether no job waits.
+    /// Returns whether no job waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// How many jobs run.
+    /// Returns the number of running jobs.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Prompt tokens that are not processed yet, waiting and running.
+    /// Returns the number of prompt tokens of waiting and running jobs that are not yet
+    /// processed.
     pub fn backlog(&self) -> Tokens {
         let waiting: Tokens = self.queued.iter().copied().sum();
         waiting + self.load.prefill.iter().copied().sum()
     }
 
-    /// Puts a job in.
+    /// Adds a job.
     ///
     /// # Errors
     ///
-    /// Refused when the engine can never hold it, when too much waits, or when
-    /// its deadline can't be met even if it started now.
+    /// Refused if the engine can never hold it, if too many jobs wait, or if it could not
+    /// meet its deadline even if it started now.
     pub fn push(&mut self, id: I, job: Job, room: &Room, now: Mono) -> Result<(), Refusal> {
         self.check_admissible(&id, &job, room, now)?;
         let lane = Lane::of(&job);
@@ -185,8 +189,8 @@
         Ok(())
     }
 
-    /// Puts a suspect in that nothing else may run beside. It starts when the
-    /// engine falls idle; after half of its time nothing else starts before it.
+    /// Adds a suspect that no other job may run beside. It starts when the engine is idle.
+    /// After half of the time to its deadline no other job starts before it.
     ///
     /// # Errors
     ///
@@ -197,16 +201,16 @@
         Ok(())
     }
 
-    /// Takes a waiting job out. `false` when it does not wait here.
+    /// Removes a waiting job. Returns `false` if it does not wait here.
     pub fn remove(&mut self, id: &I) -> bool {
         let found = self.positions.get(id).copied();
         found.is_some_and(|position| self.remove_waiting(position).is_some())
     }
 
-    /// Takes out the jobs that are given up, each to be answered at once.
+    /// Removes and returns the jobs that are given up. Each is to be answered at once.
     ///
-    /// A job goes when its deadline passes, and already before when even an
-    /// engine that turned to it now would not be done with its prompt in time.
+    /// A job is given up when its deadline passes, or earlier if an engine that started it
+    /// now could not process its prompt before the deadline.
     pub fn take_expired(&mut self, now: Mono) -> Vec<Expiry<I>> {
         let mut gone = Vec::new();
         let pause = self.estimate_wait(Class::Short).max(self.config.base_time);
@@ -236,20 +240,20 @@
         gone
     }
 
-    /// When [`Queue::take_expired`] has something to say next.
+    /// Returns the next time at which [`Queue::take_expired`] may return a job.
     pub fn next_expiry(&self) -> Option<Mono> {
         self.deadlines.first().map(|(start, _)| *start)
     }
 
-    /// Starts the next job, if there is room for it. To be called until it
-    /// returns `None`, with the room that is left each time.
+    /// Starts the next job if there is room for it. Call this until it returns `None`, each
+    /// time with the room that is left.
     pub fn grant(&mut self, now: Mono, room: &Room) -> Option<Grant<I>> {
         let (position, held) = self.choose(now, room)?;
         let waiting = self.remove_waiting(position)?;
         Some(self.start_waiting(waiting, position, held, now))
     }
 
-    /// Notes that a running job's prompt has been processed: its first token
+    /// Records that a running job's prompt has been processed, because its first token
     /// came.
     pub fn end_prefill(&mut self, id: &I, now: Mono) {
         let Some(running) = self.running.get_mut(id) else {
@@ -263,7 +267,7 @@
         self.meter.finish_prefill(tokens, now);
     }
 
-    /// Notes that a running job is over and what it answered.
+    /// Records that a running job has ended, and the length of its answer.
     pub fn finish(&mut self, id: &I, output: Tokens) {
         let Some(running) = self.running.remove(id) else {
             return;
@@ -328,9 +332,9 @@
         );
     }
 
-    /// When a job should start at the latest. One that runs alone stops all
-    /// others from that moment on, so it first waits for the engine to fall idle
-    /// by itself, through half of its time.
+    /// Returns the time up to which shorter jobs may pass a job. A job that runs alone
+    /// stops all other jobs from its due time on; so for half of the time to its deadline
+    /// it waits for the engine to become idle without that.
     fn due_time(&self, job: &Job, lane: Lane, now: Mono) -> Mono {
         if lane == Lane::ALONE {
             return now + job.deadline.since(now) / 2;
@@ -339,7 +343,7 @@
         now + service.mul_f64(self.config.bounded_stretch())
     }
 
-    /// The last moment at which a job could start and still be in time.
+    /// Returns the last time at which a job could start and still meet its deadline.
     fn last_start(&self, job: &Job) -> Mono {
         if self.config.refuse_unreachable {
             job.deadline - self.min_service_time(job)
@@ -348,9 +352,9 @@
         }
     }
 
-    /// How long a job takes at least. The engine is taken for faster than it
-    /// was seen to be: steps that are not full look slow, and a request that is
-    /// refused by a wrong estimate is lost.
+    /// Returns the least time that a job's prefill takes. The engine is assumed to be
+    /// faster than measured: steps that are not full make it look slow, and a request
+    /// refused because of a wrong estimate is lost.
     fn min_service_time(&self, job: &Job) -> Duration {
         self.service_time(job.prefill_tokens())
             .div_f64(OPTIMISM_RATIO)
@@ -412,17 +416,18 @@
         }
     }
 
-    /// The counter of an organisation that asked for nothing lately: behind the
-    /// others by so much that its next jobs go before any of theirs. It goes up
-    /// with the floor, so what is saved up stays bounded, however often an
-    /// organisation comes and goes.
+    /// Returns the counter of an organisation that had no work lately. It is so far below
+    /// the others that the next jobs of the organisation go before any of theirs. It rises
+    /// with the floor, so an organisation's credit stays bounded however often it comes and
+    /// goes.
     fn idle_counter(&self) -> u64 {
         self.floor
             .saturating_sub(self.config.quantum_tokens.saturating_add(1))
     }
 
-    /// A flow that neither waits nor runs is dropped when its counter would be
-    /// lifted anyway; otherwise it would escape what it owes.
+    /// Removes a flow without waiting and running jobs if its counter is no higher than
+    /// that of a new one. A higher counter is kept, so that the organisation can't shed
+    /// what it was served.
     fn drop_idle_flow(&mut self, organisation: &Organisation) {
         let least = self.idle_counter();
         let idle = |flow: &Flow| flow.is_idle() && flow.counter() <= least;
@@ -432,19 +437,19 @@
     }
 }
 
-/// Shorter classes first, and within a class the organisations that have `much`
-/// running after the others. A job that `rises` does so by a class, but never to
-/// the level of short ones: an engine that takes equals in turn would process
-/// the whole of a long prompt before them.
+/// Returns the engine priority of a job: shorter classes first, and within a class
+/// organisations with little running before those that have `has_excess`. A job that
+/// `rises` moves up one class, but never to the class of short jobs: an engine that serves
+/// equal priorities in turn would process the whole of a long prompt before them.
 fn priority(class: Class, rises: bool, has_excess: bool) -> u8 {
     let rank = prefill_group(class) as u8;
     let rank = if rises && rank > 1 { rank - 1 } else { rank };
     2 * rank + u8::from(has_excess)
 }
 
-/// The classes that have prompts in prefill apart from each other. The longest
-/// two share: what the longer one waits for the shorter one here is little
-/// against its own time, and much if each of those went before it.
+/// Returns the group of a class. Each group has its own limit of prompt tokens in prefill.
+/// The two longest classes share one: the wait for a shorter job is small against the time
+/// of a huge one, but large if every long job went before it.
 const fn prefill_group(class: Class) -> usize {
     match class {
         Class::Short => 0,
@@ -453,7 +458,7 @@
     }
 }
 
-/// How many of those there are.
+/// Number of groups that [`prefill_group`] returns.
 const PREFILL_GROUP_COUNT: usize = 3;
 
 fn refuse(code: Code, retry_after: Duration) -> Refusal {
--- a/almondlock-policy/src/queue/wait.rs
+++ b/almondlock-policy/src/queue/wait.rs
@@ -1,4 +1,4 @@
-//! Choosing the next job, and telling how long one would wait.
+//! Chooses the next job, and estimates how long a new job would wait.
 
 use std::{hash::Hash, ops::RangeInclusive, time::Duration};
 
@@ -11,13 +11,13 @@
 };
 use crate::length::Class;
 
-/// Whether a job may start.
+/// Whether a job may start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fit {
     Now,
     /// Memory or a batch slot is lacking.
     NoRoom,
-    /// Enough prompts of its kind are being processed.
+    /// Enough prompts of its group are being processed.
     PrefillBusy,
 }
 
@@ -25,8 +25,8 @@
 where
     I: Clone + Eq + Hash,
 {
-    /// The position of the job to start next, and whether a longer one that is due
-    /// is kept room for meanwhile.
+    /// Returns the position of the job to start next, and whether room is kept for a longer
+    /// job that is due.
     pub(super) fn choose(&mut self, now: Mono, room: &Room) -> Option<(Position, bool)> {
         if let Some(position) = self.choose_alone(room) {
             return Some((position, false));
@@ -40,20 +40,21 @@
         let mut held = self.hold;
         let mut position = self.choose_among(0..=ceiling, &mut held, now, room);
         if position.is_none() {
-            // Nothing of those has room now. The others have been served more
-            // and go on all the same: an idle engine helps nobody.
+            // No job within the range has room now. Organisations beyond it have been
+            // served more, but they may start jobs all the same, since nobody gains from an
+            // idle engine.
             let others = ceiling.saturating_add(1)..=u64::MAX;
             position = self.choose_among(others, &mut held, now, room);
         }
         position.map(|position| (position, held))
     }
 
-    /// Whether a job that runs alone is due: nothing else starts until it did.
+    /// Returns whether a job that runs alone is due, so that no other job starts before it.
     fn is_draining(&self, now: Mono) -> bool {
         self.alone.first().is_some_and(|(due, _)| *due <= now)
     }
 
-    /// The job to run alone, once the engine is idle.
+    /// Returns the position of the next job that runs alone, if the engine is idle.
     fn choose_alone(&self, room: &Room) -> Option<Position> {
         let (_, number) = self.alone.first().copied()?;
         let fits = self.waiting.get(&number)?.job.memory_need() <= room.free_memory;
@@ -61,8 +62,9 @@
         self.position_of(number).filter(|_| idle)
     }
 
-    /// The job that is due first and has room, of the organisations whose
-    /// counter lies in a range.
+    /// Returns the position of the job with the earliest due time that has room, among the
+    /// organisations whose counter lies in a range. Sets `held` when a longer job that is
+    /// due has no room.
     fn choose_among(
         &self,
         counters: RangeInclusive<u64>,
@@ -70,9 +72,9 @@
         now: Mono,
         room: &Room,
     ) -> Option<Position> {
-        // Each round takes the job due next in the lanes still open. If the
-        // first of a lane has no room, those behind it wait with it, so there
-        // are as many rounds as lanes at most.
+        // Each round takes the job with the earliest due time in the open lanes. If the
+        // first job of a lane has no room, the jobs behind it wait with it, so there are at
+        // most as many rounds as lanes.
         let mut closed = [false; Lane::ALL.len()];
         while let Some((key, lane)) = self.first_due(room, &counters, &closed) {
             let position = self.position_of(key.1)?;
@@ -90,7 +92,7 @@
         None
     }
 
-    /// The lowest counter of the organisations that may start something.
+    /// Returns the lowest counter of the organisations that may start a job.
     fn lowest_counter(&self, room: &Room) -> Option<u64> {
         let eligible = |flow: &&Flow| flow.is_waiting() && self.has_headroom(flow, room);
         self.flows
@@ -100,15 +102,17 @@
             .min()
     }
 
-    /// One organisation never takes the last places in the batch, so that
-    /// another one's short job finds one at once and need not wait until a
-    /// whole answer has ended.
+    /// Returns whether an organisation may take another batch slot. Some slots are left to
+    /// the other organisations, so that their short jobs find one at once and need not wait
+    /// until a whole answer has ended.
     fn has_headroom(&self, flow: &Flow, room: &Room) -> bool {
         let headroom = percent_of(u64::from(room.total_slots), self.config.headroom_percent);
         let most = u64::from(room.total_slots).saturating_sub(headroom).max(1);
         u64::from(flow.running()) < most
     }
 
+    /// Returns the key of the waiting job with the earliest due time in the open lanes of
+    /// the organisations whose counter lies in a range, with the index of its lane.
     fn first_due(
         &self,
         room: &Room,
@@ -138,8 +142,8 @@
         best
     }
 
-    /// Whether the engine has room for a job. `held` says that a longer one is
-    /// due, so that only the reserved part may be used.
+    /// Returns whether the engine has room for a job. `held` says that room is kept for a
+    /// longer job, so that only short jobs may start, in the reserved part.
     fn check_fit(&self, job: &Job, room: &Room, held: bool) -> Fit {
         if !self.may_prefill(job) {
             return Fit::PrefillBusy;
@@ -152,10 +156,10 @@
         if fits { Fit::Now } else { Fit::NoRoom }
     }
 
-    /// Whether the reserved part alone has room for a short job. Only what
-    /// started while room is kept counts: if all short jobs counted, those that
-    /// fill the engine when a long one falls due would stop the short ones
-    /// until most of them have ended.
+    /// Returns whether the reserved part alone has room for a short job. Only short jobs
+    /// that started while room was kept count: if all of them counted, those that fill the
+    /// engine when a long job becomes due would stop new short jobs until most of them have
+    /// ended.
     fn has_reserve_room(&self, job: &Job, room: &Room) -> bool {
         let memory = percent_of(room.total_memory.0, self.config.reserve_percent);
         let slots = percent_of(u64::from(room.total_slots), self.config.reserve_percent);
@@ -163,16 +167,16 @@
             && u64::from(self.load.hold_slots) < slots.max(1)
     }
 
-    /// What is to be left free of the reserved part: what short jobs don't hold
-    /// of it already.
+    /// Returns the memory of the reserved part that is to be left free, which is the part
+    /// that short jobs don't hold already.
     pub fn reserve_left(&self, room: &Room) -> Tokens {
         let memory = Tokens(percent_of(room.total_memory.0, self.config.reserve_percent));
         memory.saturating_sub(self.load.short_memory)
     }
 
-    /// Whether a longer job leaves the reserved part to the short ones. What
-    /// short jobs hold of it already is not kept free again. A job that only
-    /// fits with the reserved part gets it, else it could never run.
+    /// Returns whether a longer job leaves the reserved part to short jobs. Memory of that
+    /// part which short jobs hold already is not kept free again. A job that fits only with
+    /// the reserved part gets it, else it could never run.
     fn spares_reserve(&self, job: &Job, room: &Room) -> bool {
         let need = job.memory_need().0;
         let memory = percent_of(room.total_memory.0, self.config.reserve_percent);
@@ -184,10 +188,11 @@
             && u64::from(room.free_slots) > unused_slots
     }
 
-    /// Keeps the order in this queue and not in the engine's: what was handed
-    /// over can't be passed any more. At least one job of each group runs. A
-    /// short or medium one of an organisation that has little running is not
-    /// kept back by those of others: the engine puts it before them.
+    /// Returns whether a job's prompt may be handed to the engine beside those in prefill.
+    /// The limit keeps the order in this queue: a job that was handed over can't be passed
+    /// any more. At least one job of each group runs. A short or medium job of an
+    /// organisation that has little running is not kept back by jobs of other
+    /// organisations, since the engine processes it before them.
     fn may_prefill(&self, job: &Job) -> bool {
         let group = prefill_group(job.class());
         let active = self.load.prefill[group];
@@ -196,16 +201,16 @@
         active == Tokens::ZERO || active + job.prefill_tokens() <= limit || passes()
     }
 
-    /// Whether an organisation with one job more would have more running than
-    /// its part, were there one organisation more.
+    /// Returns whether an organisation, with one more job, would have more than an equal
+    /// part of the running jobs if there were one more active organisation.
     pub(super) fn has_excess_running(&self, organisation: &Organisation) -> bool {
         let running = self.flows.get(organisation).map_or(0, Flow::running) as usize;
         let active = self.flows.values().filter(|flow| !flow.is_idle()).count();
         (running + 1) * (active + 1) > self.running.len() + 1
     }
 
-    /// How long a job of this class would wait if it came now: the work that
-    /// goes before it, at the speed seen lately.
+    /// Returns the time that a job of this class would wait if it came now: the time for
+    /// the work that goes before it at the measured speed.
     pub fn estimate_wait(&self, class: Class) -> Duration {
         let waiting: Tokens = self.queued[..=class.index()].iter().copied().sum();
         let running: Tokens = self.load.prefill[..=prefill_group(class)]
@@ -215,12 +220,12 @@
         self.service_time(waiting + running)
     }
 
-    /// How long the engine takes for a prefill of this length.
+    /// Returns the time that the engine takes for a prefill of this length.
     pub fn service_time(&self, tokens: Tokens) -> Duration {
         Duration::from_secs_f64((tokens.0 as f64 / self.meter.speed()).min(1e9))
     }
 
-    /// Prefill speed seen lately, in tokens per second.
+    /// Returns the measured prefill speed in tokens per second.
     pub fn prefill_speed(&self) -> f64 {
         self.meter.speed()
     }
