--- a/almondlock-policy/src/bucket.rs
+++ b/almondlock-policy/src/bucket.rs
@@ -1,22 +1,22 @@
-//! A token bucket: how much of a rate has been saved up.
+//! A token bucket, which saves up the unused part of a rate.
 
 use std::time::Duration;
 
 use almondlock_base::time::Mono;
 
-/// Millionths in one request.
+/// Millionths of a request in one request.
 pub(crate) const MICROREQUESTS: u64 = 1_000_000;
 
-/// What is saved up of a rate, in millionths of requests.
+/// The requests saved up, in millionths.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Bucket {
     credit: u64,
-    // When it was filled last. None: never, and the first time fills it up.
+    // Time of the last refill. `None` before the first one, which fills the bucket.
     refilled_at: Option<Mono>,
 }
 
 impl Bucket {
-    /// One that is empty now.
+    /// Returns a bucket that is empty now.
     pub(crate) const fn empty(now: Mono) -> Bucket {
         Bucket {
             credit: 0,
@@ -24,10 +24,10 @@
         }
     }
 
-    /// Adds what was earned since the last time, at `rate` thousandths of requests a
-    /// second, up to what `burst` earns.
+    /// Adds what was earned since the last refill at `rate` thousandths of requests per
+    /// second, up to what the rate earns within `burst`.
     ///
-    /// A full bucket always holds one request, else a small rate could never be used.
+    /// The capacity is at least one request, else a low rate could never be used.
     pub(crate) fn refill(&mut self, rate: u64, burst: Duration, now: Mono) {
         let rate = u128::from(rate);
         let capacity = (rate * burst.as_micros() / 1000).max(u128::from(MICROREQUESTS));
@@ -36,19 +36,19 @@
             Some(at) => rate * now.since(at).as_micros() / 1000,
         };
         let credit = (u128::from(self.credit) + earned).min(capacity);
-        // Fractions below a millionth are lost at each call; starting the next
-        // span at `now` only where something was earned bounds that loss.
+        // Fractions of a millionth are lost at each refill. The next span starts at `now`
+        // only if something was earned, which bounds that loss.
         if earned > 0 || self.refilled_at.is_none() {
             self.refilled_at = Some(self.refilled_at.map_or(now, |at| at.max(now)));
         }
         self.credit = u64::try_from(credit).unwrap_or(u64::MAX);
     }
 
-    /// Takes one request out.
+    /// Takes out one request.
     ///
     /// # Errors
     ///
-    /// How long it takes at `rate` until there is one.
+    /// Returns the time until there is one at `rate` if the bucket holds less.
     pub(crate) fn take(&mut self, rate: u64) -> Result<(), Duration> {
         if let Some(rest) = self.credit.checked_sub(MICROREQUESTS) {
             self.credit = rest;
--- a/almondlock-policy/src/deadline.rs
+++ b/almondlock-policy/src/deadline.rs
@@ -1,10 +1,10 @@
-//! How long a request may take, and whether that will do.
+//! Checks how much time a request is given, and whether it can end within that time.
 //!
-//! A request that can't end in time is refused when it comes, not when its time
-//! is over: its caller can turn elsewhere at once, and the fleet does not work
-//! for an answer that nobody waits for. The estimate leans to the hopeful side,
-//! since a wrong refusal is final and a wrong admission only costs a place in a
-//! queue, from which the sidecar gives it up as soon as it is hopeless.
+//! A request that can't end in time is refused when it comes and not when its time is over:
+//! its caller can go elsewhere at once, and the fleet does not work on an answer that
+//! nobody waits for. The estimate is optimistic, since a wrong refusal is final, while a
+//! wrong admission costs only a place in a queue, where the sidecar gives the request up as
+//! soon as it can't end in time.
 //!
 //! ```
 //! use std::time::Duration;
@@ -25,26 +25,25 @@
 
 use almondlock_base::{Code, unit::Tokens};
 
-/// What an organisation may ask for, in milliseconds.
+/// Deadlines that an organisation may ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// What a request gets that names no deadline.
+    /// Time for a request that names no deadline, in milliseconds.
     pub default_ms: u64,
-    /// The longest one.
+    /// Longest time that a request may name, in milliseconds.
     pub limit_ms: u64,
 }
 
 impl Bounds {
-    /// The time allowed to a request, by the header's text.
+    /// Returns the time for a request, from the text of its header.
     ///
-    /// A default above the limit is cut to it. A caller's figure above the
-    /// limit is an error and not cut: the caller would count on time that it
-    /// does not have.
+    /// A default above the limit is lowered to the limit. A caller's value above the limit
+    /// is an error instead, since the caller would count on time that it does not have.
     ///
     /// # Errors
     ///
-    /// [`Code::BadDeadline`] for anything but a number of milliseconds from 1
-    /// to the limit.
+    /// Returns [`Code::BadDeadline`] for anything but a number of milliseconds from 1 to
+    /// the limit.
     pub fn parse(&self, text: Option<&str>) -> Result<Duration, Code> {
         let Some(text) = text else {
             return Ok(Duration::from_millis(
@@ -61,46 +60,45 @@
     }
 }
 
-/// What is asked of the fleet.
+/// What a request asks of the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
     /// Length of the prompt.
     pub prompt: Tokens,
-    /// Of that, what is likely cached.
+    /// Number of prompt tokens that are probably cached.
     pub cached: Tokens,
-    /// Most tokens of the answer.
+    /// Maximum length of the answer.
     pub max_output: Tokens,
-    /// How long it would wait at the upstream that it would go to.
+    /// Time that the request would wait at the upstream that it would be sent to.
     pub queue_wait: Duration,
 }
 
-/// Why a request is refused, with when to come back. It has not run.
+/// Why a request is refused. It has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Always [`Code::DeadlineUnreachable`].
     pub code: Code,
-    /// When the wait will have gone by as far as is needed. Coming back with
-    /// the same deadline is no use when the work alone takes longer than it;
-    /// then it is zero.
+    /// Time after which the wait will be short enough. Zero if the work alone takes longer
+    /// than the deadline, since coming back with the same deadline is then no use.
     pub retry_after: Duration,
 }
 
-/// Speeds seen lately.
+/// Recent speeds, from which the time of a request is estimated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Forecast {
     // Invariant: all three are above zero, the last one at most 1.
     prefill_speed: f64,
     decode_speed: f64,
-    /// The part of the tokens asked for that answers really have.
+    /// Length of answers, as a part of the length asked for.
     used_ratio: f64,
 }
 
-/// How much one answer counts against what was known.
+/// Weight of one observation against the value known before.
 const SMOOTHING_RATIO: f64 = 0.05;
 
 impl Default for Forecast {
-    /// 8,000 prompt tokens and 40 answer tokens a second, and answers a
-    /// quarter as long as allowed.
+    /// Returns a forecast of 8,000 prompt tokens and 40 answer tokens per second, and
+    /// answers a quarter as long as allowed.
     fn default() -> Forecast {
         Forecast {
             prefill_speed: 8_000.0,
@@ -111,16 +109,16 @@
 }
 
 impl Forecast {
-    /// How long the work takes, the wait included.
+    /// Returns the time that a request takes, including its wait in the queue.
     pub fn estimate(&self, work: &Work) -> Duration {
         work.queue_wait + self.service_time(work)
     }
 
-    /// Whether the work can end within the time left.
+    /// Returns the estimated time if the request can end within the time left.
     ///
     /// # Errors
     ///
-    /// Refused when it can't, with when to come back.
+    /// Returns a refusal if it can't, with the time after which the caller may come back.
     pub fn check(&self, work: &Work, left: Duration) -> Result<Duration, Refusal> {
         let service = self.service_time(work);
         let estimate = work.queue_wait + service;
@@ -138,12 +136,12 @@
         })
     }
 
-    /// Learns how long a prefill took, from its start on the engine.
+    /// Adds the observation of a prefill, timed from its start on the engine.
     pub fn observe_prefill(&mut self, tokens: Tokens, took: Duration) {
         update_speed(&mut self.prefill_speed, tokens, took);
     }
 
-    /// Learns how long an answer took from its first token on.
+    /// Adds the observation of an answer, timed from its first token.
     pub fn observe_decode(&mut self, output: Tokens, allowed: Tokens, took: Duration) {
         update_speed(&mut self.decode_speed, output, took);
         if allowed > Tokens::ZERO {
--- a/almondlock-policy/src/gate.rs
+++ b/almondlock-policy/src/gate.rs
@@ -1,8 +1,8 @@
-//! Which attempts may start on an upstream, and which of them did.
+//! Decides which attempts may start on an upstream, and records which of them did.
 //!
-//! The gate stands in the sidecar, in front of the queue. It alone can prove
-//! that an attempt has not run: when an entry host gives an attempt up, the
-//! gate notes that (a *tombstone*), and a copy that arrives later is refused.
+//! The gate runs in the sidecar, in front of the queue. Only the gate can prove that an
+//! attempt has not run: when an entry host gives an attempt up, the gate records that (a
+//! *tombstone*) and refuses a copy that arrives later.
 //!
 //! ```
 //! use almondlock_base::{Code, Ran, id::{Attempt, Host, Incarnation}, time::Mono};
@@ -49,12 +49,13 @@
 /// Bounds of a [`Gate`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// How long a closed attempt is remembered at least, unless there are more
-    /// than [`Config::max_records`].
+    /// Time for which a closed attempt is remembered at least, unless there are more than
+    /// [`Config::max_records`].
     pub retention: Duration,
-    /// How many closed attempts are remembered at most.
+    /// Maximum number of closed attempts that are remembered.
     pub max_records: usize,
-    /// How long the floor of an entry host's life outlasts the last word of it.
+    /// Time for which the floor of an entry host's life is kept after the last message from
+    /// that life.
     pub floor_retention: Duration,
 }
 
@@ -71,13 +72,13 @@
 /// Why an attempt may not start, and whether an earlier copy of it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The numbered reason.
+    /// The result code.
     pub code: Code,
-    /// What is known of the attempt, all its copies together.
+    /// What is known of all copies of the attempt together.
     pub ran: Ran,
 }
 
-/// What is left to do after an attempt was settled.
+/// What the sidecar has to do after an attempt was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Nothing.
@@ -88,15 +89,16 @@
     Cancel,
 }
 
-/// The answer to a settled attempt.
+/// The answer to an entry host that gave an attempt up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settlement {
     /// Whether it ran. `No` is a promise: it will not run later either.
     pub ran: Ran,
-    /// What the sidecar does about it.
+    /// What the sidecar has to do about it.
     pub action: Action,
 }
 
+/// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Queued,
@@ -104,38 +106,43 @@
     Closed(Ran),
 }
 
+/// What the gate remembers of an attempt.
 #[derive(Clone, Copy, Debug)]
 struct Record {
     stage: Stage,
-    /// When the attempt's time is over, by this host's clock.
+    /// Deadline of the attempt by this host's clock.
     deadline: Mono,
-    /// Key in `Gate::closed_by_expiry` while closed.
+    /// Time after which the record may be forgotten, its key in `Gate::closed_by_expiry`
+    /// while closed.
     forget_at: Mono,
 }
 
+/// The floor of one life of an entry host.
 #[derive(Clone, Copy, Debug)]
 struct Floor {
-    /// Every counter below this one was either recorded here and forgotten, or
-    /// never came. Only goes up.
+    /// Each attempt with a lower counter was either recorded here and forgotten, or never
+    /// came. Only goes up.
     counter: u64,
+    /// Time of the last message from that life.
     last_contact: Mono,
 }
 
-/// The gate of one life of one sidecar. Its knowledge ends with the process;
-/// a successor has another incarnation and refuses what was meant for this one.
+/// The gate of one life of one sidecar. Its knowledge ends with the process; a successor
+/// has another incarnation and refuses attempts that were meant for this one.
 #[derive(Debug)]
 pub struct Gate {
     config: Config,
     incarnation: Incarnation,
     leaving: bool,
     records: HashMap<Attempt, Record>,
-    // Invariant: holds exactly the closed records, by the time to forget them.
+    // Invariant: holds exactly the closed records, by the time after which they may be
+    // forgotten.
     closed_by_expiry: BTreeSet<(Mono, Attempt)>,
     floors: HashMap<(Host, Incarnation), Floor>,
 }
 
 impl Gate {
-    /// A gate for one life of a sidecar.
+    /// Returns the gate for one life of a sidecar.
     pub fn new(config: Config, incarnation: Incarnation) -> Gate {
         Gate {
             config,
@@ -147,20 +154,20 @@
         }
     }
 
-    /// The life this gate belongs to.
+    /// Returns the incarnation of the sidecar's life that the gate belongs to.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Whether new attempts are refused because the upstream is leaving.
+    /// Returns whether new attempts are refused because the upstream is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Says whether the upstream is leaving. When it is, the attempts that
-    /// still waited are given back: they are closed as not run, and each is to
-    /// be answered with [`Code::UpstreamLeaving`], so that also work which may
-    /// not be repeated can go elsewhere. What runs is left alone.
+    /// Sets whether the upstream is leaving. If it is, the attempts that still wait are
+    /// closed as not run and returned. Each is to be answered with
+    /// [`Code::UpstreamLeaving`], so that also work that may not be repeated can go
+    /// elsewhere. Running attempts are not affected.
     pub fn set_leaving(&mut self, leaving: bool, now: Mono) -> Vec<Attempt> {
         self.leaving = leaving;
         if !leaving {
@@ -179,10 +186,8 @@
         queued
     }
 
-    /// Lets an attempt into the queue.
-    ///
-    /// `target` is the life of the sidecar it was meant for, `deadline` when
-    /// its time is over.
+    /// Lets an attempt into the queue. `target` is the life of the sidecar that the attempt
+    /// was meant for.
     ///
     /// # Errors
     ///
@@ -194,10 +199,10 @@
         deadline: Mono,
         now: Mono,
     ) -> Result<(), Refusal> {
-        // An entry host sends an attempt in one call on one connection, so a
-        // call that reached this life was not delivered to the earlier one.
-        // When the earlier life took the call, the call broke with that life,
-        // and what the entry host asks then is `settle`, which says `Unknown`.
+        // An entry host sends an attempt in one call on one connection, so a call that
+        // reached this life was not delivered to an earlier one. If the earlier life
+        // received the call, the call broke when that life ended; the entry host then asks
+        // with `settle`, which answers `Unknown`.
         if target != self.incarnation {
             return Err(Refusal {
                 code: Code::StaleIncarnation,
@@ -214,9 +219,8 @@
                 ran: Ran::Unknown,
             });
         }
-        // Refused for good: the entry host may send the request elsewhere on
-        // the strength of this answer, so a second copy must not slip in if
-        // the upstream stops leaving.
+        // The refusal is final: because of this answer the entry host may send the request
+        // elsewhere, so a second copy must not start here if the upstream stops leaving.
         if self.leaving {
             self.insert(attempt, deadline);
             self.close(attempt, Ran::No, now);
@@ -229,12 +233,12 @@
         Ok(())
     }
 
-    /// Marks an attempt as handed to the engine. To be called before the first
-    /// byte goes out: from here on it counts as run.
+    /// Marks an attempt as handed to the engine. Call this before the first byte is sent:
+    /// from here on the attempt counts as run.
     ///
     /// # Errors
     ///
-    /// Refused when it was settled, given back or never admitted.
+    /// Refused if the attempt was settled, given back or never admitted.
     pub fn start(&mut self, attempt: &Attempt) -> Result<(), Refusal> {
         match self.records.get_mut(attempt) {
             Some(record) if record.stage == Stage::Queued => {
@@ -249,8 +253,8 @@
         }
     }
 
-    /// Notes that an attempt is over. A queued attempt that ends (its deadline
-    /// passed, it was refused for room) is closed as not run; one that had
+    /// Records that an attempt is over. A queued attempt that ends (because its deadline
+    /// passed or it was refused for lack of room) is closed as not run. One that had
     /// started is closed as run, unless the engine refused it (`ran` is `No`).
     pub fn finish(&mut self, attempt: &Attempt, ran: Ran, now: Mono) {
         match self.records.get(attempt).map(|record| record.stage) {
@@ -260,13 +264,14 @@
         }
     }
 
-    /// Gives an attempt up and says whether it ran.
+    /// Gives an attempt up and returns whether it ran.
     pub fn settle(&mut self, attempt: &Attempt, target: Incarnation, now: Mono) -> Settlement {
         let done = |ran| Settlement {
             ran,
             action: Action::None,
         };
-        // The earlier life's knowledge is gone: it may have passed it on.
+        // The records of the earlier life are lost: it may have handed the attempt to the
+        // engine.
         if target != self.incarnation {
             return done(Ran::Unknown);
         }
@@ -293,8 +298,8 @@
         }
     }
 
-    /// Forgets what may be forgotten. To be called now and then; the number of
-    /// records is bounded also without.
+    /// Forgets records and floors whose time is over. Call this now and then; the number of
+    /// records is bounded also without it.
     pub fn sweep(&mut self, now: Mono) {
         while self
             .closed_by_expiry
@@ -311,12 +316,12 @@
         });
     }
 
-    /// How many attempts are remembered, running ones included.
+    /// Returns the number of attempts that are remembered, running ones included.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Returns whether no attempt is remembered.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -369,7 +374,7 @@
     }
 }
 
-/// What a second copy of a known attempt is told. It never starts.
+/// Returns the refusal of a second copy of a known attempt. The copy never starts.
 fn refuse_copy(stage: Stage) -> Refusal {
     match stage {
         Stage::Queued => Refusal {
--- a/almondlock-policy/src/limit/lender.rs
+++ b/almondlock-policy/src/limit/lender.rs
@@ -1,4 +1,4 @@
-//! Lending what is over the floors.
+//! Lends the part of each limit that is not given out as floors.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -13,14 +13,13 @@
 /// How a [`Lender`] lends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// How long a part is lent. An unused one is back after that.
+    /// Time for which an allotment is lent. An unused one is free again after that.
     pub lease_time: Duration,
-    /// The share of a limit, in percent, that the entry hosts have as floors.
-    /// The same figure as in their [`Config`](super::Config).
+    /// Percentage of a limit that the entry hosts have as floors. Must be equal to the
+    /// value in their [`Config`](super::Config).
     pub floor_percent: u32,
-    /// How long requests admitted under a lease may outlast it. Tokens lent to a
-    /// host that is not heard of any more count as lent for so long after the
-    /// lease.
+    /// Time by which requests admitted under a lease may outlast it. Tokens lent to a host
+    /// that sends no more messages count as lent for this time after the lease.
     pub linger: Duration,
 }
 
@@ -43,22 +42,22 @@
     pub tokens: Tokens,
 }
 
-/// What one host may hold of a limit.
+/// The part of a limit that one host may use.
 #[derive(Clone, Debug, Default)]
 struct Holding {
-    /// What was lent, with the end of each lease. A smaller part does not end a
-    /// larger one that was lent before: the answer may have been lost.
+    /// The allotments that were lent, with the end of each lease. A smaller one does not
+    /// end a larger one that was lent before, since the answer may have been lost.
     leases: Vec<(Allotment, Mono)>,
-    /// The most tokens that it may have in flight over its floor, and until
-    /// when.
+    /// Maximum number of tokens that the host may have in flight over its floor.
     peak: Tokens,
+    /// Time until which `peak` counts.
     peak_until: Mono,
-    /// What it asked for last, so that parts can follow demand.
+    /// What the host asked for last, so that allotments can follow demand.
     wanted: Allotment,
 }
 
 impl Holding {
-    /// The most that it may use now.
+    /// Returns the most that the host may use now.
     fn max_usable(&self, now: Mono) -> Allotment {
         let live = self.leases.iter().filter(|(_, until)| now < *until);
         let most = live.fold(Allotment::default(), |most, (part, _)| Allotment {
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Takes the host's word for what it has in flight over its floor.
+    /// Records the tokens that the host reports in flight over its floor.
     fn note_used(&mut self, used: Tokens, now: Mono) {
         self.leases.retain(|(_, until)| now < *until);
         self.peak = used;
@@ -91,11 +90,11 @@
     }
 }
 
-/// Lends what the floors leave of each organisation's limit.
+/// Lends to the entry hosts what the floors leave of each organisation's limit.
 ///
-/// There is one per organisation at a time. It keeps nothing on disk: one that
-/// starts lends nothing until its predecessor's leases have ended, and what was
-/// admitted under them: [`Terms::lease`] and [`Terms::linger`].
+/// An organisation has one lender at a time. A lender stores nothing on disk: after its
+/// start it lends nothing until its predecessor's leases have ended, and the requests
+/// admitted under them, which takes [`Terms::lease_time`] and [`Terms::linger`].
 ///
 /// ```
 /// use almondlock_base::{id::{Host, Organisation}, time::Mono, unit::Tokens};
@@ -115,15 +114,16 @@
 #[derive(Debug)]
 pub struct Lender {
     terms: Terms,
+    /// Time from which on it lends.
     opens_at: Mono,
     limits: HashMap<Organisation, Limit>,
-    // Invariant: for each organisation, the parts that have not ended add up to
-    // at most what its floors leave.
+    // Invariant: for each organisation, the allotments whose leases have not ended add up
+    // to at most what its floors leave.
     holdings: HashMap<Organisation, HashMap<Host, Holding>>,
 }
 
 impl Lender {
-    /// A lender that starts now.
+    /// Returns a lender that starts now.
     pub fn new(terms: Terms, now: Mono) -> Lender {
         Lender {
             terms,
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Sets an organisation's limit. What is lent runs out by itself.
+    /// Sets an organisation's limit. Allotments that are lent already last until their
+    /// leases end.
     pub fn set(&mut self, organisation: &Organisation, limit: Limit) {
         self.limits.insert(organisation.clone(), limit);
     }
@@ -144,15 +145,17 @@
         self.holdings.remove(organisation);
     }
 
-    /// How long a part is lent. The entry host counts it from before it asked.
+    /// Returns the time for which an allotment is lent. The entry host counts it from
+    /// before it asked.
     pub fn lease_time(&self) -> Duration {
         self.terms.lease_time
     }
 
-    /// Lends a part. `used` is what the host has in flight over its floor.
+    /// Lends an allotment to a host. `used` is the number of tokens that the host has in
+    /// flight over its floor.
     ///
-    /// Where more is wanted than there is, each host gets a part in proportion
-    /// to what it wants, as soon as the others' leases have ended.
+    /// If the hosts want more than there is, each gets a part in proportion to what it
+    /// wants, as soon as the other hosts' leases have ended.
     pub fn allot(
         &mut self,
         host: &Host,
@@ -183,7 +186,7 @@
         part
     }
 
-    /// What the floors leave of a limit.
+    /// Returns what the floors leave of a limit.
     fn lendable(&self, limit: Limit) -> Allotment {
         let rest = u64::from(100 - self.terms.floor_percent.min(100));
         let tokens = u128::from(limit.tokens.0) * u128::from(rest) / 100;
@@ -194,7 +197,7 @@
     }
 }
 
-/// A host's fair part of `spare`, and never more than what the others leave.
+/// Returns a host's fair part of `spare`, at most what the other hosts leave.
 fn fair_allotment(
     all: &HashMap<Host, Holding>,
     host: &Host,
--- a/almondlock-policy/src/limit/mod.rs
+++ b/almondlock-policy/src/limit/mod.rs
@@ -1,15 +1,13 @@
-//! How much an organisation may ask of the fleet, decided at one entry host.
+//! Limits of what an organisation may use of the fleet, decided at one entry host.
 //!
-//! A limit is set for the whole fleet and must hold over all entry hosts, also
-//! while some can't reach the others. Three ways were weighed: asking one place
-//! for each request (exact, a round trip each, and nothing works when that
-//! place is gone), each host alone with the whole limit (overrun by as many
-//! times as there are hosts), and a divided limit. Here the limit is divided:
-//! each of `n` hosts has a *floor* of its own that it may always use, and what
-//! is over the floors is lent out as short [`Lease`]s by one place, a [`Lender`]. The sum of
-//! floors and leases never exceeds the limit, so no cut in the network lets the
-//! limit be overrun; a host that is cut off falls back to its floor when its
-//! lease runs out.
+//! A limit is set for the whole fleet and must hold over all entry hosts, even while some
+//! can't reach the others. To ask one place for each request would be exact, but it costs a
+//! round trip for each request and fails with that place. If each host applied the whole
+//! limit alone, the limit would be exceeded by a factor of the number of hosts. So the
+//! limit is divided: each of `n` hosts has a *floor* that it may always use, and one place,
+//! a [`Lender`], lends out the rest as short [`Lease`]s. The sum of floors and leases never
+//! exceeds the limit, so no network partition lets it be exceeded. A host that is cut off
+//! falls back to its floor when its lease ends.
 //!
 //! ```
 //! use almondlock_base::{id::Organisation, time::Mono, unit::Tokens};
@@ -45,16 +43,16 @@
 /// How a fleet-wide limit is divided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Entry hosts that the limit is divided over. Counting one too many is
-    /// safe, one too few is not.
+    /// Number of entry hosts that the limit is divided over. Too high a number is safe, too
+    /// low a number is not.
     pub hosts: u32,
-    /// How long unused rate may be saved up.
+    /// Time over which unused rate may be saved up.
     pub burst: Duration,
-    /// The share of a limit, in percent, that is given out as floors; the rest
-    /// is lent. 100 where nobody lends.
+    /// Percentage of a limit that is given out as floors; the rest is lent. 100 if there is
+    /// no lender.
     pub floor_percent: u32,
-    /// What a caller is told to wait when the tokens in flight are used up:
-    /// how long an answer takes, roughly.
+    /// Retry delay for callers when the tokens in flight are used up: roughly the time of
+    /// an answer.
     pub full_retry_after: Duration,
 }
 
@@ -69,7 +67,7 @@
     }
 }
 
-/// What an organisation may use, over all entry hosts.
+/// What an organisation may use over all entry hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Limit {
     /// Requests per second. 0 is no limit.
@@ -78,15 +76,15 @@
     pub tokens: Tokens,
 }
 
-/// A part of a limit lent to this host for a while, on top of its floor.
+/// A part of a limit that is lent to this host for some time, in addition to its floor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// Thousandths of requests per second.
     pub rate_thousandths: u64,
     /// Tokens in flight.
     pub tokens: Tokens,
-    /// When it ends, by this host's clock and counted from before it was asked
-    /// for, so that it ends here no later than at the lender.
+    /// Time at which the lease ends, by this host's clock. It is counted from before the
+    /// lease was asked for, so that it ends here no later than at the lender.
     pub until: Mono,
 }
 
@@ -95,11 +93,11 @@
 pub struct Refusal {
     /// [`Code::RateLimited`] or [`Code::ShareExceeded`].
     pub code: Code,
-    /// When to come back.
+    /// Time after which the caller may come back.
     pub retry_after: Duration,
 }
 
-/// Leave to run one request. Dropping it gives the tokens back.
+/// Permission to run one request. Dropping it gives the tokens back.
 #[derive(Debug)]
 pub struct Permit {
     tokens: Tokens,
@@ -107,7 +105,7 @@
 }
 
 impl Permit {
-    /// The tokens it holds.
+    /// Returns the number of tokens that the permit holds.
     pub fn tokens(&self) -> Tokens {
         self.tokens
     }
@@ -119,25 +117,25 @@
     }
 }
 
+/// The state of one organisation's limit at this host.
 #[derive(Debug)]
 struct Account {
     limit: Limit,
     lease: Option<Lease>,
-    /// What is saved up of the rate.
+    /// Requests saved up at the allowed rate.
     bucket: Bucket,
     // Invariant: the sum of the tokens of all live permits of this account.
     in_flight: Arc<AtomicU64>,
-    /// Requests and tokens turned away since demand was last asked for.
+    /// Demand that was refused since [`Limiter::take_demand`] was last called.
     refused_demand: Demand,
 }
 
-/// What an organisation could have used and did not get. An entry host that
-/// has some asks the lender for it.
+/// What an organisation was refused. An entry host asks the lender for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Requests refused for their rate.
+    /// Requests refused because of the rate.
     pub requests: u64,
-    /// Tokens refused for want of room.
+    /// Tokens refused because too many were in flight.
     pub tokens: Tokens,
 }
 
@@ -149,7 +147,7 @@
 }
 
 impl Limiter {
-    /// A limiter without organisations.
+    /// Returns a limiter without organisations.
     pub fn new(config: Config) -> Limiter {
         Limiter {
             config,
@@ -157,12 +155,12 @@
         }
     }
 
-    /// Divides the limits over another number of hosts from now on.
+    /// Sets the number of hosts that the limits are divided over.
     pub fn set_hosts(&mut self, hosts: u32) {
         self.config.hosts = hosts.max(1);
     }
 
-    /// Sets an organisation's limit. What is in flight stays counted.
+    /// Sets an organisation's limit. Requests in flight stay counted.
     pub fn set(&mut self, organisation: &Organisation, limit: Limit) {
         let account = self
             .accounts
@@ -182,21 +180,21 @@
         self.accounts.remove(organisation);
     }
 
-    /// Takes a lease in place of the one before it.
+    /// Replaces an organisation's lease.
     pub fn set_lease(&mut self, organisation: &Organisation, lease: Lease) {
         if let Some(account) = self.accounts.get_mut(organisation) {
             account.lease = Some(lease);
         }
     }
 
-    /// Tokens in flight through this host.
+    /// Returns the number of tokens in flight through this host.
     pub fn in_flight(&self, organisation: &Organisation) -> Tokens {
         let load = |a: &Account| Tokens(a.in_flight.load(Ordering::Relaxed));
         self.accounts.get(organisation).map_or(Tokens::ZERO, load)
     }
 
-    /// Of the tokens in flight, those over this host's floor: what the lender is
-    /// told of with each question.
+    /// Returns the number of tokens in flight over this host's floor, which it reports to
+    /// the lender with each question.
     pub fn tokens_over_floor(&self, organisation: &Organisation) -> Tokens {
         let Some(account) = self.accounts.get(organisation) else {
             return Tokens::ZERO;
@@ -205,7 +203,8 @@
         self.in_flight(organisation).saturating_sub(floor)
     }
 
-    /// What was turned away since the last call: what to ask the lender for.
+    /// Returns the demand that was refused since the last call, which is asked of the
+    /// lender.
     pub fn take_demand(&mut self, organisation: &Organisation) -> Demand {
         let take = |a: &mut Account| std::mem::take(&mut a.refused_demand);
         self.accounts
@@ -218,8 +217,8 @@
     ///
     /// # Errors
     ///
-    /// Refused when the organisation is unknown ([`Code::Forbidden`]), above
-    /// its rate, or has its tokens in flight. Nothing is counted then.
+    /// Refused if the organisation is unknown ([`Code::Forbidden`]), is over its rate, or
+    /// has too many tokens in flight. A refused request uses nothing of the limit.
     pub fn admit(
         &mut self,
         organisation: &Organisation,
@@ -250,13 +249,14 @@
         self.lease = self.lease.filter(|lease| now < lease.until);
     }
 
-    /// Thousandths of requests per second that this host may let through.
+    /// Returns the rate allowed at this host, in thousandths of requests per second.
     fn allowed_rate(&self, config: &Config) -> u64 {
         let floor = u64::from(self.limit.rate) * 10 * u64::from(config.floor_percent.min(100));
         floor / u64::from(config.hosts.max(1))
             + self.lease.map_or(0, |lease| lease.rate_thousandths)
     }
 
+    /// Returns the number of tokens in flight that this host's floor allows.
     fn floor_tokens(&self, config: &Config) -> u64 {
         let floor = u128::from(self.limit.tokens.0) * u128::from(config.floor_percent.min(100))
             / 100
@@ -264,7 +264,7 @@
         u64::try_from(floor).unwrap_or(u64::MAX)
     }
 
-    /// Tokens that this host may have in flight.
+    /// Returns the number of tokens that this host may have in flight.
     fn allowed_tokens(&self, config: &Config) -> u64 {
         let lent = self.lease.map_or(0, |lease| lease.tokens.0);
         self.floor_tokens(config).saturating_add(lent)
--- a/almondlock-policy/src/retry.rs
+++ b/almondlock-policy/src/retry.rs
@@ -1,12 +1,12 @@
-//! Whether a failed attempt is followed by another one.
+//! Decides whether a failed attempt is followed by another one.
 //!
-//! Three questions, in this order. Is it *safe*: could it run twice, or glue
-//! two different answers together? Is it *of use*: may another attempt end
-//! otherwise, and in time? Is it *affordable*: a retry costs the fleet as much
-//! as a fresh request, and when half the fleet fails, retries by themselves
-//! would double what the other half has to do. So they are paid from a
-//! budget that fresh requests fill, per organisation and per entry host,
-//! and when it is empty the caller gets its refusal at once.
+//! A retry must pass three checks, in this order. It must be *safe*: the request must not
+//! run twice if it may not, and parts of different answers must not be joined. It must be
+//! *useful*: another attempt could have another result, in time. And it must be
+//! *affordable*: a retry costs the fleet as much as a fresh request, and when half the
+//! fleet fails, retries alone would double the work of the other half. So retries are paid
+//! from budgets that fresh requests fill, one per organisation and one per entry host. When
+//! a budget is empty, the caller gets its refusal at once.
 //!
 //! ```
 //! use almondlock_base::{Code, Ran};
@@ -32,21 +32,20 @@
 /// What is known of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// How it failed.
+    /// The result code of the failure.
     pub code: Code,
-    /// Whether the request ran, in this attempt or an earlier one; see
-    /// [`merge_ran`].
+    /// Whether the request ran, in this attempt or an earlier one; see [`merge_ran`].
     pub ran: Ran,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// How many tokens (or bytes) of the answer the caller already has.
+    /// Number of tokens (or bytes) of the answer that the caller already has.
     pub streamed: u64,
     /// Whether the engine guarantees the same continuation from an offset.
     pub resumable: bool,
 }
 
-/// What is known of a request after one more attempt. It did not run only if
-/// no attempt did.
+/// Returns whether a request ran after one more attempt. It did not run only if no attempt
+/// ran.
 pub const fn merge_ran(before: Ran, attempt: Ran) -> Ran {
     match (before, attempt) {
         (Ran::Yes, _) | (_, Ran::Yes) => Ran::Yes,
@@ -60,18 +59,18 @@
 pub enum Safety {
     /// A new attempt from the start.
     Again,
-    /// A new attempt that goes on at this offset of the answer.
+    /// A new attempt that continues the answer at this offset.
     Resume(u64),
-    /// Nothing.
+    /// No further attempt.
     Never,
 }
 
-/// What may safely follow, whatever it costs.
+/// Returns what may safely follow a failed attempt, whatever it costs.
 ///
-/// An answer that the caller has in part is only ever gone on with, never
-/// begun anew: a second run may choose other words, and the caller would get
-/// two halves that don't belong together. What may not be repeated is sent
-/// again only when it provably did not run.
+/// If the caller already has a part of the answer, the answer is only continued and never
+/// started again: a second run may choose other words, and the two halves would not belong
+/// together. A request that may not be repeated is sent again only if it provably did not
+/// run.
 pub fn assess_safety(failure: &Failure) -> Safety {
     let once = failure.ran == Ran::No || failure.repeatable;
     if !failure.code.is_retryable() || !once {
@@ -84,11 +83,12 @@
     }
 }
 
-/// Whether a retry is paid for. Work that a leaving upstream gives back, a call
-/// that met a sidecar's new life, and one whose upstream doesn't answer are
-/// moved and not retried: nothing was tried. Charging for them would make a
-/// planned stop fail requests, and a few dead upstreams spend the attempts of
-/// a request that a living one would have answered.
+/// Returns whether a retry after this code is paid from the budgets. Work that a leaving
+/// upstream gives back, a call that reached a later life of a sidecar, and a call to an
+/// upstream that doesn't answer are moved rather than retried, since the upstream did
+/// nothing for them. If they were charged, a planned stop would make requests fail, and a
+/// few dead upstreams would use up the attempts of a request that a live upstream would
+/// have answered.
 pub fn is_charged(code: Code) -> bool {
     !matches!(
         code,
@@ -96,21 +96,20 @@
     )
 }
 
-/// Settings of a [`Policy`].
+/// Configuration of a [`Policy`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Attempts of one request, the first one included.
+    /// Maximum number of attempts of one request, the first one included.
     pub max_attempts: u32,
     /// Retries per hundred fresh requests.
     pub retry_percent: u32,
-    /// Retries per second that are free, so that a quiet organisation can
-    /// retry at all.
+    /// Free retries per second, so that an organisation with few requests can retry at all.
     pub free_per_second: f64,
-    /// Most retries saved up.
+    /// Maximum number of retries saved up.
     pub max_saved: f64,
     /// Longest wait before the first retry.
     pub base_backoff: Duration,
-    /// Longest wait before any.
+    /// Longest wait before any retry.
     pub max_backoff: Duration,
 }
 
@@ -132,26 +131,26 @@
 pub enum Decision {
     /// A new attempt.
     Retry {
-        /// After this time.
+        /// Time to wait before the attempt.
         after: Duration,
-        /// From this offset of the answer; 0 is from the start.
+        /// Offset of the answer to continue at; 0 is from the start.
         offset: u64,
     },
-    /// The final answer, now.
+    /// The request gets its final answer now.
     GiveUp {
-        /// The code to answer with.
+        /// Result code of the answer.
         code: Code,
-        /// What is known of all attempts.
+        /// Whether the request ran, over all attempts.
         ran: Ran,
-        /// When the caller may come back.
+        /// Time after which the caller may come back.
         retry_after: Duration,
     },
 }
 
-/// Retries saved up.
+/// Number of retries saved up.
 #[derive(Clone, Copy, Debug, Default)]
 struct Budget {
-    // Invariant: between 0 and the burst.
+    // Invariant: between 0 and [`Config::max_saved`].
     saved: f64,
     refilled_at: Option<Mono>,
 }
@@ -187,7 +186,7 @@
 }
 
 impl Policy {
-    /// A policy with full budgets.
+    /// Returns a policy with full budgets.
     pub fn new(config: Config) -> Policy {
         Policy {
             config,
@@ -196,7 +195,7 @@
         }
     }
 
-    /// Counts a fresh request.
+    /// Counts a fresh request, which adds to the budgets.
     pub fn count_request(&mut self, organisation: &Organisation, now: Mono) {
         self.host.deposit(&self.config, now);
         // Found before inserted: the name is not copied for each request.
@@ -214,13 +213,13 @@
         self.organisations.remove(organisation);
     }
 
-    /// Retries that the host could pay for now.
+    /// Returns the number of retries that the host's budget could pay for.
     pub fn remaining(&self) -> f64 {
         self.host.saved
     }
 
-    /// What follows a failed attempt, the `made`th of its request, with this
-    /// much time left until the deadline.
+    /// Decides what follows a failed attempt. `made` is the number of attempts that the
+    /// request has had, and `left` the time until its deadline.
     pub fn decide<R>(
         &mut self,
         organisation: &Organisation,
@@ -252,7 +251,7 @@
         Decision::Retry { after, offset }
     }
 
-    /// Both budgets pay, or neither does.
+    /// Takes one retry from both budgets, or from neither if one is empty.
     fn pay_retry(&mut self, organisation: &Organisation, now: Mono) -> bool {
         let Some(own) = self.organisations.get_mut(organisation) else {
             return false;
@@ -265,8 +264,9 @@
         affordable
     }
 
-    /// Doubles with each attempt, and is drawn from the upper half: requests
-    /// that failed together do not come back together.
+    /// Returns the wait before a retry. Its upper limit doubles with each attempt, and it
+    /// is drawn from the upper half, so that requests that failed together do not come back
+    /// together.
     fn draw_backoff<R>(&self, made: u32, rng: &mut R) -> Duration
     where
         R: Rng,
@@ -280,8 +280,8 @@
         most.mul_f64(rng.random_range(0.5..=1.0))
     }
 
-    /// A request that ran keeps the code that says how it failed; one that did
-    /// not is refused as such.
+    /// Gives up a request that may not be retried any more. If it did not run, the code is
+    /// [`Code::RetriesExhausted`]; else the code of the failure is kept.
     fn give_up_exhausted(&self, failure: &Failure) -> Decision {
         if failure.ran == Ran::No && failure.streamed == 0 {
             self.give_up(Code::RetriesExhausted, Ran::No)
--- a/almondlock-policy/src/throttle/client.rs
+++ b/almondlock-policy/src/throttle/client.rs
@@ -1,4 +1,5 @@
-//! An entry host's side: whom to ask for a permit, and what to tell callers without one.
+//! The entry host's side: which relay to ask for a permit, and when refused callers come
+//! back.
 
 use std::{collections::HashMap, hash::Hash, time::Duration};
 
@@ -6,10 +7,10 @@
 
 use super::Rate;
 
-/// A relay that didn't answer is asked again after this long.
+/// Time after which a relay that didn't answer is asked again.
 const UNANSWERED_PAUSE: Duration = Duration::from_millis(500);
 
-/// When relays that had no permit have one again.
+/// Selects the relay to ask for a permit, from when each may have one again.
 #[derive(Debug)]
 pub struct Selector<K, R> {
     // By upstream and relay.
@@ -31,32 +32,33 @@
     K: Clone + Eq + Hash,
     R: Copy + Eq + Hash,
 {
-    /// The first of the relays that may have a permit for this upstream.
+    /// Returns the first of the relays that may have a permit for this upstream.
     pub fn next_relay(&self, now: Mono, key: &K, relays: &[R]) -> Option<R> {
         let mut relays = relays.iter().copied();
         relays.find(|relay| self.blocked_until(key, *relay) <= now)
     }
 
-    /// A relay has none until so long after now.
+    /// Records that a relay has no permit for the time `wait`.
     pub fn note_refusal(&mut self, now: Mono, key: &K, relay: R, wait: Duration) {
         self.unanswered_until.remove(&relay);
         self.refused_until.retain(|_, until| now < *until);
         self.refused_until.insert((key.clone(), relay), now + wait);
     }
 
-    /// A relay did not answer.
+    /// Records that a relay did not answer.
     pub fn note_no_answer(&mut self, now: Mono, relay: R) {
         self.unanswered_until.retain(|_, until| now < *until);
         self.unanswered_until.insert(relay, now + UNANSWERED_PAUSE);
     }
 
-    /// When one of the relays may have a permit.
+    /// Returns the time until one of the relays may have a permit.
     pub fn time_to_permit(&self, now: Mono, key: &K, relays: &[R]) -> Duration {
         let untils = relays.iter().map(|relay| self.blocked_until(key, *relay));
         let first = untils.min().unwrap_or(now + UNANSWERED_PAUSE);
         first.since(now)
     }
 
+    /// Returns the time from which on a relay may have a permit.
     fn blocked_until(&self, key: &K, relay: R) -> Mono {
         let empty = self.refused_until.get(&(key.clone(), relay)).copied();
         let silent = self.unanswered_until.get(&relay).copied();
@@ -64,18 +66,18 @@
     }
 }
 
-/// When callers come back that found all upstreams of a service at their limits: one
-/// after the other, as fast as this host can expect permits. Told the same moment, all
-/// but one of them would be refused again.
+/// Staggers the callers that found all upstreams of a service at their limits. They come
+/// back one after the other, as fast as this host can expect permits. If all came back at
+/// the same moment, all but one would be refused again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stagger {
     last_retry: Mono,
 }
 
 impl Stagger {
-    /// When the next caller returns. The first permit is due after `opens`, and this host
-    /// has one of `hosts` equal parts of `rate`. A caller that can't wait longer than
-    /// `patience` keeps no place.
+    /// Returns the time after which the next caller is to come back. The first permit is
+    /// due after `opens`, and this host has one of `hosts` equal parts of `rate`. A caller
+    /// that can't wait longer than `patience` reserves no turn.
     pub fn next_retry(
         &mut self,
         now: Mono,
--- a/almondlock-policy/src/throttle/issuer.rs
+++ b/almondlock-policy/src/throttle/issuer.rs
@@ -1,4 +1,4 @@
-//! A relay's part of the limits: permits, as they fall due.
+//! The relay's side: gives out the permits of its part of each limit as they become due.
 
 use std::{borrow::Borrow, collections::HashMap, hash::Hash, time::Duration};
 
@@ -7,17 +7,19 @@
 use super::Rate;
 use crate::bucket::Bucket;
 
-/// How long unused permits may be saved up. Hosts' questions come unevenly.
+/// Time over which unused permits may be saved up, since the hosts' questions come
+/// unevenly.
 const BURST: Duration = Duration::from_millis(500);
 
-/// What an upstream takes when it names a limit of 0: a question now and then, by which
-/// the end of the limit is seen. In thousandths of requests a second.
+/// Rate for an upstream that names a limit of 0, in thousandths of requests per second. An
+/// occasional request shows when the limit has ended.
 const MIN_RATE_THOUSANDTHS: u32 = 50;
 
 /// Gives out one relay's part of each limit.
 ///
-/// In any time it gives out no more than the part earns in that time, and the larger of one
-/// permit and what it earns in half a second, also when it starts again: it begins with none.
+/// In any time it gives out at most the permits due in that time, plus one permit or those
+/// of half a second, whichever is more. This holds also across a restart, since it starts
+/// without permits.
 #[derive(Debug)]
 pub struct Issuer<K> {
     buckets: HashMap<K, Bucket>,
@@ -35,12 +37,12 @@
 where
     K: Eq + Hash,
 {
-    /// Takes a permit to send one request to an upstream that takes `rate` from all
-    /// hosts, of which this relay has one of `parts` equal parts.
+    /// Takes a permit to send one request to an upstream that accepts `rate` from all
+    /// hosts. This relay has one of `parts` equal parts of the rate.
     ///
     /// # Errors
     ///
-    /// When the next one is due, if there is none now.
+    /// Returns the time until the next permit is due if there is none now.
     pub fn take(&mut self, now: Mono, key: K, rate: Rate, parts: u32) -> Result<(), Duration> {
         let rate =
             u64::from(rate.thousandths().max(MIN_RATE_THOUSANDTHS)) / u64::from(parts.max(1));
--- a/almondlock-policy/src/throttle/mod.rs
+++ b/almondlock-policy/src/throttle/mod.rs
@@ -1,20 +1,20 @@
-//! How often an upstream that names a limit may be sent to, over all entry hosts.
+//! Limits how often all entry hosts together send to an upstream that names a limit.
 //!
-//! An upstream in need names, with its answers, the requests a second that it takes from
-//! all entry hosts together; and one that has just started bears fewer than usual. No host
-//! can keep that alone: each knows only what it sends itself, and how many others there are
-//! changes. So relays give out permits, one for
-//! each request. Each relay owns an equal part of every limit and shares it with nobody:
-//! whichever relays and hosts can reach each other, the parts never add up to more than
-//! the limit, and relays need not agree on anything but their number.
+//! An overloaded upstream names in its answers the rate of requests that it accepts from
+//! all entry hosts together, and one that has just started bears a lower rate than usual.
+//! No host can keep such a limit alone: each knows only what it sends itself, and the
+//! number of hosts changes. So relays give out permits, one for each request. Each relay
+//! owns an equal part of every limit and shares it with no other relay: whichever relays
+//! and hosts can reach each other, the parts never add up to more than the limit, and
+//! relays need to agree only on their number.
 //!
 //! | type | where | decides |
 //! |---|---|---|
 //! | [`Bound`] | both | how often an upstream may be sent to |
-//! | [`Limits`] | both | which limits are in force, from answers and from what others heard |
+//! | [`Limits`] | both | which limits are in force, from answers and from other hosts' news |
 //! | [`Issuer`] | relay | whether there is a permit, and when the next one is due |
 //! | [`Selector`] | entry host | which relay to ask, and when to ask again |
-//! | [`Stagger`] | entry host | when callers that are refused come back |
+//! | [`Stagger`] | entry host | when refused callers come back |
 //!
 //! ```
 //! use std::time::Duration;
@@ -43,30 +43,31 @@
     issuer::Issuer,
 };
 
-/// Requests a second, in thousandths.
+/// A rate of requests, in thousandths per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct Rate(u32);
 
 impl Rate {
-    /// Reads a decimal number of requests a second. None if it is no such number.
+    /// Parses a decimal number of requests per second. Returns `None` for other text.
     pub fn parse(text: &str) -> Option<Rate> {
         Rate::from_per_second(text.trim().parse().ok()?)
     }
 
-    /// So many requests a second. None if that is no number of requests.
+    /// Returns a rate of this many requests per second, or `None` if the number is negative
+    /// or not finite.
     pub fn from_per_second(rate: f64) -> Option<Rate> {
         let is_rate = rate.is_finite() && rate >= 0.0;
         // A float beyond the range saturates.
         is_rate.then_some(Rate((rate * 1e3) as u32))
     }
 
-    /// Thousandths of requests a second.
+    /// Returns the rate in thousandths of requests per second.
     pub const fn thousandths(self) -> u32 {
         self.0
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_second(self) -> f64 {
         f64::from(self.0) / 1e3
     }
@@ -87,24 +88,25 @@
     }
 }
 
-/// What an answer said of its upstream's limit.
+/// What an answer said about its upstream's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Notice {
-    /// The limit. None: there is none any more.
+    /// The limit, or `None` if there is none any more.
     pub rate: Option<Rate>,
-    /// When that was so: of a limit, when the answer came; of the end of one, when the
-    /// request was sent, since the answer may be older than one that came before it.
+    /// Time from which the notice holds. For a limit it is the time of the answer. For the
+    /// end of a limit it is the time at which the request was sent, since the answer may be
+    /// older than one that came before it.
     pub at: Mono,
 }
 
 impl Notice {
-    /// That nothing was ever named. Any other notice replaces it.
+    /// The notice of an upstream that never named a limit. Any other notice replaces it.
     pub const NONE: Notice = Notice {
         rate: None,
         at: Mono::ZERO,
     };
 
-    /// What an answer that came now says, to a request that was sent at `sent`.
+    /// Returns the notice of an answer that came now, to a request that was sent at `sent`.
     pub const fn of(rate: Option<Rate>, sent: Mono, now: Mono) -> Notice {
         let at = match rate {
             Some(_) => now,
@@ -113,8 +115,8 @@
         Notice { rate, at }
     }
 
-    /// Whether it replaces an earlier notice. Between two of the same moment the limit
-    /// stays.
+    /// Returns whether this notice replaces an earlier one. Of two notices with the same
+    /// time, the one with a limit stays.
     fn replaces(&self, other: &Notice) -> bool {
         let is_end = self.rate.is_none() && other.rate.is_some();
         self.at > other.at || self.at == other.at && !is_end
@@ -123,23 +125,23 @@
 
 /// What bounds the requests of all hosts to an upstream.
 ///
-/// Invariant: at least one of both gives a rate.
+/// Invariant: at least one of the fields gives a rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
-    /// The limit that it named last.
+    /// The limit that the upstream named last.
     pub named: Option<Notice>,
-    /// What it bears, if it is cold.
+    /// The rate that the upstream bears if it has just started (is cold).
     pub cold: Option<Rate>,
 }
 
 impl Bound {
-    /// None: nothing bounds it.
+    /// Returns the bound, or `None` if the upstream isn't limited.
     pub fn of(named: Option<Notice>, cold: Option<Rate>) -> Option<Bound> {
         let is_named = named.is_some_and(|named| named.rate.is_some());
         (is_named || cold.is_some()).then_some(Bound { named, cold })
     }
 
-    /// Requests a second: the lower of both.
+    /// Returns the lower one of both rates.
     pub fn rate(&self) -> Rate {
         let named = self.named.and_then(|named| named.rate);
         let rates = named.into_iter().chain(self.cold);
@@ -150,7 +152,7 @@
 /// The limits that upstreams have named.
 #[derive(Clone, Debug)]
 pub struct Limits<K> {
-    // Ended limits stay, so that older news of them is known for what it is.
+    // Ended limits stay, so that older news of a limit is recognised as old.
     notices: HashMap<K, Notice>,
 }
 
@@ -166,7 +168,7 @@
 where
     K: Clone + Eq + Hash,
 {
-    /// Takes a notice in. Whether the limit in force has changed with it.
+    /// Takes in a notice. Returns whether it changed the limit in force.
     pub fn learn(&mut self, key: &K, notice: Notice) -> bool {
         let Some(last) = self.notices.get_mut(key) else {
             if notice.rate.is_none() {
@@ -183,22 +185,22 @@
         is_change
     }
 
-    /// The limit in force.
+    /// Returns the limit in force.
     pub fn rate(&self, key: &K) -> Option<Rate> {
         self.notices.get(key)?.rate
     }
 
-    /// Whether no upstream has named a limit.
+    /// Returns whether no upstream has named a limit.
     pub fn is_empty(&self) -> bool {
         self.notices.is_empty()
     }
 
-    /// The last notice.
+    /// Returns the last notice of an upstream.
     pub fn notice(&self, key: &K) -> Option<Notice> {
         self.notices.get(key).copied()
     }
 
-    /// The upstreams whose limits are in force.
+    /// Returns the upstreams whose limits are in force.
     pub fn limited_keys(&self) -> Vec<K> {
         let limited = self
             .notices
@@ -207,7 +209,7 @@
         limited.map(|(key, _)| key.clone()).collect()
     }
 
-    /// All notices, ended limits among them.
+    /// Returns all notices, also those of limits that have ended.
     pub fn notices(&self) -> impl Iterator<Item = (&K, &Notice)> {
         self.notices.iter()
     }
