--- a/almondlock-policy/src/backoff.rs
+++ b/almondlock-policy/src/backoff.rs
@@ -1,9 +1,9 @@
-//! Which upstreams have asked this host, in an answer, to send them nothing: for a while, or
-//! because they leave.
+//! Records which upstreams have asked this host, in an answer, to send them no requests:
+//! for some time, or because they leave.
 //!
-//! What an upstream asks holds for all that the host sends, not for the request that the
-//! answer belongs to, and until it has passed: neither another answer nor a new configuration
-//! ends it, only a new life of the upstream.
+//! A pause applies to all requests of this host, not only to the one that was answered, and
+//! lasts until it is over: neither another answer nor a new configuration ends it, only a
+//! new life of the upstream.
 //!
 //! ```
 //! use std::time::Duration;
@@ -29,24 +29,24 @@
 
 use almondlock_base::{id::Upstream, time::Mono};
 
-/// Reads the seconds of a `Retry-After`, which may be a fraction. None if they are no
-/// time span; a date isn't read.
+/// Parses the seconds of a `Retry-After` header, which may be a fraction. Returns `None` if
+/// the text is not a time span; dates are not supported.
 pub fn parse_delay(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// Why an upstream takes nothing from this host.
+/// Why an upstream takes no requests from this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It asked for a pause, of which so much is left.
+    /// It asked for a pause, of which this time remains.
     Backoff(Duration),
-    /// It leaves.
+    /// It is leaving.
     Leaving,
 }
 
 impl Reason {
-    /// The word used in logs.
+    /// Returns the word used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Reason::Backoff(_) => "backoff",
@@ -54,7 +54,7 @@
         }
     }
 
-    /// When it is over, from now, if it ends.
+    /// Returns the time until the reason ends, or `None` if it has no end.
     pub const fn remaining(self) -> Option<Duration> {
         match self {
             Reason::Backoff(left) => Some(left),
@@ -63,16 +63,17 @@
     }
 }
 
-/// What upstreams have asked for.
+/// The pauses that upstreams have asked for, and the upstreams that are leaving.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// When the latest pause ends that each asked for.
+    /// End of the latest pause that each upstream asked for.
     pauses: HashMap<Upstream, Mono>,
     leaving: HashSet<Upstream>,
 }
 
 impl Table {
-    /// An upstream asked for a pause until then. Whether that is later than known.
+    /// Records that an upstream asked for a pause until the time `until`. Returns whether
+    /// this is later than known before.
     pub fn pause(&mut self, upstream: &Upstream, until: Mono) -> bool {
         let known = self.pauses.entry(upstream.clone()).or_default();
         let is_later = until > *known;
@@ -80,18 +81,18 @@
         is_later
     }
 
-    /// An upstream says that it leaves. Whether that is new.
+    /// Records that an upstream is leaving. Returns whether this is new.
     pub fn mark_leaving(&mut self, upstream: &Upstream) -> bool {
         self.leaving.insert(upstream.clone())
     }
 
-    /// Another life of the upstream has begun, which has asked for nothing.
+    /// Forgets what an upstream asked for, since a new life of it has begun.
     pub fn reset(&mut self, upstream: &Upstream) {
         self.pauses.remove(upstream);
         self.leaving.remove(upstream);
     }
 
-    /// Why an upstream takes nothing, if so.
+    /// Returns why an upstream takes no requests, or `None` if it takes them.
     pub fn reason(&self, now: Mono, upstream: &Upstream) -> Option<Reason> {
         if self.leaving.contains(upstream) {
             return Some(Reason::Leaving);
@@ -100,7 +101,7 @@
         (!left.is_zero()).then_some(Reason::Backoff(left))
     }
 
-    /// Forgets pauses that are over, and which of the upstreams leave that are gone.
+    /// Forgets pauses that are over, and leaving upstreams that are gone.
     pub fn sweep<F>(&mut self, now: Mono, is_known: F)
     where
         F: Fn(&Upstream) -> bool,
--- a/almondlock-policy/src/gang/mod.rs
+++ b/almondlock-policy/src/gang/mod.rs
@@ -1,28 +1,27 @@
-//! Room for a prompt that is larger than an engine, on several at once.
+//! Reserves room on several engines at once for a prompt that is larger than one engine.
 //!
-//! A million-token prompt needs more memory than two engines have, so three or
-//! more take part. Two such prompts, each with a part of what both need, would
-//! wait for each other for ever. Four ways were weighed:
+//! A million-token prompt needs more memory than two engines have, so three or more take
+//! part. If two such prompts each held a part of what both need, they would wait for each
+//! other for ever. The alternatives have these faults:
 //!
-//! - one place that grants all: simple, but a further thing to lose, and it
-//!   would have to know every engine's memory at each moment;
-//! - try all at once, give back and try again: no deadlock, but under load each
-//!   try finds one member full, and the longest never start;
-//! - breaking deadlocks when found: needs everybody's view of everybody;
-//! - **waiting, in one order for all**: taken here. A [`Gang`] asks its members
-//!   one after the other in the order of their names, and waits at each until
-//!   it is granted. Whoever waits holds only members that come before. So the
-//!   gang that holds the last member in the order waits for nobody and ends,
-//!   and then the next one: no circle can close.
+//! - One place that grants everything is simple, but a further thing that can fail, and it
+//!   would have to know the free memory of every engine at each moment.
+//! - Asking all members at once, giving back and trying again has no deadlock, but under
+//!   load each try finds one member full, and the longest prompts never start.
+//! - Breaking deadlocks when they are found needs a global view.
 //!
-//! What is held while waiting is idle memory; it is bounded by the lease on
-//! each part, and by the deadline. One member's loss releases all the others.
+//! So gangs wait **in one order**: a [`Gang`] asks its members one after the other in the
+//! order of their names, and waits at each until it is granted. A waiting gang holds only
+//! members that come earlier in the order. So the gang that holds the last member in the
+//! order waits for nobody and ends, then the next one: no cycle can form.
 //!
-//! At each member a [`Waitlist`] grants reservations in the order of arrival. One
-//! that has waited for [`Config::collect_after`] has memory collected for it:
-//! the queue starts only short jobs meanwhile, in their reserved part. So the
-//! largest prompts start within the time that running work takes to end, and
-//! short ones go on throughout.
+//! What a gang holds while it waits is idle memory; it is bounded by the lease on each
+//! reservation, and by the deadline. When one member is lost, all the others are released.
+//!
+//! At each member a [`Waitlist`] grants reservations in the order of arrival. Once the
+//! first has waited for [`Config::collect_after`], memory is collected for it: the queue
+//! starts only short jobs meanwhile, in their reserved part. So the largest prompts start
+//! within the time that running work takes to end, and short ones go on throughout.
 //!
 //! ```
 //! use almondlock_base::{id::Upstream, time::Mono, unit::Tokens};
@@ -47,12 +46,12 @@
 
 pub use self::waitlist::{Config, Refusal, Waitlist};
 
-/// What one upstream contributes.
+/// Memory to be reserved on one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reservation {
     /// The upstream.
     pub upstream: Upstream,
-    /// The memory reserved there.
+    /// The amount of memory.
     pub tokens: Tokens,
 }
 
@@ -61,19 +60,20 @@
 pub struct Member {
     /// The upstream.
     pub upstream: Upstream,
-    /// What it can give at most, the part reserved for short jobs left out.
+    /// Maximum memory that it can give, without the part reserved for short jobs.
     pub max_tokens: Tokens,
-    /// What it has free now, as far as is known.
+    /// Free memory, as far as is known.
     pub free_tokens: Tokens,
-    /// Whether it failed lately, and takes part only if the others won't do.
+    /// Whether it failed recently, so that it takes part only if the other members don't
+    /// suffice.
     pub failed_recently: bool,
 }
 
-/// The parts for a prompt and its answer: as few members as will do, those with
-/// the most free memory, each with an equal part. Members that failed lately
-/// are added only if the others can't hold it: one missed probe proves nothing,
-/// and a refusal is worse than an attempt. `None` when all together can't hold
-/// it ([`Code::PromptTooLong`]).
+/// Returns the reservations for a prompt and its answer: on as few members as possible,
+/// those with the most free memory, with an equal part on each. Members that failed
+/// recently are added only if the others can't hold the prompt: one missed probe proves
+/// nothing, and a refusal is worse than an attempt. Returns `None` if all members together
+/// can't hold it ([`Code::PromptTooLong`]).
 ///
 /// ```
 /// use almondlock_base::{id::Upstream, unit::Tokens};
@@ -95,6 +95,8 @@
     plan_fewest(healthy.collect(), need).or_else(|| plan_fewest(members.iter().collect(), need))
 }
 
+/// Returns equal reservations on as few members as possible, or `None` if all together
+/// can't hold the need.
 fn plan_fewest(mut ranked: Vec<&Member>, need: Tokens) -> Option<Vec<Reservation>> {
     ranked.sort_by(|a, b| {
         a.failed_recently
@@ -123,19 +125,20 @@
 /// What a gang does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Ask the member with this number for its part.
+    /// Ask the member with this index for its part.
     Reserve(usize),
     /// Wait for an answer.
     Wait,
-    /// All parts are held: run.
+    /// All parts are held: run the prompt.
     Run,
-    /// Give these members' parts back, and what was asked of them. The prompt
-    /// did not run, unless [`Step::Run`] came before.
+    /// Give back the parts of the members with these indices, also those that were only
+    /// asked for. The prompt did not run, unless [`Step::Run`] came before.
     Release(Vec<usize>),
     /// Nothing is left to do.
     Done,
 }
 
+/// State of the reservation at one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Hold {
     Free,
@@ -145,6 +148,7 @@
     Gone,
 }
 
+/// State of the whole gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Gathering,
@@ -153,11 +157,11 @@
     Finished,
 }
 
-/// The reservations of one prompt, kept by the entry host that it came to.
+/// The reservations of one prompt, kept by the entry host that the prompt came to.
 #[derive(Clone, Debug)]
 pub struct Gang {
-    // Invariant: in the order of the upstreams' names, each once. All gangs of
-    // the fleet follow this order; that is what keeps them from deadlock.
+    // Invariant: in the order of the upstreams' names, each once. All gangs of the fleet
+    // follow this order, which prevents deadlocks.
     reservations: Vec<Reservation>,
     // Invariant: as long as `reservations`; while gathering, some `Held`, then at most
     // one `Asked`, then all `Free`.
@@ -167,7 +171,7 @@
 }
 
 impl Gang {
-    /// A gang of these parts, that gives up when the time is over by which the
+    /// Returns a gang with these reservations. It gives up at `deadline`, by which the
     /// prompt must have started.
     pub fn new(mut reservations: Vec<Reservation>, deadline: Mono) -> Gang {
         reservations.sort_by(|a, b| a.upstream.cmp(&b.upstream));
@@ -180,12 +184,12 @@
         }
     }
 
-    /// The parts, in the order in which they are asked for.
+    /// Returns the reservations, in the order in which they are asked for.
     pub fn reservations(&self) -> &[Reservation] {
         &self.reservations
     }
 
-    /// Why it failed, if it did.
+    /// Returns why the gang failed, if it did.
     pub fn failure(&self) -> Option<Code> {
         match self.state {
             State::Failed(code) => Some(code),
@@ -193,8 +197,7 @@
         }
     }
 
-    /// What to do now. To be called after each event, and when the deadline
-    /// comes.
+    /// Returns what to do now. Call this after each event and at the deadline.
     pub fn step(&mut self, now: Mono) -> Step {
         if self.state == State::Gathering && now >= self.deadline {
             self.state = State::Failed(Code::MemoryUnavailable);
@@ -206,7 +209,7 @@
         }
     }
 
-    /// A member has granted its part.
+    /// Records that a member has granted its part.
     pub fn note_grant(&mut self, index: usize) {
         if let Some(hold) = self.holds.get_mut(index)
             && *hold == Hold::Asked
@@ -215,7 +218,7 @@
         }
     }
 
-    /// A member has refused. The others' parts are given back.
+    /// Records that a member has refused. The parts of the other members are given back.
     pub fn note_refusal(&mut self, index: usize, code: Code) {
         if let Some(hold) = self.holds.get_mut(index) {
             *hold = Hold::Gone;
@@ -223,16 +226,16 @@
         }
     }
 
-    /// A member has died, or its part's lease has ended. Its own part is given
-    /// back too: a death is a presumption, and what was asked of it may yet be
-    /// granted, by it or by its next life.
+    /// Records that a member has died, or that its part's lease has ended. Its own part is
+    /// given back too: the death is only presumed, and the member or its next life may
+    /// still grant what it was asked for.
     pub fn note_loss(&mut self, index: usize) {
         if index < self.holds.len() {
             self.fail(Code::UpstreamLost);
         }
     }
 
-    /// The prompt has ended, or its caller has left.
+    /// Records that the prompt has ended, or that its caller has left.
     pub fn finish(&mut self) {
         if !matches!(self.state, State::Failed(_)) {
             self.state = State::Finished;
@@ -251,8 +254,9 @@
         Step::Reserve(index)
     }
 
-    /// What was asked for is given back too: the grant may be on its way, and a
-    /// release of what was never granted costs nothing.
+    /// Returns the step that gives back all parts. Parts that were only asked for are
+    /// included: a grant may be on its way, and releasing what was never granted does no
+    /// harm.
     fn release_all(&mut self) -> Step {
         let mut back = Vec::new();
         for (index, hold) in self.holds.iter_mut().enumerate() {
--- a/almondlock-policy/src/gang/waitlist.rs
+++ b/almondlock-policy/src/gang/waitlist.rs
@@ -1,4 +1,4 @@
-//! Where reservations wait at one engine.
+//! The list of reservations that wait for memory at one engine.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -7,9 +7,9 @@
 /// How a [`Waitlist`] grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// How long the first reservation waits before memory is collected for it.
+    /// Time that the first reservation waits before memory is collected for it.
     pub collect_after: Duration,
-    /// Reservations that may wait.
+    /// Maximum number of waiting reservations.
     pub max_waiting: usize,
 }
 
@@ -30,6 +30,7 @@
     pub code: Code,
 }
 
+/// A reservation that waits.
 #[derive(Clone, Debug)]
 struct Waiter<I> {
     id: I,
@@ -38,9 +39,8 @@
     deadline: Mono,
 }
 
-/// The reservations that wait for one engine's memory, first come, first
-/// served: any other order could keep one waiting for ever, and gangs that hold
-/// other engines with it.
+/// The reservations that wait for one engine's memory, first come, first served. Any other
+/// order could delay a reservation for ever, and with it a gang that holds other engines.
 #[derive(Clone, Debug)]
 pub struct Waitlist<I> {
     config: Config,
@@ -51,7 +51,7 @@
 where
     I: Clone + Eq,
 {
-    /// A desk where nothing waits.
+    /// Returns an empty list.
     pub fn new(config: Config) -> Waitlist<I> {
         Waitlist {
             config,
@@ -59,12 +59,13 @@
         }
     }
 
-    /// Asks for memory. `most` is what the engine can ever give: its capacity
-    /// without the part reserved for short jobs.
+    /// Adds a reservation. `most` is the memory that the engine can give at most: its
+    /// capacity without the part reserved for short jobs.
     ///
     /// # Errors
     ///
-    /// Refused when that is too little, or too much waits already.
+    /// Refused if the engine can't give that much, if the id waits already, or if too many
+    /// reservations wait.
     pub fn push(
         &mut self,
         id: I,
@@ -97,8 +98,8 @@
         Ok(())
     }
 
-    /// Grants the first reservation when there is room for it. `free` is the
-    /// engine's free memory, `reserve` what of it is left to short jobs.
+    /// Grants the first reservation if there is room for it. `free` is the engine's free
+    /// memory, and `reserve` the part of it that is left to short jobs.
     pub fn grant(&mut self, free: Tokens, reserve: Tokens) -> Option<I> {
         let first = self.waiting.front()?;
         if first.tokens + reserve > free {
@@ -107,22 +108,23 @@
         self.waiting.pop_front().map(|waiter| waiter.id)
     }
 
-    /// Whether memory is collected: the queue then starts only short jobs, in
-    /// their reserved part.
+    /// Returns whether memory is collected: the queue then starts only short jobs, in their
+    /// reserved part.
     pub fn is_collecting(&self, now: Mono) -> bool {
         let patience = self.config.collect_after;
         let first = self.waiting.front();
         first.is_some_and(|waiter| now.since(waiter.since) >= patience)
     }
 
-    /// Takes a reservation out. `false` when it does not wait here.
+    /// Removes a reservation. Returns `false` if it does not wait here.
     pub fn remove(&mut self, id: &I) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|waiter| waiter.id != *id);
         self.waiting.len() < before
     }
 
-    /// Takes out those whose time is over, each to be answered at once.
+    /// Removes and returns the reservations whose deadline has passed. Each is to be
+    /// answered at once.
     pub fn take_expired(&mut self, now: Mono) -> Vec<I> {
         let over = |waiter: &&Waiter<I>| waiter.deadline <= now;
         let gone = self
@@ -135,8 +137,8 @@
         gone
     }
 
-    /// When [`Waitlist::take_expired`] or [`Waitlist::is_collecting`] has something new to
-    /// say.
+    /// Returns the next time at which the results of [`Waitlist::take_expired`] or
+    /// [`Waitlist::is_collecting`] change.
     pub fn next_event(&self, now: Mono) -> Option<Mono> {
         let patience = self.config.collect_after;
         let collect = self.waiting.front().map(|waiter| waiter.since + patience);
@@ -148,12 +150,12 @@
             .min()
     }
 
-    /// How many wait.
+    /// Returns the number of waiting reservations.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none does.
+    /// Returns whether no reservation waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/almondlock-policy/src/ledger.rs
+++ b/almondlock-policy/src/ledger.rs
@@ -1,29 +1,27 @@
-//! What an engine's memory is held for, and until when.
+//! Records what an engine's memory is held for, and until when.
 //!
-//! An engine keeps memory for whoever asked for it: a stream's KV cache, an
-//! export on its way to another engine, a reservation. If the one who asked
-//! dies, nobody asks for it to be freed, and after some days of dying hosts the
-//! engine is full of nothing. So the sidecar writes each such thing down
-//! *before* it asks the engine for it, with an owner and a lease. A lease that
-//! is not renewed ends, and then the ledger repeats the order to free until
-//! the engine confirms it.
+//! An engine keeps memory for whoever asked for it: the KV cache of a stream, an export on
+//! its way to another engine, a reservation. If the requester dies, nobody asks for the
+//! memory to be freed, and as hosts die over days the engine fills with memory that nobody
+//! uses. So the sidecar records each such item *before* it asks the engine for it, with an
+//! owner and a lease. When a lease is not renewed it ends, and the ledger repeats the order
+//! to free the item until the engine confirms it.
 //!
 //! Three cases need more than that:
 //!
-//! - *The answer to an open is lost.* The entry is there all the same; freeing
-//!   what was never made is confirmed by the engine and costs nothing.
-//! - *The open arrives after the free.* The engine answers the free with "no
-//!   such thing" and then makes it. So, while an open was not confirmed, a
-//!   confirmed free only counts if it was asked for after
-//!   [`Config::order_lifetime`], within which the engine acts on an order or never.
-//! - *The sidecar dies*, and the ledger with it. The successor asks the engine
-//!   what exists. Owners that live [claim](Ledger::claim) theirs within
-//!   [`Config::claim_grace`]; the rest is freed. The same [comparison](Ledger::reconcile),
-//!   made now and then, finds whatever else went wrong.
+//! - *The answer to an open is lost.* The item stays recorded. The engine also confirms an
+//!   order to free what it never made, so the order does no harm.
+//! - *The open arrives after the free.* The engine answers the free with "no such thing"
+//!   and then makes the item. So, while an open is not confirmed, a confirmed free counts
+//!   only if it was asked for after [`Config::order_lifetime`], within which the engine
+//!   acts on an order or never.
+//! - *The sidecar dies*, and the ledger with it. The successor asks the engine what exists.
+//!   Live owners [claim](Ledger::claim) their items within [`Config::claim_grace`]; the
+//!   rest is freed. The same [comparison](Ledger::reconcile), made now and then, finds all
+//!   other differences.
 //!
-//! Writing the ledger to disk was ruled out: it would still have to be compared
-//! with the engine, which may have lost its memory, and costs a sync for each
-//! stream.
+//! The ledger is not written to disk: it would still have to be compared with the engine,
+//! which may have lost its memory, and it would cost a sync for each stream.
 //!
 //! ```
 //! use std::time::Duration;
@@ -58,11 +56,11 @@
 /// Times of a [`Ledger`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// After how long an order to free is given again.
+    /// Time after which an order to free is given again.
     pub repeat_interval: Duration,
-    /// How long after it was given an engine may still act on an order.
+    /// Time after which an engine no longer acts on an order that was given.
     pub order_lifetime: Duration,
-    /// How long a successor waits for owners to claim what they hold.
+    /// Time for which a successor waits for owners to claim what they hold.
     pub claim_grace: Duration,
 }
 
@@ -76,23 +74,23 @@
     }
 }
 
-/// One life of an entry host.
+/// One life of an entry host, as the owner of memory.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Owner {
     /// The host.
     pub host: Host,
-    /// Its life.
+    /// The incarnation that names its life.
     pub incarnation: Incarnation,
 }
 
 /// What memory is held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A request that runs. Freed by cancelling it.
+    /// A running request. Freed by cancelling it.
     Stream,
     /// KV cache on its way to another engine.
     Export,
-    /// Room for a part of a prompt larger than an engine.
+    /// Room for a part of a prompt that is larger than an engine.
     Reservation,
 }
 
@@ -101,18 +99,18 @@
 pub struct Item {
     /// What it is held for.
     pub kind: Kind,
-    /// How much it is, at most.
+    /// Its maximum size.
     pub tokens: Tokens,
 }
 
-/// An order to the engine: cancel a stream, free an export or a reservation.
-/// Given again until [`Ledger::confirm_free`] says that it was confirmed; the engine
-/// confirms it also when there is no such thing.
+/// An order to the engine to free an item: to cancel a stream, or to free an export or a
+/// reservation. It is repeated until [`Ledger::confirm_free`] is called; the engine also
+/// confirms it if there is no such item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order<I> {
-    /// What to free.
+    /// The item to free.
     pub id: I,
-    /// What it is.
+    /// What its memory is held for.
     pub kind: Kind,
 }
 
@@ -120,26 +118,27 @@
 enum Stage {
     /// Held, by a live owner as far as is known.
     Held,
-    /// To be freed. The next order is due then.
+    /// To be freed. The next order is due at this time.
     Closing(Mono),
 }
 
+/// What the ledger records of an item.
 #[derive(Clone, Debug)]
 struct Entry {
     item: Item,
     stage: Stage,
-    /// `None` after a restart, until an owner claims it.
+    /// `None` after a restart, until an owner claims the item.
     owner: Option<Owner>,
-    /// How long each renewal lasts.
+    /// Time by which a renewal extends the lease.
     lease: Duration,
-    /// When the lease ends, a key in `Ledger::leases` while held.
+    /// Time at which the lease ends, a key in `Ledger::leases` while held.
     until: Mono,
     opened_at: Mono,
-    /// When the engine was first known to have made it.
+    /// Time at which the engine was first known to have made the item.
     confirmed_at: Option<Mono>,
 }
 
-/// The memory of one engine.
+/// The record of the memory of one engine.
 #[derive(Debug)]
 pub struct Ledger<I> {
     config: Config,
@@ -150,7 +149,7 @@
     closing: BTreeSet<(Mono, I)>,
     // Invariant: holds exactly the held entries that have an owner.
     owners: HashMap<Owner, BTreeSet<I>>,
-    /// Until when a successor leaves what it finds to its owners.
+    /// Time until which a successor leaves the items that it found to their owners.
     grace_until: Option<Mono>,
 }
 
@@ -158,7 +157,7 @@
 where
     I: Clone + Ord,
 {
-    /// The ledger of an engine that holds nothing yet.
+    /// Returns the ledger of an engine that holds nothing yet.
     pub fn new(config: Config) -> Ledger<I> {
         Ledger {
             config,
@@ -170,8 +169,8 @@
         }
     }
 
-    /// The ledger of a sidecar that came back and does not know what the engine
-    /// holds. To be followed by [`Ledger::reconcile`].
+    /// Returns the ledger of a sidecar that restarted and does not know what the engine
+    /// holds. Call [`Ledger::reconcile`] next.
     pub fn recover(config: Config, now: Mono) -> Ledger<I> {
         Ledger {
             grace_until: Some(now + config.claim_grace),
@@ -179,8 +178,8 @@
         }
     }
 
-    /// Enters what the engine is going to be asked for. To be called before the
-    /// first byte goes out. `false` when the id is in use.
+    /// Records an item that the engine is going to be asked for. Call this before the first
+    /// byte is sent. Returns `false` if the id is in use.
     pub fn open(&mut self, id: I, item: Item, owner: &Owner, lease: Duration, now: Mono) -> bool {
         if self.entries.contains_key(&id) {
             return false;
@@ -198,14 +197,14 @@
         true
     }
 
-    /// Notes that the engine has made it.
+    /// Records that the engine has made an item.
     pub fn confirm_open(&mut self, id: &I, now: Mono) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.confirmed_at = entry.confirmed_at.or(Some(now));
         }
     }
 
-    /// Extends the leases of all that an owner holds.
+    /// Extends the leases of all items of an owner.
     pub fn renew(&mut self, owner: &Owner, now: Mono) {
         let Some(ids) = self.owners.get(owner) else {
             return;
@@ -219,8 +218,8 @@
         }
     }
 
-    /// Gives a thing a (new) owner: after a restart, or when an export is
-    /// handed over. `false` when it is gone or about to be freed.
+    /// Gives an item a new owner, after a restart or when an export is handed over. Returns
+    /// `false` if the item is gone or about to be freed.
     pub fn claim(&mut self, id: &I, owner: &Owner, lease: Duration, now: Mono) -> bool {
         let held = |entry: &&Entry| entry.stage == Stage::Held;
         let Some(entry) = self.entries.get(id).filter(held).cloned() else {
@@ -237,8 +236,8 @@
         true
     }
 
-    /// Gives a thing back. The order to free it comes with the next
-    /// [`Ledger::take_orders`]. Doing so twice is the same as once.
+    /// Gives an item back. [`Ledger::take_orders`] then returns the order to free it. A
+    /// second call has no effect.
     pub fn release(&mut self, id: &I, now: Mono) {
         let held = |entry: &&Entry| entry.stage == Stage::Held;
         let Some(entry) = self.entries.get(id).filter(held).cloned() else {
@@ -253,16 +252,16 @@
         self.insert(id.clone(), closing);
     }
 
-    /// Notes that the engine ended a thing by itself: a stream came to its end,
-    /// an export was fetched and freed.
+    /// Removes an item that the engine ended by itself: a stream that came to its end, or
+    /// an export that was fetched and freed.
     pub fn remove(&mut self, id: &I) {
         if let Some(entry) = self.entries.remove(id) {
             self.unlink(id, &entry);
         }
     }
 
-    /// The orders that are due: for leases that have ended, for what was given
-    /// back, and again for what was not confirmed.
+    /// Returns the orders that are due: for leases that have ended, for items that were
+    /// given back, and again for orders that were not confirmed.
     pub fn take_orders(&mut self, now: Mono) -> Vec<Order<I>> {
         self.expire(now);
         let mut orders = Vec::new();
@@ -281,31 +280,29 @@
         orders
     }
 
-    /// When [`Ledger::take_orders`] has something to say next.
+    /// Returns the next time at which [`Ledger::take_orders`] may return an order.
     pub fn next_order_at(&self) -> Option<Mono> {
         let lease = self.leases.first().map(|(at, _)| *at);
         let order = self.closing.first().map(|(at, _)| *at);
         lease.into_iter().chain(order).min()
     }
 
-    /// Notes that the engine confirmed an order to free, which was given at
-    /// `asked`.
+    /// Records that the engine confirmed an order to free, which was given at `asked`.
     pub fn confirm_free(&mut self, id: &I, asked: Mono) {
         let Some(entry) = self.entries.get(id) else {
             return;
         };
-        // An open that was not confirmed may still be on its way and would
-        // make the thing after all. The order is repeated until it can't.
+        // An open that was not confirmed may still be on its way, and the engine would then
+        // make the item after all. The order is repeated until that can't happen any more.
         if matches!(entry.stage, Stage::Closing(_)) && self.is_settled(entry, asked) {
             self.remove(id);
         }
     }
 
-    /// Compares with the engine's own list, which was asked for at `asked`.
+    /// Compares the ledger with the engine's own list, which was asked for at `asked`.
     ///
-    /// What the engine holds and nobody here knows of is freed, by a successor
-    /// after the grace for its owners. What is known here and the engine does
-    /// not hold is forgotten.
+    /// Items that only the engine has are freed, by a successor after the grace for their
+    /// owners. Items that only the ledger has are forgotten.
     pub fn reconcile(&mut self, list: &BTreeMap<I, Item>, asked: Mono, now: Mono) {
         let gone: Vec<I> = self
             .entries
@@ -326,30 +323,30 @@
         }
     }
 
-    /// Memory held, what is about to be freed included.
+    /// Returns the memory that is held, including items about to be freed.
     pub fn held_tokens(&self) -> Tokens {
         self.entries.values().map(|entry| entry.item.tokens).sum()
     }
 
-    /// What is held, in order.
+    /// Returns the ids of all items, in order.
     pub fn ids(&self) -> impl Iterator<Item = &I> {
         self.entries.keys()
     }
 
-    /// How many things are held.
+    /// Returns the number of items.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is.
+    /// Returns whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether what the engine was asked for at `asked` is final for an entry:
-    /// it was known to have made the thing by then, or had had the time to and
-    /// won't any more. When the order was given proves nothing: the engine may
-    /// have answered between that moment and acting on the order.
+    /// Returns whether the engine's answer to what it was asked at `asked` is final for an
+    /// entry: the engine was known to have made the item by then, or its time to make it
+    /// was over. The time at which an order was given proves nothing: the engine may have
+    /// answered between that time and acting on the order.
     fn is_settled(&self, entry: &Entry, asked: Mono) -> bool {
         let made = entry.confirmed_at.is_some_and(|at| at < asked);
         made || entry.opened_at + self.config.order_lifetime < asked
@@ -392,7 +389,7 @@
         self.entries.insert(id, entry);
     }
 
-    /// Takes an entry out of the indices.
+    /// Removes an entry from the indices.
     fn unlink(&mut self, id: &I, entry: &Entry) {
         match entry.stage {
             Stage::Held => self.leases.remove(&(entry.until, id.clone())),
--- a/almondlock-policy/src/poison.rs
+++ b/almondlock-policy/src/poison.rs
@@ -1,35 +1,33 @@
-//! Requests that kill the engines that run them.
+//! Decides how requests run that may have killed engines.
 //!
-//! When an engine dies, nobody can tell which of the requests that ran there
-//! was the cause, so each is blamed. Blame is no verdict: a blamed request is a
-//! *suspect* and runs again under watch, and one that then finishes is cleared.
+//! When an engine dies, nobody can tell which of the requests that ran on it was the cause,
+//! so each of them is blamed. A blamed request is a *suspect*, not a culprit: it runs again
+//! under restrictions, and its record is cleared if it then finishes.
 //!
 //! | deaths | how it runs next |
 //! |---|---|
-//! | 0 | as any other; while no copy of it has finished, one at a time per entry host |
+//! | 0 | as any other request; while no copy of it has finished, one at a time per entry host |
 //! | 1 | on an engine without another suspect |
 //! | 2 | alone on an engine |
 //! | [`Config::max_deaths`] (3) | refused everywhere, until [`Config::retention`] is over |
 //!
-//! The last run is alone so that only the guilty get to three: whoever dies
-//! there can't have been the victim of a neighbour. Two suspects never run
-//! together, else two harmless neighbours of one poison would blame each other.
+//! The last run is alone so that only a culprit can reach three deaths: a death there can't
+//! have been caused by another request. Two suspects never run together, since otherwise
+//! two harmless requests beside one poison would blame each other.
 //!
 //! # How many engines one poison costs
 //!
-//! A suspect's run is [charged](charge) before it starts: the entry host
-//! has the death entered in the replicated records first, and it is taken out
-//! when the run ends well. So all runs of a known suspect together cost at most
-//! `deaths - 1` engines, through however many entry hosts it is sent again, and
-//! also when the entry host dies with the engine. An entry host that has not
-//! heard of the suspect yet may run one copy ([`Watch`] lets no second copy
-//! through before the first has ended). The fleet loses at most
-//! [`loss_limit`] engines per poison: one per entry host that had not heard,
-//! and the charged ones; three when news is faster than the caller.
+//! A suspect's run is [charged](charge) before it starts: the entry host first has the
+//! death entered in the replicated records, and it is taken out when the run ends well. So
+//! all runs of a known suspect together cost at most `max_deaths - 1` engines, through
+//! however many entry hosts it is sent again, and also when the entry host dies with the
+//! engine. An entry host that has not heard of the suspect yet may run one copy ([`Watch`]
+//! lets no second copy through before the first has ended). The fleet loses at most
+//! [`loss_limit`] engines per poison: one per entry host that had not heard of it, and the
+//! charged ones; that is three if the news is faster than the caller.
 //!
-//! Records are kept by fingerprint, and a fingerprint includes the
-//! organisation: nobody can get another organisation's request blamed by
-//! sending a copy of it.
+//! Records are kept by fingerprint, and a fingerprint includes the organisation: nobody can
+//! get another organisation's request blamed by sending a copy of it.
 //!
 //! ```
 //! use almondlock_base::{id::Organisation, time::Wall};
@@ -60,16 +58,16 @@
 };
 use almondlock_state::config::Quarantine;
 
-/// When a request is refused, and for how long.
+/// Number of deaths after which a request is refused, and how long records are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// Engines that died while it ran, from which on it is refused.
+    /// Number of engines that died while a request ran, from which on it is refused.
     pub max_deaths: u32,
-    /// How long a record outlasts its last death.
+    /// Time for which a record is kept after its last death.
     pub retention: Duration,
-    /// Fingerprints an entry host remembers as harmless.
+    /// Maximum number of fingerprints that an entry host remembers as harmless.
     pub max_harmless: usize,
-    /// For how long.
+    /// Time for which a fingerprint is remembered as harmless.
     pub trust_time: Duration,
 }
 
@@ -84,7 +82,7 @@
     }
 }
 
-/// Engines that one poison can cost, with this many entry hosts that may not
+/// Returns the number of engines that one poison can cost if this many entry hosts may not
 /// have heard of it when it reaches them.
 pub const fn loss_limit(config: &Config, unaware: u32) -> u32 {
     let known = config.max_deaths.saturating_sub(1);
@@ -99,7 +97,7 @@
 /// How a request is run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Treatment {
-    /// Nothing stands against it.
+    /// As any other request.
     Unrestricted,
     /// On an engine without another suspect.
     SingleSuspect,
@@ -107,19 +105,20 @@
     Exclusive,
     /// Not at all.
     Refuse {
-        /// When the record ends.
+        /// Time until the record ends.
         retry_after: Duration,
     },
 }
 
 impl Treatment {
-    /// Whether it is a suspect that may run, so that its run must be charged.
+    /// Returns whether it is a suspect that may run, so that its run must be charged.
     pub fn is_charged(self) -> bool {
         matches!(self, Treatment::SingleSuspect | Treatment::Exclusive)
     }
 }
 
-/// The record after one more death, or one more run that is charged in advance.
+/// Returns the record after one more death, or after one more run that is charged in
+/// advance.
 pub fn blame(
     config: &Config,
     record: Option<&Quarantine>,
@@ -136,14 +135,13 @@
     }
 }
 
-/// The record while a suspect runs: its death is entered before it starts.
-/// To be decided where the records are agreed on, so that two entry hosts can't
-/// both have the last run.
+/// Returns the record for the time in which a suspect runs, with the death entered before
+/// the run starts. Call this where the records are agreed on, so that two entry hosts can't
+/// both start the last run.
 ///
 /// # Errors
 ///
-/// Refused when another death would be one too many; the error says when the
-/// record ends.
+/// Refused if the request may not run again. The error is the time until the record ends.
 pub fn charge(
     config: &Config,
     record: Option<&Quarantine>,
@@ -158,7 +156,7 @@
     }
 }
 
-/// How a request with this record is to be run.
+/// Returns how a request with this record is to be run.
 pub fn treat(record: Option<&Quarantine>, now: Wall) -> Treatment {
     match record.filter(|record| now < record.until) {
         None => Treatment::Unrestricted,
@@ -174,20 +172,20 @@
 /// How a run under [`Watch`] starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Run it as the treatment says. When that is charged, have the charge
-    /// committed first.
+    /// Run it as the treatment says. If that is charged, have the charge committed first.
     Run(Treatment),
-    /// A copy of it runs through this host and none has finished yet. It waits
-    /// for that one, at most until its own deadline; if that copy does well, it
-    /// also finds its prompt cached.
+    /// A copy of it runs through this host and none has finished yet. It waits for that
+    /// copy, at most until its own deadline. If that copy finishes well, this one also
+    /// finds its prompt cached.
     Wait,
 }
 
+/// The copies of one request that this host knows of.
 #[derive(Clone, Copy, Debug, Default)]
 struct Copies {
     running: u32,
-    /// Deaths seen by this host itself, which the replicated records may not
-    /// show yet.
+    /// Deaths that this host has seen itself, which the replicated records may not show
+    /// yet.
     deaths: u32,
 }
 
@@ -195,15 +193,15 @@
 #[derive(Debug)]
 pub struct Watch {
     config: Config,
-    // Invariant: has an entry while a copy runs or a death is not yet in the
-    // records, so it is bounded by the requests in flight and recent deaths.
+    // Invariant: has an entry while a copy runs or a death is not yet in the records, so it
+    // is bounded by the requests in flight and the recent deaths.
     copies: HashMap<Fingerprint, Copies>,
     harmless: HashMap<Fingerprint, Mono>,
     trust_order: VecDeque<Fingerprint>,
 }
 
 impl Watch {
-    /// A watch that knows nothing.
+    /// Returns a watch that knows nothing.
     pub fn new(config: Config) -> Watch {
         Watch {
             config,
@@ -213,7 +211,7 @@
         }
     }
 
-    /// Asks to start a run. `record` is what the replicated records say.
+    /// Asks to start a run. `record` is the request's replicated record.
     ///
     /// After [`Start::Run`] the run must be ended with [`Watch::end`].
     pub fn begin(
@@ -236,8 +234,8 @@
         Start::Run(treatment)
     }
 
-    /// Ends a run. `Some(true)` says that it finished well, `Some(false)` that
-    /// its engine died, `None` that it ended without saying anything.
+    /// Ends a run. `Some(true)` says that it finished well, `Some(false)` that its engine
+    /// died, and `None` that its end says nothing about the request.
     pub fn end(&mut self, print: Fingerprint, harmless: Option<bool>, now: Mono) {
         let Some(copies) = self.copies.get_mut(&print) else {
             return;
@@ -265,7 +263,8 @@
         self.forget_idle(print);
     }
 
-    /// What the records say, and at least what this host has seen itself.
+    /// Returns the treatment by the record, or by the deaths that this host has seen if
+    /// there are more.
     fn treatment(&self, known: Copies, record: Option<&Quarantine>, wall: Wall) -> Treatment {
         let recorded = record.filter(|record| wall < record.until);
         let deaths = recorded.map_or(0, |record| record.deaths);
--- a/almondlock-policy/src/poison/tally.rs
+++ b/almondlock-policy/src/poison/tally.rs
@@ -1,44 +1,46 @@
-//! Deaths counted by relays, where entry hosts call upstreams without a sidecar.
+//! Deaths counted by relays, for entry hosts that call upstreams without a sidecar.
 //!
-//! A host of that path sees only that a connection broke while a request ran. It tells
-//! every relay, and each relay counts by itself: nothing is agreed on, and a relay that
-//! starts again begins anew. From [`REFUSAL_DEATHS`] on the relays tell all hosts to refuse the
-//! request.
+//! Such a host sees only that a connection broke while a request ran. It tells every relay,
+//! and each relay counts by itself: relays don't agree on anything, and a relay that
+//! restarts begins with no deaths. From [`REFUSAL_DEATHS`] on, the relays tell all hosts to
+//! refuse the request.
 //!
 //! | what hosts tell | what counts |
 //! |---|---|
 //! | a loss on an upstream's life | a death, once for each life |
 //! | a loss of a copy that was sent before the last death was known | nothing: one fault, such as the loss of a failure domain, ends many copies of a usual request at the same moment |
-//! | a loss of a copy that was sent to a life after that one was lost | nothing: it was dead already, unless it has lost nothing for a while |
-//! | a copy was answered | the deaths are forgotten, unless it is refused already |
+//! | a loss of a copy that was sent to a life after that life was lost | nothing: the life was dead already, unless it has lost nothing for a while |
+//! | a copy was answered | the deaths are forgotten, unless the request is refused already |
 //!
-//! A request is refused for [`REFUSAL_TIME`] after its last death and then tried once: one more
-//! death refuses it again.
+//! A request is refused for [`REFUSAL_TIME`] after its last death and may then be tried
+//! once: one more death refuses it again.
 
 use std::{collections::HashMap, hash::Hash, time::Duration};
 
 use almondlock_base::{id::Fingerprint, time::Mono};
 
-/// Deaths from which a request is refused.
+/// Number of deaths from which on a request is refused.
 pub const REFUSAL_DEATHS: usize = 3;
-/// Deaths from which hosts tell when a copy is answered.
+/// Number of deaths from which on hosts tell when a copy is answered.
 pub const WATCH_DEATHS: usize = 2;
-/// How long a request is refused after its last death.
+/// Time for which a request is refused after its last death.
 pub const REFUSAL_TIME: Duration = Duration::from_secs(600);
-/// How long deaths count that don't refuse it.
+/// Time for which deaths count that are too few to refuse the request.
 const SUSPICION_TIME: Duration = Duration::from_secs(60);
-/// Requests that are kept; the oldest go first.
+/// Maximum number of requests that are remembered; the oldest are forgotten first.
 pub const MAX_SUSPECTS: usize = 4_096;
-/// A life that was lost counts as dead until it has lost nothing for so long: longer than
-/// hosts pass over an upstream that failed before they try it again.
+/// Time without a loss after which a lost life no longer counts as dead. It is longer than
+/// the time for which hosts pass over a failed upstream before they try it again.
 const LOSS_MEMORY: Duration = Duration::from_secs(3);
-/// How much later than it happened a death may be known.
+/// Time by which a death may be known later than it happened.
 const DETECTION_DELAY: Duration = Duration::from_millis(20);
 
+/// A request that upstreams were lost with.
 #[derive(Clone, Debug)]
 struct Suspect<L> {
-    /// Invariant: at most [`REFUSAL_DEATHS`], none twice.
+    /// The lives that died. Invariant: at most [`REFUSAL_DEATHS`], none twice.
     deaths: Vec<L>,
+    /// Time of the last death.
     last: Mono,
 }
 
@@ -47,31 +49,32 @@
         self.deaths.len() >= REFUSAL_DEATHS && now.since(self.last) < REFUSAL_TIME
     }
 
+    /// Returns the time for which the request is remembered after its last death.
     fn retention(&self) -> Duration {
         match self.deaths.len() < REFUSAL_DEATHS {
             true => SUSPICION_TIME,
-            // Once it may run again its deaths count as long as before.
+            // Once the request may run again, its deaths count as long as they did before.
             false => REFUSAL_TIME * 2,
         }
     }
 }
 
-/// How a request stands.
+/// Whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Nothing stands against it.
+    /// No restriction.
     Clear,
-    /// It may run, and an answer to it is news.
+    /// It may run, and hosts tell the relays when it is answered.
     Watched,
-    /// It is refused for so long.
+    /// It is refused for this time.
     Refused(Duration),
 }
 
-/// The requests that upstreams died of, and of which of their lives.
+/// The requests that upstreams were lost with, and the lives that were lost.
 #[derive(Clone, Debug)]
 pub struct Tally<L> {
     suspects: HashMap<Fingerprint, Suspect<L>>,
-    /// Lives that count as dead: when each was first lost, and last.
+    /// Lives that count as dead: the times of the first and the last loss on each.
     lost_lives: HashMap<L, (Mono, Mono)>,
 }
 
@@ -88,8 +91,8 @@
 where
     L: Clone + Eq + Hash,
 {
-    /// A copy that was sent at `sent` was lost on a life of an upstream. Whether that has
-    /// changed what hosts have to know.
+    /// Records that a copy, sent at `sent`, was lost on a life of an upstream. Returns
+    /// whether this changed what hosts have to know.
     pub fn record_loss(&mut self, now: Mono, print: Fingerprint, life: L, sent: Mono) -> bool {
         self.forget_expired(now);
         let (died, last) = self.lost_lives.entry(life.clone()).or_insert((now, now));
@@ -115,7 +118,8 @@
         suspect.deaths.len() >= WATCH_DEATHS
     }
 
-    /// A copy was answered. Whether that has changed what hosts have to know.
+    /// Records that a copy was answered. Returns whether this changed what hosts have to
+    /// know.
     pub fn record_answer(&mut self, now: Mono, print: &Fingerprint) -> bool {
         let known = self.suspects.get(print);
         if known.is_none_or(|suspect| suspect.is_refused(now)) {
@@ -125,7 +129,7 @@
         true
     }
 
-    /// How a request stands.
+    /// Returns whether a request may run.
     pub fn status(&self, now: Mono, print: &Fingerprint) -> Status {
         match self.suspects.get(print) {
             Some(suspect) if suspect.is_refused(now) => {
@@ -136,7 +140,7 @@
         }
     }
 
-    /// All requests that hosts have to know of.
+    /// Returns all requests that hosts have to know of.
     pub fn watched(&self) -> Vec<Fingerprint> {
         let known = self.suspects.iter();
         let known = known.filter(|(_, suspect)| suspect.deaths.len() >= WATCH_DEATHS);
@@ -150,7 +154,7 @@
             .retain(|_, (_, last)| now.since(*last) < LOSS_MEMORY);
     }
 
-    /// The oldest goes, one that isn't refused if there is one.
+    /// Forgets the oldest request, if possible one that isn't refused.
     fn make_room(&mut self) {
         if self.suspects.len() < MAX_SUSPECTS {
             return;
