--- a/almondlock-policy/src/prefix.rs
+++ b/almondlock-policy/src/prefix.rs
@@ -1,11 +1,12 @@
-//! Hashes of a prompt's leading parts.
+//! Hashes of a prompt's leading parts, its prefixes.
 //!
-//! Two prompts that begin alike share their first hashes, and an upstream that
-//! processed one has the shared part cached. The number of hashes is bounded:
-//! equal blocks would need two thousand of them for a million tokens, or would
-//! tell nothing of what comes after the first few. So the parts grow by
-//! about a quarter each: 32 hashes reach from 512 to over a million tokens, and
-//! a shared start is recognised to within a quarter of its length.
+//! Two prompts with a common prefix share their first hashes, and an upstream
+//! that processed one of them is likely to have the common prefix cached. The
+//! number of hashes per prompt is bounded. Blocks of equal size would need two
+//! thousand hashes for a million tokens, or would cover only the beginning of a
+//! long prompt. Therefore each prefix is about a quarter longer than the one
+//! before: 32 hashes range from 512 to over a million tokens, and the length of
+//! a common prefix is found to within a quarter.
 //!
 //! ```
 //! use almondlock_policy::prefix;
@@ -20,36 +21,36 @@
 
 use almondlock_base::unit::Tokens;
 
-/// Most hashes of one prompt.
+/// Largest number of hashes for one prompt.
 pub const MAX_HASHES: usize = 32;
-/// Bytes of the first part.
-const FIRST: u64 = 2_048;
-/// Bytes taken for one token. Only scales the sizes given by [`covered_tokens`]; the
-/// parts themselves are cut by bytes, the same for every model.
-const BYTES: u64 = 4;
+/// Length of the shortest prefix, in bytes.
+const FIRST_PART_BYTES: u64 = 2_048;
+/// Number of bytes per token that [`covered_tokens`] assumes. The prefixes themselves are
+/// defined in bytes, and are the same for every model.
+const BYTES_PER_TOKEN: u64 = 4;
 
-/// Where each part ends, in bytes.
-const ENDS: [u64; MAX_HASHES] = ends();
+/// Length of each prefix, in bytes.
+const PART_ENDS: [u64; MAX_HASHES] = part_ends();
 
-const fn ends() -> [u64; MAX_HASHES] {
-    let mut ends = [FIRST; MAX_HASHES];
+const fn part_ends() -> [u64; MAX_HASHES] {
+    let mut ends = [FIRST_PART_BYTES; MAX_HASHES];
     let mut i = 1;
     while i < MAX_HASHES {
         let grown = ends[i - 1] * 5 / 4;
-        let next = ends[i - 1] + FIRST;
+        let next = ends[i - 1] + FIRST_PART_BYTES;
         ends[i] = if grown > next { grown } else { next };
         i += 1;
     }
     ends
 }
 
-/// The hashes of a prompt's leading parts, shortest part first. A prompt
-/// shorter than the first part has none: it is not worth routing by.
+/// Returns the hashes of a prompt's prefixes, shortest first. A prompt that is shorter than the
+/// first prefix has none, since caching it would save too little.
 pub fn hashes(prompt: &[u8]) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
     let mut hashes = Vec::new();
     let mut done = 0;
-    for end in ENDS {
+    for end in PART_ENDS {
         let Some(part) = usize::try_from(end)
             .ok()
             .and_then(|end| prompt.get(done..end))
@@ -65,7 +66,7 @@
     hashes
 }
 
-/// About how many tokens the first `count` hashes cover.
+/// Returns the approximate number of tokens that the first `count` hashes cover.
 pub const fn covered_tokens(count: usize) -> Tokens {
     if count == 0 {
         return Tokens::ZERO;
@@ -75,5 +76,5 @@
     } else {
         MAX_HASHES - 1
     };
-    Tokens(ENDS[last] / BYTES)
+    Tokens(PART_ENDS[last] / BYTES_PER_TOKEN)
 }
