--- a/almondlock-policy/src/admission.rs
+++ b/almondlock-policy/src/admission.rs
@@ -87,14 +87,14 @@
     check_with_share(speed, candidate, Standing::Within, Duration::ZERO)
 }
 
-/// Decides on a prompt as [`check`] does, with the standing of its organisation. `alone` is
+/// Decides on a prompt as [`check`] does, with the standing of its organisation. `idle_delay` is
 /// the time from now until the prompt's first event would be expected if its engines had no
 /// other work.
 pub fn check_with_share(
     speed: &Speed,
     candidate: &Candidate,
     standing: Standing,
-    alone: Duration,
+    idle_delay: Duration,
 ) -> Option<Duration> {
     if speed.reading_time(candidate.prompt) <= EXEMPT_READ_TIME {
         return None;
@@ -102,7 +102,7 @@
     let late = candidate.elapsed + candidate.expected_delay;
     let bound = candidate.objective.mul_f64(BUSY_LIMIT_RATIO);
     let busy_bound = bound.mul_f64(relative_yield(speed, candidate));
-    let busy_bound = tighten_bound(busy_bound, standing, candidate.elapsed + alone);
+    let busy_bound = tighten_bound(busy_bound, standing, candidate.elapsed + idle_delay);
     let idle = candidate.objective.mul_f64(IDLE_BACKLOG_RATIO);
     let is_idle = candidate.backlog <= idle;
     let idle_bound = candidate
@@ -113,12 +113,12 @@
 }
 
 /// Returns the bound for a prompt while the engines are busy, lowered if its organisation
-/// is over its share, but not below `alone`, the time at which it is expected on idle
+/// is over its share, but not below `idle_delay`, the time at which it is expected on idle
 /// engines.
-fn tighten_bound(bound: Duration, standing: Standing, alone: Duration) -> Duration {
+fn tighten_bound(bound: Duration, standing: Standing, idle_delay: Duration) -> Duration {
     match standing {
         Standing::Within => bound,
-        Standing::Over { by } => bound.min(bound.div_f64(1.0 + by.max(0.0)).max(alone)),
+        Standing::Over { by } => bound.min(bound.div_f64(1.0 + by.max(0.0)).max(idle_delay)),
     }
 }
 
--- a/almondlock-policy/src/lib.rs
+++ b/almondlock-policy/src/lib.rs
@@ -1,38 +1,37 @@
-//! Decisions about requests, and nothing else.
+//! The decisions that are made about requests, as plain functions and state machines.
 //!
-//! Every module here answers one question that comes up between a caller's
-//! request and its answer: may it be admitted, where does it go, when does it
-//! start, may it be sent again, what memory does it hold. None of them does
-//! I/O, reads a clock or draws from a hidden random source. The present time is
-//! an argument, so is a seeded generator where one is needed, and so each
-//! decision is a plain function that a test can put into any situation.
+//! Each module answers one question that arises between a caller's request and its answer:
+//! may it be admitted, where is it sent, when does it start, may it be sent again, what
+//! memory does it hold. No module does I/O, reads a clock or uses a hidden source of
+//! randomness: the present time is an argument, and so is a seeded generator where one is
+//! needed. So a test can put each decision into any situation.
 //!
 //! | module | process | question |
 //! |---|---|---|
-//! | [`length`] | entry | how long is the prompt, which class is it in |
+//! | [`length`] | entry | how long is the prompt, and in which class is it |
 //! | [`prefix`] | entry | which prompts begin alike |
-//! | [`deadline`] | entry | how long may it take, and will that do |
-//! | [`engine`] | both | what does work on an engine cost |
+//! | [`deadline`] | entry | how much time has the request, and is that enough |
+//! | [`engine`] | both | how much engine time does a prompt cost |
 //! | [`admission`] | entry | is a long prompt worth the engines' time now |
-//! | [`startup`] | entry | does a prompt wait in the first moments of a host |
-//! | [`cell`] | entry | which engines come first for this host |
-//! | [`fill`] | entry | which of several engines, on knowledge that is old |
+//! | [`startup`] | entry | does a prompt wait just after the start of a host |
+//! | [`cell`] | entry | which engines does this host prefer |
+//! | [`fill`] | entry | which of several engines takes a prompt, given outdated reports |
 //! | [`slots`] | entry | which short prompts get an engine's slots when these are scarce |
-//! | [`limit`] | entry | does the organisation have room for it |
-//! | [`choice`] | entry | which upstream |
+//! | [`limit`] | entry | is the request within its organisation's limit |
+//! | [`choice`] | entry | which upstream takes the request |
 //! | [`retry`] | entry | is a failed attempt followed by another |
-//! | [`poison`] | both | does it kill engines, and how does it run then |
-//! | [`share`] | entry | has the organisation more than its share while others wait |
-//! | [`throttle`] | both | does an upstream's limit for all hosts leave room for it |
-//! | [`backoff`] | entry | has an upstream asked for a pause, or does it leave |
+//! | [`poison`] | both | does the request kill engines, and how does it run then |
+//! | [`share`] | entry | does the organisation use more than its share while others wait |
+//! | [`throttle`] | both | does an upstream's limit for all hosts leave room for the request |
+//! | [`backoff`] | entry | has the upstream asked for a pause, or is it leaving |
 //! | [`outlier`] | entry | which upstreams are slower than others, or fail |
 //! | [`gate`] | sidecar | may this attempt start here, and did it |
 //! | [`queue`] | sidecar | which attempt starts next |
-//! | [`gang`] | both | how is a prompt larger than an engine given room on several |
+//! | [`gang`] | both | which engines hold a prompt that is larger than one engine |
 //! | [`ledger`] | sidecar | what is engine memory held for, and until when |
 //!
-//! Each module stands alone, but that [`admission`] reckons in the costs of
-//! [`engine`], and that it and [`slots`] read the standings of [`share`].
+//! The modules don't depend on each other, with two exceptions: [`admission`] uses the
+//! costs of [`engine`], and [`admission`] and [`slots`] use the standings of [`share`].
 
 #![warn(clippy::unwrap_used, clippy::expect_used)]
 
--- a/almondlock-policy/tests/ageing_long.rs
+++ b/almondlock-policy/tests/ageing_long.rs
@@ -1,7 +1,6 @@
-//! A long prompt waits while short prompts keep coming, as many as the engine
-//! can take. Each freed piece of memory would go to a short one, and the
-//! contract's caller would wait until the deadline. It must start within its
-//! stretched time, and the short ones must go on meanwhile.
+//! Guards against a long prompt that never starts because short prompts keep coming, as
+//! many as the engine can take, and each freed piece of memory goes to one of them. The
+//! long prompt must start about when it is due, and short ones must go on meanwhile.
 
 #![cfg(test)]
 
@@ -28,13 +27,14 @@
     }
 }
 
+/// What was observed in a run.
 struct Seen {
     long_start: Option<u64>,
     shorts_after_due: u32,
 }
 
-/// Every step four short jobs arrive, each holding its memory for 20 steps, so
-/// that together they would take all of it.
+/// In every step four short jobs arrive, each of which holds its memory for 20 steps, so
+/// that together they would take all memory.
 fn run(config: Config, due: u64) -> Seen {
     let mut queue = Queue::new(config);
     let mut room = Room::idle(CAPACITY, 64);
@@ -61,7 +61,7 @@
             queue.push(LONG, job("long", 100_000), &room, now).unwrap();
         }
         while let Some(grant) = queue.grant(now, &room) {
-            // At the assumed speed, so that the estimate stays what it is.
+            // At the assumed speed, so that the estimated speed does not change.
             queue.end_prefill(&grant.id, now + PREFILL);
             let need = Tokens(if grant.id == LONG { 101_000 } else { 4_000 });
             room.free_memory = room.free_memory.saturating_sub(need);
@@ -81,12 +81,12 @@
     short = { Config::short(), 4 },
     even = { Config::even(), 1 },
 )]
-fn starts_in_time(config: Config, stretch: u64) {
+fn overdue_long_starts(config: Config, stretch: u64) {
     let config = Config {
         initial_speed: 20_000.0,
         ..config
     };
-    // 100,000 tokens take 5 s, and memory comes free within 20 steps.
+    // 100,000 tokens take 5 s, and memory becomes free within 20 steps.
     let due = 50 * STEP + stretch * 5_020;
     let seen = run(config, due);
     let start = seen.long_start.expect("the long job starts");
@@ -108,13 +108,15 @@
     even = { Config::even(), 0, 4 },
     even_overdue = { Config::even(), 300_000, 2 },
 )]
-fn priority_on_the_engine(config: Config, wait: u64, expected: u8) {
+/// A job that is overdue gets a higher engine priority if the configuration says so, but
+/// never that of short jobs.
+fn overdue_priority(config: Config, wait: u64, expected: u8) {
     let room = Room::idle(CAPACITY, 64);
     let mut queue = Queue::new(config);
     queue
         .push(LONG, job("long", 100_000), &room, Mono::ZERO)
         .unwrap();
     let grant = queue.grant(Mono::from_millis(wait), &room).unwrap();
-    // The odd one of the two is for an organisation that has much running.
+    // The odd priority of each class is for an organisation that has much running.
     assert_eq!(grant.priority & !1, expected);
 }
--- a/almondlock-policy/tests/asked_backoff.rs
+++ b/almondlock-policy/tests/asked_backoff.rs
@@ -1,4 +1,5 @@
-//! What upstreams ask of a host holds until it has passed, whatever comes after it.
+//! Guards against requests to an upstream that asked for a pause or is leaving: what it
+//! asked for must hold until it is over, whatever comes later.
 
 use std::time::Duration;
 
@@ -28,7 +29,7 @@
     assert_eq!(table.reason(at(3_000), &upstream()), None);
 }
 
-/// Guards against an upstream that leaves and is taken for one whose pause is over.
+/// Guards against a leaving upstream that counts as available once its pause is over.
 #[test]
 fn leaving_stays() {
     let mut table = Table::default();
@@ -42,9 +43,9 @@
     assert_eq!(table.reason(at(61_000), &upstream()), None);
 }
 
-/// Another life of an upstream has asked for nothing.
+/// A new life of an upstream has asked for nothing.
 #[test]
-fn life_anew() {
+fn new_life() {
     let mut table = Table::default();
     table.mark_leaving(&upstream());
     table.pause(&upstream(), at(1_000));
@@ -52,9 +53,9 @@
     assert_eq!(table.reason(START, &upstream()), None);
 }
 
-/// A pause outlasts the time in which its upstream isn't known.
+/// A pause is kept while its upstream isn't known.
 #[test]
-fn swept_late() {
+fn unknown_upstream_swept() {
     let mut table = Table::default();
     table.pause(&upstream(), at(1_000));
     table.sweep(at(500), |_| false);
@@ -73,6 +74,6 @@
     empty = { "", None },
     date = { "Thu, 03 Dec 2026 12:00:00 GMT", None },
 )]
-fn delays(text: &str, millis: Option<u64>) {
+fn retry_after_parsed(text: &str, millis: Option<u64>) {
     assert_eq!(parse_delay(text), millis.map(Duration::from_millis));
 }
--- a/almondlock-policy/tests/deadline_bounds.rs
+++ b/almondlock-policy/tests/deadline_bounds.rs
@@ -1,6 +1,7 @@
-//! A caller names the time it has. What can't be read or met is refused at
-//! once, with when to come back; a time of zero or of a year is an error and
-//! not something that the system makes up a value for.
+//! Guards against deadlines that can't be read or met and are found out only when they
+//! pass. Such a request must be refused at once, with the time after which its caller may
+//! come back. A time of zero or of a year must be an error, and must not be replaced by
+//! another value.
 
 #![cfg(test)]
 
@@ -29,7 +30,7 @@
     spaced = { Some(" 5"), Err(Code::BadDeadline) },
     overflow = { Some("99999999999999999999999"), Err(Code::BadDeadline) },
 )]
-fn header(text: Option<&str>, expected: Result<u64, Code>) {
+fn header_parsed(text: Option<&str>, expected: Result<u64, Code>) {
     assert_eq!(BOUNDS.parse(text), expected.map(Duration::from_millis));
 }
 
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn coming_back_after_the_wait_has_shrunk_succeeds() {
+fn retry_after_suffices() {
     let forecast = Forecast::default();
     let left = Duration::from_secs(20);
     // 10 s of prefill, 1 s of decode, 12 s of wait.
@@ -58,13 +59,13 @@
 }
 
 #[test]
-fn work_longer_than_the_deadline_is_not_asked_back() {
+fn work_too_long() {
     let refusal = Forecast::default().check(&work(800_000, 0), Duration::from_secs(20));
     assert_eq!(refusal.unwrap_err().retry_after, Duration::ZERO);
 }
 
 #[test]
-fn cached_start_makes_it_in_time() {
+fn cached_start_counted() {
     let cached = Work {
         cached: Tokens(790_000),
         ..work(800_000, 0)
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn speeds_are_learnt() {
+fn speeds_learned() {
     let mut forecast = Forecast::default();
     let before = forecast.estimate(&work(80_000, 0));
     for _ in 0..200 {
--- a/almondlock-policy/tests/engine_speed.rs
+++ b/almondlock-policy/tests/engine_speed.rs
@@ -1,7 +1,7 @@
-//! An engine processes several prompts at once, each at a part of its speed. A
-//! sidecar that took one prompt's pace for the engine's would believe it to be
-//! several times slower than it is, and refuse callers' long prompts as
-//! hopeless although there was time enough.
+//! Guards against a sidecar that takes the speed of one prompt for that of the engine. An
+//! engine processes several prompts at once, each at a part of its speed, so the sidecar
+//! would believe it to be several times slower than it is, and refuse long prompts for
+//! which there is enough time.
 
 #![cfg(test)]
 
@@ -26,9 +26,9 @@
     }
 }
 
-/// An engine of steps of 50 ms, side by side or shorter ones first when
-/// `ordered`. In each step up to `most` prompts of 800 tokens arrive; one in
-/// `long` has 150,000.
+/// Returns the speed learned from an engine with steps of 50 ms, which processes prompts
+/// side by side, or shorter ones first if `ordered`. In each step up to `most` prompts of
+/// 800 tokens arrive; one in `long` has 150,000.
 fn learn(ordered: bool, most: u64, long: u32) -> f64 {
     let mut rng = SmallRng::seed_from_u64(11);
     let mut queue = Queue::new(Config::short());
@@ -85,9 +85,9 @@
     with_long = { true, 1, 200 },
     with_long_side_by_side = { false, 1, 400 },
 )]
-fn speed_is_the_engines(ordered: bool, most: u64, long: u32) {
+fn engine_speed_learned(ordered: bool, most: u64, long: u32) {
     let speed = learn(ordered, most, long);
     let right = SPEED as f64;
-    // Steps that are not full look slow; what is in part done may look fast.
+    // Steps that are not full make it look slower, partly processed prompts faster.
     assert!((0.7 * right..1.25 * right).contains(&speed), "{speed}");
 }
--- a/almondlock-policy/tests/flood_fairness.rs
+++ b/almondlock-policy/tests/flood_fairness.rs
@@ -1,7 +1,7 @@
-//! One organisation floods an engine with short requests. Another one sends a
-//! single short prompt now and then. Its caller must see what it sees without the
-//! flood: it goes before the flood's backlog, and finds a batch slot although
-//! the flood would take them all. An organisation alone may use everything.
+//! Guards against an organisation that floods an engine with short requests and so delays
+//! those of another, which sends a single short request now and then. That request must
+//! start before the flood's backlog and find a batch slot, as if there were no flood. An
+//! organisation alone may use everything.
 
 #![cfg(test)]
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Starts and ends one job after the other; who was served, in order.
+/// Starts and ends one job after the other. Returns who was served, in order.
 fn serve(queue: &mut Queue<(&'static str, u32)>, count: usize, now: Mono) -> Vec<&'static str> {
     let room = Room::idle(CAPACITY, 16);
     let mut served = Vec::new();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn short_passes_the_flood() {
+fn flood_passed() {
     let room = Room::idle(CAPACITY, 16);
     let mut queue = Queue::new(Config::short());
     for i in 0..2_000 {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn short_finds_a_slot() {
+fn slot_left_free() {
     let mut room = Room::idle(CAPACITY, 16);
     let mut queue = Queue::new(Config::short());
     let now = Mono::ZERO;
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn shares_follow_weights_in_tokens() {
+fn weighted_token_shares() {
     let room = Room::idle(CAPACITY, 16);
     let mut queue = Queue::new(Config::short());
     let now = Mono::ZERO;
     for i in 0..1_500 {
-        // The heavier organisation's requests are half as long: shares count
-        // tokens, not requests.
+        // The heavier organisation's requests are half as long: shares count tokens, not
+        // requests.
         queue
             .push(("heavy", i), job("heavy", 3, 900), &room, now)
             .unwrap();
@@ -108,12 +108,12 @@
 }
 
 #[parameterized(new = { false }, known = { true })]
-fn unused_share_is_lent_and_comes_back(known: bool) {
+fn unused_share_returned(known: bool) {
     let room = Room::idle(CAPACITY, 16);
     let mut queue = Queue::new(Config::short());
     let now = Mono::ZERO;
     if known {
-        // A job of long ago that still runs: the queue remembers its owner.
+        // A job of long ago that still runs, so that the queue remembers its organisation.
         queue
             .push(("back", 9_999), job("back", 1, 2_000), &room, now)
             .unwrap();
@@ -133,14 +133,15 @@
     }
     let served = serve(&mut queue, 100, now);
     let back = served.iter().filter(|name| **name == "back").count();
-    // Half from its first job on: neither owed for the pause nor paid for it.
+    // Half from its first job on: the organisation neither owes for the pause nor profits
+    // from it.
     assert!((40..=60).contains(&back), "{back} of 100");
 }
 
-/// What the engine was given can't be passed in the queue any more. The short one is
-/// handed over at once all the same, with a priority before the flood's.
+/// What the engine was given can't be passed in the queue any more. The short job is handed
+/// over at once all the same, with a priority before the flood's.
 #[test]
-fn short_passes_the_flood_on_the_engine() {
+fn engine_priority_first() {
     let mut room = Room::idle(CAPACITY, 16);
     let mut queue = Queue::new(Config::short());
     let now = Mono::ZERO;
--- a/almondlock-policy/tests/gang_deadlock.rs
+++ b/almondlock-policy/tests/gang_deadlock.rs
@@ -1,8 +1,8 @@
-//! Several prompts, each larger than an engine, need three of five engines at
-//! once, while short and medium work goes on there. If each held what another
-//! one waits for, none would ever start; if freed memory went to smaller work,
-//! they would not either; and if they stopped all else, short prompts would
-//! wait for minutes. An engine dies meanwhile: the others' parts come back.
+//! Guards against gangs that wait for each other for ever. Several prompts, each larger
+//! than an engine, need three of five engines at once, while short and medium work goes on
+//! there. None would start if each held what another waits for, or if freed memory went to
+//! smaller work; and short prompts would wait for minutes if all other work were stopped.
+//! When an engine dies, the other members' parts must be given back.
 
 #![cfg(test)]
 
@@ -22,15 +22,15 @@
 use yare::parameterized;
 
 const CAPACITY: Tokens = Tokens(100_000);
-const PART: Tokens = Tokens(70_000);
+const PART_TOKENS: Tokens = Tokens(70_000);
 const MEMBERS: usize = 5;
 const GANGS: usize = 8;
 const STEPS: u64 = 2_000;
 
-/// One engine with its queue and its desk.
+/// One engine with its queue and its waitlist.
 struct Engine {
     queue: Queue<u64>,
-    desk: Waitlist<usize>,
+    waitlist: Waitlist<usize>,
     running: Vec<(u64, u64, Tokens)>,
     reserved: Vec<usize>,
     longest_short: Duration,
@@ -40,7 +40,7 @@
     fn new() -> Engine {
         Engine {
             queue: Queue::new(queue::Config::short()),
-            desk: Waitlist::new(Default::default()),
+            waitlist: Waitlist::new(Default::default()),
             running: Vec::new(),
             reserved: Vec::new(),
             longest_short: Duration::ZERO,
@@ -49,7 +49,7 @@
 
     fn room(&self) -> Room {
         let used: Tokens = self.running.iter().map(|(_, _, need)| *need).sum();
-        let reserved = Tokens(PART.0 * self.reserved.len() as u64);
+        let reserved = Tokens(PART_TOKENS.0 * self.reserved.len() as u64);
         assert!(used + reserved <= CAPACITY, "memory is given out twice");
         Room {
             free_memory: CAPACITY.saturating_sub(used + reserved),
@@ -72,7 +72,7 @@
         self.queue.push(id, job, &room, now).unwrap();
     }
 
-    /// Ends what is over, grants what has room; the gangs granted.
+    /// Ends what is over and grants what has room. Returns the gangs that were granted.
     fn step(&mut self, step: u64, now: Mono) -> Vec<usize> {
         let queue = &mut self.queue;
         self.running.retain(|(end, id, _)| {
@@ -84,11 +84,11 @@
         });
         let mut granted = Vec::new();
         let reserve = self.queue.reserve_left(&self.room());
-        while let Some(gang) = self.desk.grant(self.room().free_memory, reserve) {
+        while let Some(gang) = self.waitlist.grant(self.room().free_memory, reserve) {
             self.reserved.push(gang);
             granted.push(gang);
         }
-        self.queue.set_hold(self.desk.is_collecting(now));
+        self.queue.set_hold(self.waitlist.is_collecting(now));
         while let Some(grant) = self.queue.grant(now, &self.room()) {
             self.queue.end_prefill(&grant.id, now);
             let prompt = if grant.class == Class::Short {
@@ -106,7 +106,7 @@
     }
 
     fn release(&mut self, gang: usize) {
-        self.desk.remove(&gang);
+        self.waitlist.remove(&gang);
         self.reserved.retain(|other| *other != gang);
     }
 }
@@ -120,7 +120,7 @@
         .into_iter()
         .map(|i| Reservation {
             upstream: name(i),
-            tokens: PART,
+            tokens: PART_TOKENS,
         });
     Gang::new(parts.collect(), Mono::from_millis(STEPS * 1_000))
 }
@@ -131,7 +131,7 @@
     gangs: Vec<Gang>,
     ends: Vec<Option<u64>>,
     finished: Vec<bool>,
-    /// Requests to reserve under way: when they arrive, gang and part.
+    /// Requests to reserve under way: arrival step, gang and reservation.
     messages: Vec<(u64, usize, usize)>,
 }
 
@@ -182,7 +182,7 @@
             }
             Step::Wait | Step::Done => {}
         }
-        // Lost a member: again, with other members.
+        // The gang has lost a member: it starts again with other members.
         if self.gangs[id].failure().is_some() && self.gangs[id].step(now) == Step::Done {
             self.gangs[id] = gang(&mut self.rng);
             self.ends[id] = None;
@@ -198,8 +198,8 @@
             let most = Tokens(85_000);
             let deadline = Mono::from_millis(STEPS * 1_000);
             let asked = self.engines[member]
-                .desk
-                .push(id, PART, most, deadline, now);
+                .waitlist
+                .push(id, PART_TOKENS, most, deadline, now);
             asked.unwrap();
         }
     }
@@ -253,12 +253,12 @@
     death = { Some(60) },
     late_death = { Some(110) },
 )]
-fn all_finish_and_short_ones_go_on(death: Option<u64>) {
+fn all_gangs_finish(death: Option<u64>) {
     for seed in 0..100 {
         let mut fleet = Fleet::new(seed);
         let last = fleet.run(death);
-        // Eight gangs, hardly ever two at a time, of 15 steps each, and for each
-        // the time until running work has ended.
+        // Eight gangs of 15 steps each, which hardly ever overlap, and for each the time
+        // until the running work has ended.
         assert!(last < 800, "seed {seed}: {last} steps");
         for engine in &fleet.engines {
             let longest = engine.longest_short;
--- a/almondlock-policy/tests/late_copy.rs
+++ b/almondlock-policy/tests/late_copy.rs
@@ -1,8 +1,7 @@
-//! An entry host sends an attempt, hears nothing and asks the sidecar to settle
-//! it. The caller is told "not run" and the request goes elsewhere. Then the
-//! first copy arrives after all, held up in a buffer. If it started, a request
-//! that may not be repeated would run twice; the gate must drop it, however
-//! late it comes.
+//! Guards against a request that runs twice although it may not be repeated. An entry host
+//! sends an attempt, gets no answer and asks the sidecar to settle it. The caller is told
+//! "not run" and the request goes elsewhere. Then the first copy, held up in a buffer,
+//! arrives after all. The gate must refuse it, however late it comes.
 
 #![cfg(test)]
 
@@ -31,7 +30,7 @@
 }
 
 #[test]
-fn copy_after_settle_is_dropped() {
+fn settled_copy_refused() {
     let mut gate = Gate::new(Config::default(), LIFE);
     let settled = gate.settle(&attempt(1), LIFE, at(1));
     assert_eq!(
@@ -52,7 +51,7 @@
 }
 
 #[test]
-fn queued_is_withdrawn_and_running_is_cancelled() {
+fn settle_actions() {
     let mut gate = Gate::new(Config::default(), LIFE);
     gate.admit(&attempt(1), LIFE, at(30), at(1)).unwrap();
     gate.admit(&attempt(2), LIFE, at(30), at(1)).unwrap();
@@ -77,7 +76,7 @@
 }
 
 #[test]
-fn copy_after_the_tombstone_is_forgotten() {
+fn copy_below_floor() {
     let config = Config {
         retention: Duration::from_secs(10),
         ..Config::default()
@@ -88,12 +87,12 @@
     assert!(gate.is_empty());
     let late = gate.admit(&attempt(5), LIFE, at(1_030), at(1_000));
     assert_eq!(late.map_err(|refusal| refusal.code), Err(Code::OutcomeLost));
-    // Newer attempts of the same life are not hindered.
+    // Newer attempts of the same life are not affected.
     assert_eq!(gate.admit(&attempt(6), LIFE, at(1_030), at(1_000)), Ok(()));
 }
 
 #[test]
-fn settling_what_ran_and_was_forgotten_is_unknown() {
+fn forgotten_run_unknown() {
     let config = Config {
         retention: Duration::from_secs(10),
         ..Config::default()
@@ -108,7 +107,7 @@
 }
 
 #[test]
-fn records_are_bounded() {
+fn records_bounded() {
     let config = Config {
         max_records: 100,
         ..Config::default()
@@ -127,10 +126,10 @@
     denied: bool,
 }
 
-/// Copies, settles, starts and sweeps in any order, with room for few records:
-/// an attempt starts at most once, and never when somebody was told "no".
+/// Copies, settles, starts and sweeps come in any order, with room for few records: an
+/// attempt must start at most once, and never after a caller was told "not run".
 #[test]
-fn no_schedule_breaks_the_promise() {
+fn never_runs_twice() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let config = Config {
--- a/almondlock-policy/tests/leaving_gate.rs
+++ b/almondlock-policy/tests/leaving_gate.rs
@@ -1,7 +1,8 @@
-//! An operator drains an upstream. An entry host that is cut off from control
-//! goes on sending there. The sidecar refuses what comes and gives back what
-//! waits, all provably not run, so that also a payment can go elsewhere; what
-//! runs is left to end.
+//! Guards against work that a leaving upstream keeps or starts. An operator drains an
+//! upstream, and an entry host that is cut off from the control plane goes on sending
+//! there. The sidecar must refuse what comes and give back what waits, provably not run, so
+//! that also a request that may not be repeated can go elsewhere. Running work is left to
+//! end.
 
 #![cfg(test)]
 
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn waiting_work_is_given_back_and_running_work_stays() {
+fn queued_given_back() {
     let now = Mono::from_millis(5);
     let deadline = Mono::from_millis(60_000);
     let mut gate = Gate::new(Config::default(), LIFE);
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn refusal_while_leaving_holds_after_the_return() {
+fn refusal_stays_final() {
     let now = Mono::from_millis(5);
     let deadline = Mono::from_millis(60_000);
     let mut gate = Gate::new(Config::default(), LIFE);
--- a/almondlock-policy/tests/lent_share.rs
+++ b/almondlock-policy/tests/lent_share.rs
@@ -1,8 +1,8 @@
-//! Callers of one organisation come through one entry host only, by chance of
-//! the balancer. They must get nearly the whole limit there; when they move to
-//! another host, it gets it within seconds; and never, with hosts cut off, the
-//! lender restarted and answers lost, do all hosts together let more through
-//! than the limit.
+//! Guards against a divided limit that is too small for one host or is exceeded by all
+//! together. Callers of one organisation may all come through one entry host; they must get
+//! nearly the whole limit there, and within seconds at another host when they move. All
+//! hosts together must never let more through than the limit, also with hosts cut off, the
+//! lender restarted and answers lost.
 
 #![cfg(test)]
 
@@ -23,7 +23,7 @@
     tokens: Tokens(120_000),
 };
 
-/// No request lasts longer.
+/// Longest time that a request runs.
 const LINGER: Duration = Duration::from_secs(5);
 
 fn bank() -> Organisation {
@@ -54,17 +54,18 @@
     lender
 }
 
-/// Asks the lender; the answer may still be lost.
-fn say(limiter: &mut Limiter, i: usize, lender: &mut Lender, now: Mono) -> Allotment {
+/// Asks the lender. The caller may drop the answer, as if it were lost.
+fn request_allotment(limiter: &mut Limiter, i: usize, lender: &mut Lender, now: Mono) -> Allotment {
     let used = limiter.tokens_over_floor(&bank());
     let mut demand = limiter.take_demand(&bank());
     demand.tokens += used;
     lender.allot(&host(i), &bank(), demand, used, now)
 }
 
-/// Asks for what was turned away and for what is used over the floor.
-fn ask(limiter: &mut Limiter, i: usize, lender: &mut Lender, now: Mono) {
-    let part = say(limiter, i, lender, now);
+/// Asks the lender for what was refused and for what is used over the floor, and takes the
+/// lease.
+fn renew_lease(limiter: &mut Limiter, i: usize, lender: &mut Lender, now: Mono) {
+    let part = request_allotment(limiter, i, lender, now);
     let lease = Lease {
         rate_thousandths: part.rate_thousandths,
         tokens: part.tokens,
@@ -85,12 +86,12 @@
         for _ in 0..200 {
             permits.extend(limiters[busy].admit(&bank(), Tokens(1_000), now));
         }
-        // The second half's host has it all within 4 seconds.
+        // The host of the second half has all of it within 4 seconds.
         if !(50..70).contains(&step) {
             most[busy] = permits.len();
         }
         for (i, limiter) in limiters.iter_mut().enumerate() {
-            ask(limiter, i, &mut lender, now);
+            renew_lease(limiter, i, &mut lender, now);
         }
     }
     // Its floor of 20,000, and the 60,000 that are lent.
@@ -113,9 +114,9 @@
             match rng.random_range(0..20) {
                 0 if rng.random_bool(0.02) => lender = self::lender(now),
                 // Every second answer of the lender is lost.
-                1..=4 if rng.random_bool(0.5) => ask(&mut limiters[i], i, &mut lender, now),
+                1..=4 if rng.random_bool(0.5) => renew_lease(&mut limiters[i], i, &mut lender, now),
                 1..=4 => {
-                    say(&mut limiters[i], i, &mut lender, now);
+                    request_allotment(&mut limiters[i], i, &mut lender, now);
                 }
                 5..=7 if !permits.is_empty() => {
                     let at = rng.random_range(0..permits.len());
@@ -131,13 +132,13 @@
             assert!(in_flight <= LIMIT.tokens, "seed {seed}: {in_flight}");
             most = most.max(in_flight);
         }
-        // The floors alone are half of it.
+        // The floors alone are half of the limit.
         assert!(most > Tokens(90_000), "seed {seed}: {most}");
     }
 }
 
 #[test]
-fn parts_follow_demand_and_never_exceed_the_spare() {
+fn allotments_follow_demand() {
     for seed in 0..100 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut lender = lender(Mono::ZERO);
@@ -160,11 +161,11 @@
     }
 }
 
-/// A host's requests outlast the lease they came under. They are still there,
-/// so what they hold is not lent to another host, whether the first one says so
-/// or is cut off, and whether the lender remembers or has restarted.
+/// A host's requests outlast the lease under which they were admitted. The tokens that they
+/// hold must not be lent to another host, whether the first host reports them or is cut
+/// off, and whether the lender remembers them or has restarted.
 #[test]
-fn what_is_in_flight_is_not_lent_again() {
+fn in_flight_not_relent() {
     let want = |tokens| Demand {
         requests: 0,
         tokens: Tokens(tokens),
@@ -173,19 +174,19 @@
     let mut lender = lender(Mono::ZERO);
     let first = lender.allot(&host(0), &bank(), want(60_000), Tokens::ZERO, start);
     assert_eq!(first.tokens, Tokens(60_000));
-    // It is heard of.
+    // The first host reports what it uses.
     let later = start + Duration::from_secs(3);
     lender.allot(&host(0), &bank(), want(0), Tokens(55_000), later);
     let second = lender.allot(&host(1), &bank(), want(60_000), Tokens::ZERO, later);
     assert_eq!(second.tokens, Tokens(5_000));
-    // It is cut off.
+    // The first host is cut off.
     let cut = later + Duration::from_secs(6);
     let second = lender.allot(&host(1), &bank(), want(60_000), Tokens::ZERO, cut);
     assert_eq!(second.tokens, Tokens(5_000));
     let over = later + Duration::from_secs(7);
     let second = lender.allot(&host(1), &bank(), want(60_000), Tokens::ZERO, over);
     assert_eq!(second.tokens, Tokens(60_000));
-    // The next lender knows of nothing.
+    // The next lender knows of no leases.
     let mut lender = self::lender(over);
     let early = over + Duration::from_millis(6_999);
     let third = lender.allot(&host(2), &bank(), want(60_000), Tokens::ZERO, early);
--- a/almondlock-policy/tests/lost_upstreams.rs
+++ b/almondlock-policy/tests/lost_upstreams.rs
@@ -1,4 +1,5 @@
-//! Requests that upstreams are lost with, counted over hosts that see one loss each.
+//! Guards against wrong verdicts on requests that upstreams are lost with, where the losses
+//! are counted over hosts that see one each.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 use almondlock_policy::poison::tally::{MAX_SUSPECTS, REFUSAL_DEATHS, REFUSAL_TIME, Status, Tally};
 
 const START: Mono = Mono::from_millis(100_000);
-/// Between two copies that a caller sends.
+/// Time between two copies that a caller sends.
 const PAUSE: Duration = Duration::from_millis(200);
 
 fn print(body: &str) -> Fingerprint {
@@ -20,7 +21,8 @@
     )
 }
 
-/// Loses copies one after the other, each on another upstream. Gives the time after that.
+/// Loses copies one after the other, each on another upstream. Returns the time after the
+/// last.
 fn lose(
     tally: &mut Tally<u32>,
     print: Fingerprint,
@@ -53,7 +55,7 @@
 /// Guards against usual requests that are refused because a failure domain was lost while
 /// many copies of each ran there.
 #[test]
-fn lost_together() {
+fn domain_lost_together() {
     let mut tally = Tally::default();
     for life in 0..20 {
         tally.record_loss(START + PAUSE, print("a"), life, START);
@@ -61,9 +63,9 @@
     assert_eq!(tally.status(START + PAUSE, &print("a")), Status::Clear);
 }
 
-/// A life that is told of by several hosts died once.
+/// A life that several hosts report as lost died once.
 #[test]
-fn told_twice() {
+fn loss_reported_twice() {
     let mut tally = Tally::default();
     let mut now = START;
     for _ in 0..REFUSAL_DEATHS {
@@ -72,7 +74,7 @@
     assert_eq!(tally.status(now, &print("a")), Status::Clear);
 }
 
-/// Guards against a harmless request that is refused after losses by chance.
+/// Guards against a harmless request that is refused after chance losses.
 #[test]
 fn answered_between() {
     let mut tally = Tally::default();
@@ -82,9 +84,10 @@
     assert_eq!(tally.status(now, &print("a")), Status::Watched);
 }
 
-/// Once the time is over it may run, and one more death refuses it again.
+/// Once the time of refusal is over the request may run, and one more death refuses it
+/// again.
 #[test]
-fn tried_again() {
+fn tried_after_refusal() {
     let mut tally = Tally::default();
     let now = lose(&mut tally, print("a"), START, 0..3);
     assert!(
@@ -100,8 +103,8 @@
     );
 }
 
-/// Guards against a table that callers fill without bound, or that lets the refused ones
-/// out for others.
+/// Guards against a table that callers fill without bound, and against refused requests
+/// that are forgotten to make room for others.
 #[test]
 fn bounded_table() {
     let mut tally = Tally::default();
@@ -116,7 +119,7 @@
     assert_eq!(tally.watched().len(), 1);
 }
 
-/// Guards against usual requests that are refused because they were sent to upstreams which
+/// Guards against usual requests that are refused because they were sent to upstreams that
 /// another request had crashed before.
 #[test]
 fn dead_already() {
@@ -135,7 +138,8 @@
     assert_eq!(tally.status(now, &print("usual")), Status::Clear);
 }
 
-/// Guards against a request that goes free because its upstreams had lost others long before.
+/// Guards against a request that is never refused because its upstreams had lost other
+/// requests long before.
 #[test]
 fn lost_before() {
     let mut tally = Tally::default();
@@ -151,8 +155,8 @@
     assert!(matches!(standing, Status::Refused(_)), "{standing:?}");
 }
 
-/// Guards against a request that goes free because others that ran beside it were told of
-/// first.
+/// Guards against a request that is never refused because the losses of requests that ran
+/// beside it are reported first.
 #[test]
 fn beside_others() {
     let mut tally = Tally::default();
--- a/almondlock-policy/tests/named_limit.rs
+++ b/almondlock-policy/tests/named_limit.rs
@@ -1,6 +1,7 @@
-//! Upstreams name limits with their answers, which come late, twice and out of order. A limit
-//! that is taken for ended, or callers who all return for the same permit, would send the
-//! upstream more than it takes.
+//! Guards against more requests to an upstream than the limit that it names. Limits come
+//! with answers, which arrive late, twice and out of order. The upstream would get too many
+//! requests if a limit were wrongly taken for ended, or if all callers came back for the
+//! same permit.
 
 use std::time::Duration;
 
@@ -27,7 +28,7 @@
     with_unit = { "2/s", None },
     empty = { "", None },
 )]
-fn rate_read(text: &str, thousandths: Option<u32>) {
+fn rate_parsed(text: &str, thousandths: Option<u32>) {
     assert_eq!(Rate::parse(text).map(Rate::thousandths), thousandths);
 }
 
@@ -38,16 +39,18 @@
     sent_with_it = { 100, 120, true },
     overtaken = { 50, 120, true },
 )]
-fn limit_ends(sent: u64, came: u64, stays: bool) {
+/// An answer without a limit ends the limit only if its request was sent after the limit
+/// was received: else the answer may be the older one.
+fn limit_end_ordered(sent: u64, came: u64, stays: bool) {
     let mut limits = Limits::default();
     assert!(limits.learn(&"i-1", Notice::of(Some(rate("2")), at(90), at(100))));
     limits.learn(&"i-1", Notice::of(None, at(sent), at(came)));
     assert_eq!(limits.rate(&"i-1").is_some(), stays);
 }
 
-/// News of a limit that is older than its end doesn't bring it back, a later one does.
+/// News of a limit that is older than its end doesn't bring it back; newer news does.
 #[test]
-fn older_news() {
+fn older_notice_ignored() {
     let mut limits = Limits::default();
     let named = |came| Notice::of(Some(rate("2")), at(0), at(came));
     limits.learn(&"i-1", named(100));
@@ -58,9 +61,9 @@
     assert_eq!(limits.rate(&"i-1"), Some(rate("2")));
 }
 
-/// The same news again changes nothing; another rate does.
+/// The same news again is no change; another rate is.
 #[test]
-fn only_changes() {
+fn change_reported_once() {
     let mut limits = Limits::default();
     let named = |text: &str, came| Notice::of(Some(rate(text)), at(0), at(came));
     assert!(limits.learn(&"i-1", named("2", 100)));
@@ -72,35 +75,35 @@
     assert!(limits.is_empty());
 }
 
-/// Relays are asked in turn, each again only when it may have a permit; one that doesn't
-/// answer is left alone for all upstreams.
+/// Relays are asked in turn, and each is asked again only when it may have a permit. A
+/// relay that doesn't answer is left alone for all upstreams.
 #[test]
-fn which_relay() {
-    let mut waits: Selector<&str, u8> = Selector::default();
+fn relay_selected() {
+    let mut selector: Selector<&str, u8> = Selector::default();
     let relays = [1, 2];
-    assert_eq!(waits.next_relay(at(0), &"a", &relays), Some(1));
-    waits.note_refusal(at(0), &"a", 1, Duration::from_millis(300));
-    assert_eq!(waits.next_relay(at(0), &"a", &relays), Some(2));
-    assert_eq!(waits.next_relay(at(0), &"b", &relays), Some(1));
-    waits.note_no_answer(at(0), 2);
-    assert_eq!(waits.next_relay(at(0), &"a", &relays), None);
+    assert_eq!(selector.next_relay(at(0), &"a", &relays), Some(1));
+    selector.note_refusal(at(0), &"a", 1, Duration::from_millis(300));
+    assert_eq!(selector.next_relay(at(0), &"a", &relays), Some(2));
+    assert_eq!(selector.next_relay(at(0), &"b", &relays), Some(1));
+    selector.note_no_answer(at(0), 2);
+    assert_eq!(selector.next_relay(at(0), &"a", &relays), None);
     assert_eq!(
-        waits.time_to_permit(at(100), &"a", &relays),
+        selector.time_to_permit(at(100), &"a", &relays),
         Duration::from_millis(200)
     );
-    assert_eq!(waits.next_relay(at(300), &"a", &relays), Some(1));
-    assert_eq!(waits.next_relay(at(0), &"b", &[2]), None);
+    assert_eq!(selector.next_relay(at(300), &"a", &relays), Some(1));
+    assert_eq!(selector.next_relay(at(0), &"b", &[2]), None);
 }
 
-/// Callers refused together return one after the other, at this host's part of the rate; one
-/// that can't wait that long keeps no place.
+/// Callers refused together come back one after the other, at this host's part of the rate.
+/// A caller that can't wait that long reserves no turn.
 #[test]
-fn callers_return() {
-    let mut returns = Stagger::default();
+fn retries_staggered() {
+    let mut stagger = Stagger::default();
     let opens = Duration::from_millis(200);
     let mut next = |now, patience| {
         let patience = Duration::from_millis(patience);
-        let wait = returns.next_retry(at(now), opens, (rate("4"), 2), patience);
+        let wait = stagger.next_retry(at(now), opens, (rate("4"), 2), patience);
         wait.as_millis()
     };
     assert_eq!(next(0, 5_000), 200);
--- a/almondlock-policy/tests/orphan_memory.rs
+++ b/almondlock-policy/tests/orphan_memory.rs
@@ -1,8 +1,7 @@
-//! An entry host, a sidecar or an engine dies at any moment, with streams open,
-//! exports under way and reservations held; orders and answers are lost, late
-//! and doubled. Later callers must find the engine's memory whole: once the
-//! leases are past, the engine holds nothing, and at rest it holds what the
-//! ledger says.
+//! Guards against engine memory that stays held after its owner is gone. An entry host, a
+//! sidecar or an engine dies at any moment, with streams open, exports under way and
+//! reservations held; orders and answers are lost, late and doubled. Once the leases have
+//! ended the engine must hold nothing, and at rest it must hold what the ledger says.
 
 #![cfg(test)]
 
@@ -27,7 +26,8 @@
     Freed(u64, Mono),
 }
 
-/// An engine that does what it is told, when the message arrives.
+/// A ledger, an engine that does what it is told when a message arrives, and the messages
+/// under way.
 struct World {
     rng: SmallRng,
     now: Mono,
@@ -37,8 +37,8 @@
     ledger: Ledger<u64>,
     messages: Vec<Message>,
     mine: Vec<u64>,
-    /// A list the engine has given that has not arrived yet, and when it was
-    /// asked for.
+    /// A list that the engine has given and that has not arrived yet, with the time at
+    /// which it was asked for.
     list: Option<(BTreeMap<u64, Item>, Mono)>,
 }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// One message arrives, is lost, or arrives and stays to arrive again.
+    /// Lets one message arrive, or loses it, or lets it arrive and arrive again later.
     fn deliver(&mut self, chaos: bool) {
         if self.messages.is_empty() {
             return;
@@ -106,7 +106,7 @@
 
     fn arrive(&mut self, message: Message) {
         match message {
-            // The engine drops an order that is past its life.
+            // The engine drops an order whose lifetime is over.
             Message::Open(id, item, sent) => {
                 if self.now.since(sent) < Config::default().order_lifetime {
                     self.engine.insert(id, item);
@@ -138,7 +138,7 @@
         self.mine.clear();
     }
 
-    /// Answers to the old sidecar die with it; its orders may still arrive.
+    /// Answers to the old sidecar are lost; its orders may still arrive.
     fn sidecar_dies(&mut self) {
         self.messages
             .retain(|m| matches!(m, Message::Open(..) | Message::Free(..)));
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Everything arrives, and no owner renews any more.
+    /// All messages arrive, and no owner renews its leases any more.
     fn rest(&mut self, rounds: u32) {
         for _ in 0..rounds {
             self.now = self.now + Duration::from_secs(1);
@@ -199,7 +199,7 @@
 }
 
 fn finish(mut world: World, what: &str) {
-    // Orders and answers come to rest within an order's life.
+    // Orders and answers come to rest within the lifetime of an order.
     world.rest(6);
     world.assert_agreement(what);
     world.rest(20);
@@ -209,7 +209,7 @@
 }
 
 #[parameterized(entry = { 0 }, sidecar = { 1 }, engine = { 2 }, sidecar_and_entry = { 3 })]
-fn a_crash_at_each_step(who: u32) {
+fn crash_at_each_step(who: u32) {
     const STEPS: u64 = 150;
     for crash in 0..STEPS {
         for seed in 0..4 {
@@ -251,11 +251,11 @@
     }
 }
 
-/// The engine lists what it holds, makes one thing more and confirms it; then
-/// the list arrives. The thing must not be taken for gone: it would be freed
-/// under its owner's feet when the next list shows it.
+/// The engine lists what it holds, then makes one more item and confirms it; then the list
+/// arrives. The item must not be taken for gone: it would be freed while its owner uses it,
+/// as soon as the next list shows it.
 #[test]
-fn a_late_list_takes_nothing_away() {
+fn late_list_harmless() {
     let mut world = World::new(1);
     world.open();
     world.now = world.now + Duration::from_millis(10);
@@ -286,7 +286,7 @@
     world.arrive(freed);
     world.arrive(open);
     assert_eq!(world.engine.len(), 1);
-    // Without the engine's list being asked for.
+    // No list of the engine is asked for.
     for _ in 0..20 {
         world.now = world.now + Duration::from_secs(1);
         world.order();
--- a/almondlock-policy/tests/poison_resend.rs
+++ b/almondlock-policy/tests/poison_resend.rs
@@ -1,8 +1,8 @@
-//! One request kills each engine that runs it, and its caller sends it again
-//! and again through all entry hosts. Each death takes the innocent requests
-//! along that ran there. All of those must still finish, the poison must be
-//! refused everywhere soon, and it may cost a small stated number of engines,
-//! however often it is sent and although news between entry hosts lags.
+//! Guards against a request that kills every engine that runs it, while its caller sends it
+//! again and again through all entry hosts. Each death also ends the innocent requests on
+//! the engine. All of these must still finish, the poison must soon be refused everywhere,
+//! and it may cost only a small known number of engines, however often it is sent and
+//! however late news reaches the entry hosts.
 
 #![cfg(test)]
 
@@ -33,7 +33,7 @@
     Fingerprint::new(&bank(), "/v1/completions", &number.to_le_bytes())
 }
 
-/// Numbers from here on are poisons.
+/// Requests with this number or a higher one are poisons.
 const POISON: usize = usize::MAX / 2;
 
 #[derive(Clone, Copy)]
@@ -43,8 +43,8 @@
     treatment: Treatment,
 }
 
-/// The replicated records with their past, the entry hosts with what they have
-/// heard of it, and the engines.
+/// The history of the replicated records, the entry hosts with what they have heard of it,
+/// and the engines.
 struct Fleet {
     config: Config,
     history: Vec<Records>,
@@ -59,7 +59,7 @@
         let config = Config::default();
         Fleet {
             config,
-            // The first entry stays empty: what was known before all began.
+            // The first entry stays empty: the records before the test began.
             history: vec![Records::new(), Records::new()],
             lag,
             watches: (0..HOSTS).map(|_| Watch::new(config)).collect(),
@@ -77,7 +77,7 @@
         self.history.last_mut().unwrap()
     }
 
-    /// Asks to run; `None` when refused or told to wait.
+    /// Asks to run. Returns `None` if the request is refused or has to wait.
     fn begin(&mut self, number: usize, host: usize) -> Option<Run> {
         let (wall, now) = self.now();
         let view = &self.history[self.history.len().saturating_sub(1 + self.lag)];
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Puts runs on engines as their treatment asks, as the queues do.
+    /// Puts runs on engines as their treatment requires, as the queues do.
     fn place(&self, runs: &[Run], rng: &mut SmallRng) -> Vec<Vec<Run>> {
         let mut engines: Vec<Vec<Run>> = vec![Vec::new(); ENGINES + runs.len()];
         for run in runs {
@@ -157,16 +157,16 @@
     }
 }
 
-/// Who sends what.
+/// How poisons are sent.
 #[derive(Clone, Copy)]
 struct Storm {
     /// Through all hosts at once, or through one after the other.
     together: bool,
-    /// Another poison each time, or the same.
+    /// Another poison each time, or the same one.
     fresh: bool,
 }
 
-/// Forty sends beside two fresh innocents per host and step.
+/// Sends forty poisons, beside two new innocent requests per host and step.
 fn storm(seed: u64, lag: usize, kind: Storm) -> Fleet {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut fleet = Fleet::new(lag);
@@ -214,7 +214,7 @@
     all_at_once = { 0, true, 3 },
     all_at_once_and_late = { 5, true, 3 },
 )]
-fn costs_a_stated_number_of_engines(lag: usize, together: bool, unaware: u32) {
+fn engine_loss_bounded(lag: usize, together: bool, unaware: u32) {
     let limit = loss_limit(&Config::default(), unaware);
     for seed in 0..200 {
         let kind = Storm {
@@ -233,8 +233,8 @@
     }
 }
 
-/// A new poison with each step: innocents die beside one after the other. They
-/// finish all the same (which `storm` checks), since the last run is alone.
+/// A new poison in each step, so that innocent requests die beside one after the other.
+/// They finish all the same (which `storm` checks), since the last run is alone.
 #[parameterized(prompt_news = { 0 }, late_news = { 3 })]
 fn innocents_are_never_refused(lag: usize) {
     let kind = Storm {
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn another_organisation_is_not_blamed() {
+fn other_organisation_unblamed() {
     let other = Organisation::new("rival").unwrap();
     let body = b"the same words";
     let own = Fingerprint::new(&bank(), "/v1/completions", body);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_record_ends() {
+fn record_expires() {
     let config = Config::default();
     let start = Wall::from_millis(0);
     let mut record = None;
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn copies_of_the_harmless_run_together() {
+fn harmless_copies_together() {
     let mut watch = Watch::new(Config::default());
     let (wall, now) = (Wall::from_millis(0), Mono::ZERO);
     let run = Start::Run(Treatment::Unrestricted);
@@ -285,7 +285,7 @@
     for _ in 0..10 {
         assert_eq!(watch.begin(print(1), None, wall, now), run);
     }
-    // A death takes the trust away, and finishing well gives it back.
+    // A death ends the trust, and finishing well restores it.
     watch.end(print(1), Some(false), now);
     assert_eq!(watch.begin(print(1), None, wall, now), Start::Wait);
     watch.end(print(1), Some(true), now);
--- a/almondlock-policy/tests/queue_expiry.rs
+++ b/almondlock-policy/tests/queue_expiry.rs
@@ -1,7 +1,7 @@
-//! A request waits beside a busy engine. Its caller must hear at once when it
-//! is given up, with when to come back: as soon as its prompt can't be
-//! processed before the deadline any more, not only when the deadline passes.
-//! A withdrawn one leaves nothing behind.
+//! Guards against a request that waits beside a busy engine although it can't be answered
+//! in time. Its caller must be told as soon as its prompt can't be processed before the
+//! deadline any more, not only when the deadline passes, with the time after which it may
+//! come back. A request that is withdrawn must leave nothing behind.
 
 #![cfg(test)]
 
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn hopeless_is_given_up_before_the_deadline() {
+fn unreachable_given_up() {
     let room = Room::idle(Tokens(100_000), 16);
     let mut queue = Queue::new(Config::short());
-    // 80,000 tokens take ten seconds as far as is known, and 6.667 at best.
+    // 80,000 tokens take 10 s at the assumed speed, and 6.667 s at the most optimistic one.
     let deadline = Mono::from_millis(15_000);
     queue
         .push(1, job(1, 80_000, deadline), &room, Mono::ZERO)
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn passed_is_a_timeout() {
+fn passed_deadline_timeout() {
     let room = Room::idle(Tokens(100_000), 16);
     let mut queue = Queue::new(Config::fifo());
     let deadline = Mono::from_millis(1_000);
@@ -56,7 +56,7 @@
     assert_eq!(gone[0].code, Code::QueueTimeout);
 }
 
-/// A queue, the engine beside it, and what became of each job.
+/// A queue, the engine beside it, and counts of the jobs that came and left.
 struct World {
     rng: SmallRng,
     room: Room,
@@ -131,11 +131,11 @@
     }
 }
 
-/// Whatever order things happen in, each job leaves exactly once: granted,
-/// withdrawn or expired. Two suspects never run together, and nothing runs
-/// beside one that has to be alone.
+/// In whatever order things happen, each job leaves exactly once: granted, withdrawn or
+/// expired. Two suspects never run together, and nothing runs beside a job that must be
+/// alone.
 #[test]
-fn every_job_leaves_once() {
+fn jobs_leave_once() {
     for seed in 0..100 {
         let mut world = World {
             rng: SmallRng::seed_from_u64(seed),
@@ -149,7 +149,7 @@
         for step in 0..2_000 {
             world.step(Mono::from_millis(step * 20));
         }
-        // Nothing is left behind when all is over.
+        // Nothing is left behind when all jobs are over.
         while !world.running.is_empty() {
             world.finish(0);
         }
@@ -160,9 +160,9 @@
     }
 }
 
-/// Others keep coming all the time; the one that runs alone gets its turn.
+/// Guards against a job that must run alone and never starts because others keep coming.
 #[test]
-fn alone_is_not_starved() {
+fn alone_not_starved() {
     let mut queue = Queue::new(Config::short());
     let mut room = Room::idle(Tokens(300_000), 8);
     let mut ends: std::collections::VecDeque<(u64, u64)> = Default::default();
--- a/almondlock-policy/tests/retry_storm.rs
+++ b/almondlock-policy/tests/retry_storm.rs
@@ -1,7 +1,7 @@
-//! Half the upstreams fail. Each caller's request fails there every second
-//! time. If each failure were tried again until it works, the other half would
-//! get twice the work and fail too. Retries must stay a fraction of the fresh
-//! requests, spread in time, and the callers beyond that are answered at once.
+//! Guards against retries that overload what still works. When half the upstreams fail,
+//! every second attempt fails. If each were repeated until it succeeds, the other half
+//! would get twice the work and fail too. Retries must stay a fraction of the fresh
+//! requests and be spread in time, and the remaining callers must be answered at once.
 
 #![cfg(test)]
 
@@ -31,13 +31,13 @@
 const LEFT: Duration = Duration::from_secs(30);
 
 #[test]
-fn retries_stay_a_fraction() {
+fn retries_bounded() {
     let mut policy = Policy::new(Config::default());
     let mut rng = SmallRng::seed_from_u64(4);
     let (mut retries, mut gone) = (0, 0);
     let fresh = 6_000;
     for i in 0..fresh {
-        // 600 a second for ten seconds.
+        // 600 requests per second for ten seconds.
         let now = Mono::from_micros(i * 1_667);
         policy.count_request(&bank(), now);
         let mut made = 1;
@@ -53,7 +53,7 @@
             made += 1;
         }
     }
-    // A tenth, what was saved up and what is free.
+    // A tenth, the retries saved up and the free ones.
     assert!(
         (600..=600 + 20 + 5).contains(&retries),
         "{retries} of {fresh}"
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn one_organisation_cannot_spend_for_another() {
+fn budgets_kept_apart() {
     let mut policy = Policy::new(Config::default());
     let mut rng = SmallRng::seed_from_u64(4);
     let now = Mono::ZERO;
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn back_off_is_spread_and_grows() {
+fn backoff_spread() {
     let config = Config {
         max_saved: 1e6,
         max_attempts: 20,
@@ -114,12 +114,12 @@
     hopeless = { Failure { code: Code::PromptTooLong, ran: Ran::No, ..lost() }, Safety::Never },
     quarantined = { Failure { code: Code::Quarantined, ran: Ran::No, ..lost() }, Safety::Never },
 )]
-fn what_may_follow(failure: Failure, expected: Safety) {
+fn safe_continuation(failure: Failure, expected: Safety) {
     assert_eq!(assess_safety(&failure), expected);
 }
 
 #[test]
-fn a_planned_stop_is_not_charged() {
+fn planned_stop_free() {
     let mut policy = Policy::new(Config::default());
     let mut rng = SmallRng::seed_from_u64(4);
     policy.count_request(&bank(), Mono::ZERO);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn no_time_left_is_the_final_answer() {
+fn no_time_left() {
     let mut policy = Policy::new(Config::default());
     let mut rng = SmallRng::seed_from_u64(4);
     policy.count_request(&bank(), Mono::ZERO);
@@ -158,6 +158,6 @@
     doubt = { Ran::Unknown, Ran::No, Ran::Unknown },
     both = { Ran::Unknown, Ran::Yes, Ran::Yes },
 )]
-fn attempts_add_up(before: Ran, attempt: Ran, expected: Ran) {
+fn outcomes_merged(before: Ran, attempt: Ran, expected: Ran) {
     assert_eq!(merge_ran(before, attempt), expected);
 }
--- a/almondlock-policy/tests/shared_limit.rs
+++ b/almondlock-policy/tests/shared_limit.rs
@@ -1,7 +1,7 @@
-//! An organisation's limit holds for the whole fleet. Its requests come through
-//! several entry hosts, some of which can't reach the others for minutes. If
-//! each let the whole limit through, the organisation would get several times
-//! its share, and the others' callers would wait for it.
+//! Guards against a fleet-wide limit that each entry host applies in full. An
+//! organisation's requests come through several entry hosts, some of which can't reach the
+//! others for minutes. The organisation would get several times its share, at the cost of
+//! the other organisations' callers.
 
 #![cfg(test)]
 
@@ -25,7 +25,7 @@
 }
 
 #[parameterized(one = { 1 }, three = { 3 }, many = { 30 })]
-fn rate_holds_over_all_hosts(hosts: u32) {
+fn rate_holds_fleetwide(hosts: u32) {
     let limit = Limit {
         rate: 60,
         tokens: Tokens::ZERO,
@@ -38,12 +38,12 @@
             admitted += u32::from(limiter.admit(&bank(), Tokens(1), now).is_ok());
         }
     }
-    // 20 s at 60 a second, and the burst of 2 s.
+    // 20 s at 60 requests per second, and the burst of 2 s.
     assert!((1_200..=1_320).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn tokens_in_flight_hold_over_all_hosts() {
+fn tokens_hold_fleetwide() {
     let limit = Limit {
         rate: 0,
         tokens: Tokens(30_000),
@@ -70,7 +70,7 @@
 }
 
 #[parameterized(slow = { 1, 1 }, shared = { 10, 3 }, fast = { 6_100, 30 })]
-fn coming_back_when_told_succeeds(rate: u32, hosts: u32) {
+fn retry_after_suffices(rate: u32, hosts: u32) {
     let limit = Limit {
         rate,
         tokens: Tokens::ZERO,
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_lease_ends_on_a_host_that_is_cut_off() {
+fn lease_ends_alone() {
     let limit = Limit {
         rate: 0,
         tokens: Tokens(30_000),
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_unknown_organisation_gets_nothing() {
+fn unknown_organisation_refused() {
     let mut limiter = Limiter::new(Config::default());
     let refusal = limiter.admit(&bank(), Tokens(1), Mono::ZERO).unwrap_err();
     assert_eq!(refusal.code, Code::Forbidden);
--- a/almondlock-policy/tests/short_first.rs
+++ b/almondlock-policy/tests/short_first.rs
@@ -1,7 +1,6 @@
-//! A caller's short prompt arrives while long prompts wait and run on the same
-//! engine. It must start at once: it passes what waits, it finds memory
-//! and a batch slot that long work leaves free, and the engine is told to
-//! process it first.
+//! Guards against a short prompt that is delayed by long prompts which wait and run on the
+//! same engine. It must start at once: it passes the waiting ones, finds the memory and the
+//! batch slot that long work leaves free, and the engine is told to process it first.
 
 #![cfg(test)]
 
@@ -51,7 +50,7 @@
 }
 
 #[test]
-fn long_work_leaves_room() {
+fn long_leaves_room() {
     let now = Mono::ZERO;
     let mut room = Room::idle(CAPACITY, 16);
     let mut queue = Queue::new(Config::short());
@@ -79,7 +78,7 @@
 }
 
 #[test]
-fn cached_start_counts_as_done() {
+fn cached_start_uncounted() {
     let job = Job {
         cached: Tokens(149_000),
         ..job(150_000)
@@ -89,7 +88,7 @@
 }
 
 #[test]
-fn one_long_prefill_at_a_time() {
+fn one_long_prefill() {
     let now = Mono::ZERO;
     let room = Room::idle(CAPACITY, 16);
     let mut queue = Queue::new(Config::short());
@@ -124,7 +123,7 @@
     negative = { -1.0 },
     infinite = { f64::INFINITY },
 )]
-fn absurd_stretch_does_no_harm(stretch: f64) {
+fn absurd_stretch_bounded(stretch: f64) {
     let room = Room::idle(CAPACITY, 16);
     let config = Config {
         stretch,
--- a/almondlock-policy/tests/stale_incarnation.rs
+++ b/almondlock-policy/tests/stale_incarnation.rs
@@ -1,7 +1,7 @@
-//! A sidecar dies with an attempt in its queue or on its engine and comes back.
-//! The entry host asks the new process to settle that attempt. The new process
-//! knows nothing of it: the caller must be told "unknown", never "not run". A
-//! call that reaches the new process but was meant for the old one is refused.
+//! Guards against a false "not run" after a sidecar was restarted with an attempt in its
+//! queue or on its engine. The entry host asks the new process to settle that attempt. The
+//! new process knows nothing of it, so its answer must be "unknown". A call that was meant
+//! for the old process must be refused.
 
 #![cfg(test)]
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn successor_does_not_vouch_for_its_predecessor() {
+fn successor_answers_unknown() {
     let now = Mono::from_millis(1);
     let mut first = Gate::new(Config::default(), Incarnation(1));
     first.admit(&attempt(), Incarnation(1), now, now).unwrap();
@@ -37,13 +37,13 @@
 }
 
 #[test]
-fn call_meant_for_another_life_is_refused() {
+fn stale_call_refused() {
     let now = Mono::from_millis(1);
     let mut gate = Gate::new(Config::default(), Incarnation(2));
     let refusal = gate
         .admit(&attempt(), Incarnation(1), now, now)
         .unwrap_err();
     assert_eq!(refusal.code, Code::StaleIncarnation);
-    // Nothing was noted: the same attempt meant for this life may come.
+    // Nothing was recorded: the same attempt may still come, meant for this life.
     assert!(gate.is_empty());
 }
