--- a/almondlock-gateway/examples/share_cost.rs
+++ b/almondlock-gateway/examples/share_cost.rs
@@ -101,10 +101,10 @@
     let counts = (0_u32..).zip(names).map(|(n, name)| {
         let count = Usage {
             slots: 1 + 40 / (n + 1),
-            unread: 1 + n % 3,
-            reading: 40 * (1 + n % 5),
+            unanswered: 1 + n % 3,
+            reading_ms: 40 * (1 + n % 5),
             queued: n % 2,
-            queued_reading: 30 * (n % 2),
+            queued_reading_ms: 30 * (n % 2),
         };
         (Tag::of("service", name), count)
     });
--- a/almondlock-gateway/src/exchange/shares.rs
+++ b/almondlock-gateway/src/exchange/shares.rs
@@ -120,10 +120,10 @@
         for (tag, count) in listed.drain(LISTED.min(listed.len())..) {
             let rest = rests.entry(tag.service).or_default();
             rest.organisations = rest.organisations.saturating_add(1);
-            rest.count.add(&count);
+            rest.usage.add(&count);
         }
         let mut rests: Vec<(Key, Unlisted)> = rests.into_iter().collect();
-        rests.sort_by_key(|(_, rest)| Reverse(rest.count.sort_key()));
+        rests.sort_by_key(|(_, rest)| Reverse(rest.usage.sort_key()));
         rests.truncate(SERVICES);
         Counts { listed, rests }
     }
@@ -215,7 +215,7 @@
                 // Mostly the same organisations at each host.
                 let sum = rests.entry(*service).or_default();
                 sum.organisations = sum.organisations.max(rest.organisations);
-                sum.count.add(&rest.count);
+                sum.usage.add(&rest.usage);
             }
         }
         Totals {
--- a/almondlock-gateway/src/share/ledger.rs
+++ b/almondlock-gateway/src/share/ledger.rs
@@ -42,8 +42,8 @@
     pub fn send(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
         let count = Usage {
             slots: 1,
-            unread: 1,
-            reading: millis(reading),
+            unanswered: 1,
+            reading_ms: millis(reading),
             ..Usage::default()
         };
         self.claim(service, organisation, count)
@@ -61,7 +61,7 @@
     /// The same of a prompt that waits until engines have the time to read it.
     pub fn wait_reading(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
         let count = Usage {
-            queued_reading: millis(reading),
+            queued_reading_ms: millis(reading),
             ..Usage::default()
         };
         self.claim(service, organisation, count)
--- a/almondlock-gateway/src/slots.rs
+++ b/almondlock-gateway/src/slots.rs
@@ -226,9 +226,9 @@
         }
         let case = Prompt {
             arrived: request.arrived,
-            until: request.deadline,
+            deadline: request.deadline,
             objective: request.route.objective,
-            expected: speed.reading_time(demand.prompt)
+            expected_delay: speed.reading_time(demand.prompt)
                 + speed.pass_time(speed.slots, demand.prompt * u64::from(speed.slots)) * PASSES,
             priority: request.priority(),
             standing: self.standing(now, request),
--- a/almondlock-gateway/tests/burst/mod.rs
+++ b/almondlock-gateway/tests/burst/mod.rs
@@ -335,9 +335,9 @@
                 None => {
                     let case = slots::Prompt {
                         arrived: self.at(),
-                        until: Mono::from_millis(self.prompts[id].first_arrival + DEADLINE),
+                        deadline: Mono::from_millis(self.prompts[id].first_arrival + DEADLINE),
                         objective,
-                        expected: Duration::from_millis(FIRST + PASS),
+                        expected_delay: Duration::from_millis(FIRST + PASS),
                         priority: 1,
                         standing: Standing::Within,
                     };
--- a/almondlock-gateway/tests/share_counts.rs
+++ b/almondlock-gateway/tests/share_counts.rs
@@ -41,7 +41,7 @@
     let all = all.iter().map(|(name, slots, unread)| {
         let count = Usage {
             slots: *slots,
-            unread: *unread,
+            unanswered: *unread,
             ..Usage::default()
         };
         (Tag::of("e", name), count)
@@ -233,10 +233,10 @@
         let all = (0..1_500_u32).map(|n| {
             let count = Usage {
                 slots: 1 + n % 300,
-                unread: 1 + (n + host) % 50,
-                reading: 300 * (1 + n % 40),
+                unanswered: 1 + (n + host) % 50,
+                reading_ms: 300 * (1 + n % 40),
                 queued: 1 + n % 3,
-                queued_reading: 200 + n,
+                queued_reading_ms: 200 + n,
             };
             (Tag::of("some-service", &format!("organisation-{n}")), count)
         });
@@ -274,10 +274,10 @@
     let (slots, unread, reading, waiting, queued_reading) = (1, 1, 30, 1, 30);
     let all = Usage {
         slots,
-        unread,
-        reading,
+        unanswered: unread,
+        reading_ms: reading,
         queued: waiting,
-        queued_reading,
+        queued_reading_ms: queued_reading,
     };
     assert_eq!(ledger.counts().listed, [(tag, all)]);
     sent.read();
@@ -298,7 +298,7 @@
     let mut tally = Tally::default();
     let rest = Unlisted {
         organisations: 40,
-        count: Usage {
+        usage: Usage {
             slots: 50,
             ..Usage::default()
         },
@@ -309,7 +309,7 @@
         tally.hear(START, address(host), &report(host.into(), 1, counts));
     }
     let (_, sum) = taken(&mut tally, START).counts.at(Key::named("e"));
-    assert_eq!((sum.organisations, sum.count.slots), (40, 100));
+    assert_eq!((sum.organisations, sum.usage.slots), (40, 100));
 }
 
 /// A request that is put behind others stays ahead of less urgent kinds, and is never put
--- a/almondlock-policy/examples/decisions.rs
+++ b/almondlock-policy/examples/decisions.rs
@@ -57,7 +57,7 @@
     Upstream::new(&format!("engine-{i}")).expect("a plain name")
 }
 
-fn site(i: usize) -> Locality {
+fn locality(i: usize) -> Locality {
     Locality {
         domain: Domain::new(&format!("domain-{}", i % 6)).expect("a plain name"),
         region: Region::new(&format!("region-{}", i % 2)).expect("a plain name"),
@@ -65,14 +65,14 @@
 }
 
 fn table(upstreams: usize, rng: &mut SmallRng) -> Table {
-    let home = Origin {
+    let origin = Origin {
         host: Host::new("entry-1").expect("a plain name"),
-        domain: site(0).domain,
-        region: site(0).region,
+        domain: locality(0).domain,
+        region: locality(0).region,
     };
-    let mut table = Table::new(choice::Config::default(), home);
+    let mut table = Table::new(choice::Config::default(), origin);
     for i in 0..upstreams {
-        let index = table.insert(&name(i), site(i));
+        let index = table.insert(&name(i), locality(i));
         let report = Report {
             in_flight: rng.random_range(0..30),
             wait: Duration::from_millis(rng.random_range(0..500)),
@@ -94,18 +94,18 @@
     let mut open = std::collections::VecDeque::new();
     for round in 0..ROUNDS {
         let now = Mono::from_micros(round as u64 * 100);
-        let ask = Query {
+        let query = Query {
             prompt: Tokens(rng.random_range(1_000..5_000)),
             output: Tokens(200),
             prefix,
             excluded: &[],
         };
         let picked = timed(&mut times, || {
-            let index = picker.pick(&table, &ask, now, rng)?;
-            table.record_sent(index, ask.prompt);
+            let index = picker.pick(&table, &query, now, rng)?;
+            table.record_sent(index, query.prompt);
             Some(index)
         });
-        open.extend(picked.map(|index| (index, ask.prompt)));
+        open.extend(picked.map(|index| (index, query.prompt)));
         if open.len() > 10 * upstreams
             && let Some((index, prompt)) = open.pop_front()
         {
@@ -130,7 +130,7 @@
         for round in 0..2_000 {
             let i = round % upstreams;
             table.remove(&name(i));
-            timed(&mut times, || table.insert(&name(i), site(i)));
+            timed(&mut times, || table.insert(&name(i), locality(i)));
         }
         show(&format!("choice: one upstream added to {upstreams}"), times);
     }
--- a/almondlock-policy/examples/footprint.rs
+++ b/almondlock-policy/examples/footprint.rs
@@ -104,19 +104,19 @@
 fn table(upstreams: u64) -> Table {
     let domain = |i: u64| Domain::new(&format!("domain-{}", i % 6)).expect("a plain name");
     let region = Region::new("region").expect("a plain name");
-    let home = Origin {
+    let origin = Origin {
         host: host(),
         domain: domain(0),
         region: region.clone(),
     };
-    let mut table = Table::new(choice::Config::default(), home);
+    let mut table = Table::new(choice::Config::default(), origin);
     for i in 0..upstreams {
         let name = Upstream::new(&format!("engine-{i:08}")).expect("a plain name");
-        let site = Locality {
+        let locality = Locality {
             domain: domain(i),
             region: region.clone(),
         };
-        table.insert(&name, site);
+        table.insert(&name, locality);
     }
     table
 }
--- a/almondlock-policy/src/share/assessment.rs
+++ b/almondlock-policy/src/share/assessment.rs
@@ -61,28 +61,28 @@
 
     /// Whether an organisation waits for the resource. A request without a first event may wait
     /// for a slot at its engine, but its reading time has been assigned.
-    fn is_waited_for(self, count: &Usage) -> bool {
+    fn is_waited_for(self, usage: &Usage) -> bool {
         match self {
-            Resource::Slots => count.unread + count.queued > 0,
-            Resource::Reading => count.queued_reading > 0,
+            Resource::Slots => usage.unanswered + usage.queued > 0,
+            Resource::Reading => usage.queued_reading_ms > 0,
         }
     }
 
     /// Returns the amount that an organisation uses.
-    fn used(self, count: &Usage) -> f64 {
+    fn used(self, usage: &Usage) -> f64 {
         f64::from(match self {
-            Resource::Slots => count.slots,
-            Resource::Reading => count.reading,
+            Resource::Slots => usage.slots,
+            Resource::Reading => usage.reading_ms,
         })
     }
 
     /// Returns the amount that an organisation uses and waits for.
-    fn demand(self, count: &Usage) -> f64 {
+    fn demand(self, usage: &Usage) -> f64 {
         let queued = f64::from(match self {
-            Resource::Slots => count.queued,
-            Resource::Reading => count.queued_reading,
+            Resource::Slots => usage.queued,
+            Resource::Reading => usage.queued_reading_ms,
         });
-        self.used(count) + queued
+        self.used(usage) + queued
     }
 }
 
@@ -125,10 +125,10 @@
     K: Copy + Eq + Hash,
 {
     /// Assesses organisations by what they use and wait for.
-    pub fn new(capacity: Capacity, counts: &[(K, Usage)], rest: Unlisted) -> Assessment<K> {
+    pub fn new(capacity: Capacity, usages: &[(K, Usage)], rest: Unlisted) -> Assessment<K> {
         let mut over: HashMap<K, Excess<K>> = HashMap::new();
         for resource in [Resource::Slots, Resource::Reading] {
-            for (key, excess) in find_excesses(resource, capacity, counts, rest) {
+            for (key, excess) in find_excesses(resource, capacity, usages, rest) {
                 let known = over.get(&key);
                 if known.is_none_or(|known| known.ratio() < excess.ratio()) {
                     over.insert(key, excess);
@@ -162,39 +162,39 @@
 fn find_excesses<K>(
     resource: Resource,
     capacity: Capacity,
-    counts: &[(K, Usage)],
+    usages: &[(K, Usage)],
     rest: Unlisted,
 ) -> Vec<(K, Excess<K>)>
 where
     K: Copy,
 {
     let others = f64::from(rest.organisations.max(1));
-    let mut demands: Vec<(f64, u32)> = counts
+    let mut demands: Vec<(f64, u32)> = usages
         .iter()
-        .map(|(_, count)| (resource.demand(count), 1))
+        .map(|(_, usage)| (resource.demand(usage), 1))
         .collect();
     if rest.organisations > 0 {
-        demands.push((resource.demand(&rest.count) / others, rest.organisations));
+        demands.push((resource.demand(&rest.usage) / others, rest.organisations));
     }
-    let listed = counts.iter().map(|(_, count)| resource.used(count));
-    let used = listed.sum::<f64>() + resource.used(&rest.count);
+    let listed = usages.iter().map(|(_, usage)| resource.used(usage));
+    let used = listed.sum::<f64>() + resource.used(&rest.usage);
     let capacity = resource.capacity(capacity, used);
     let level = capacity.and_then(|capacity| level(capacity, &mut demands));
     let Some(share) = level.filter(|level| *level > 0.0) else {
         return Vec::new();
     };
-    let waits = |count: &Usage| resource.is_waited_for(count);
-    let listed = counts.iter().filter(|(_, count)| waits(count));
-    let listed = listed.map(|(key, count)| (resource.used(count), Some(*key)));
-    let unlisted = (rest.organisations > 0 && waits(&rest.count))
-        .then(|| (resource.used(&rest.count) / others, None));
+    let waits = |usage: &Usage| resource.is_waited_for(usage);
+    let listed = usages.iter().filter(|(_, usage)| waits(usage));
+    let listed = listed.map(|(key, usage)| (resource.used(usage), Some(*key)));
+    let unlisted = (rest.organisations > 0 && waits(&rest.usage))
+        .then(|| (resource.used(&rest.usage) / others, None));
     let waiting = listed.chain(unlisted).filter(|(used, _)| *used < share);
     let Some((_, behind)) = waiting.min_by(|a, b| a.0.total_cmp(&b.0)) else {
         return Vec::new();
     };
-    let used = counts
+    let used = usages
         .iter()
-        .map(|(key, count)| (*key, resource.used(count)));
+        .map(|(key, usage)| (*key, resource.used(usage)));
     used.filter(|(_, used)| *used > share)
         .map(|(key, used)| {
             let excess = Excess {
--- a/almondlock-policy/src/share/mod.rs
+++ b/almondlock-policy/src/share/mod.rs
@@ -51,15 +51,18 @@
     /// Number of requests that were sent to an engine and have not ended.
     pub slots: u32,
     /// Number of those requests whose first event has not come.
-    pub unread: u32,
+    #[serde(rename = "unread")]
+    pub unanswered: u32,
     /// Reading time of the requests without a first event, in milliseconds, on all engines
     /// together.
-    pub reading: u32,
+    #[serde(rename = "reading")]
+    pub reading_ms: u32,
     /// Number of requests that wait for a slot, at a host or at a caller that was told to return.
     pub queued: u32,
     /// Reading time, in milliseconds, of the prompts that wait for engines' time at a host or at a
     /// caller that was told to return.
-    pub queued_reading: u32,
+    #[serde(rename = "queued_reading")]
+    pub queued_reading_ms: u32,
 }
 
 impl Usage {
@@ -80,7 +83,7 @@
 
     /// Returns a key that orders usages by what is in flight, then by what waits.
     pub fn sort_key(&self) -> (u32, u32, u32) {
-        (self.slots, self.reading, self.queued)
+        (self.slots, self.reading_ms, self.queued)
     }
 
     fn merge<F>(&mut self, other: &Usage, act: F)
@@ -88,10 +91,10 @@
         F: Fn(u32, u32) -> u32,
     {
         self.slots = act(self.slots, other.slots);
-        self.unread = act(self.unread, other.unread);
-        self.reading = act(self.reading, other.reading);
+        self.unanswered = act(self.unanswered, other.unanswered);
+        self.reading_ms = act(self.reading_ms, other.reading_ms);
         self.queued = act(self.queued, other.queued);
-        self.queued_reading = act(self.queued_reading, other.queued_reading);
+        self.queued_reading_ms = act(self.queued_reading_ms, other.queued_reading_ms);
     }
 }
 
@@ -102,5 +105,6 @@
     /// Number of the unlisted organisations.
     pub organisations: u32,
     /// Usage of the unlisted organisations together. Each is assumed to have an equal part.
-    pub count: Usage,
+    #[serde(rename = "count")]
+    pub usage: Usage,
 }
--- a/almondlock-policy/src/slots/mod.rs
+++ b/almondlock-policy/src/slots/mod.rs
@@ -121,7 +121,7 @@
     where
         R: RngCore,
     {
-        let answered = prompt.expected + self.occupancy.hold_time;
+        let answered = prompt.expected_delay + self.occupancy.hold_time;
         let longest = MAX_WAIT.saturating_sub(now.since(prompt.arrived));
         let patience = longest.min(prompt.time_left(now).saturating_sub(answered));
         if self.occupancy.slots == 0 || patience.is_zero() {
--- a/almondlock-policy/src/slots/queue.rs
+++ b/almondlock-policy/src/slots/queue.rs
@@ -16,11 +16,11 @@
     /// Time at which the prompt arrived at the host.
     pub arrived: Mono,
     /// Time at which the whole answer has to be there.
-    pub until: Mono,
+    pub deadline: Mono,
     /// Time from the prompt's arrival within which its first event should be sent.
     pub objective: Duration,
     /// Expected time from getting a slot to the first event.
-    pub expected: Duration,
+    pub expected_delay: Duration,
     /// Rank of the prompt at an engine. A lower rank is more urgent.
     pub priority: u32,
     /// Whether the prompt's organisation is over its share.
@@ -30,12 +30,12 @@
 impl Prompt {
     /// Returns the latest time to get a slot at which the prompt still meets its objective.
     pub fn latest_start(&self) -> Mono {
-        self.arrived + self.objective.saturating_sub(self.expected)
+        self.arrived + self.objective.saturating_sub(self.expected_delay)
     }
 
     /// Returns the time until the prompt's deadline.
     pub(super) const fn time_left(&self, now: Mono) -> Duration {
-        self.until.since(now)
+        self.deadline.since(now)
     }
 }
 
--- a/almondlock-policy/tests/cache_affinity.rs
+++ b/almondlock-policy/tests/cache_affinity.rs
@@ -16,25 +16,25 @@
 use rand::{SeedableRng, rngs::SmallRng};
 
 fn table(host: usize, config: Config) -> Table {
-    let home = Origin {
+    let origin = Origin {
         host: Host::new(&format!("entry-{host}")).unwrap(),
         domain: Domain::new("d0").unwrap(),
         region: Region::new("r0").unwrap(),
     };
-    let mut table = Table::new(config, home);
+    let mut table = Table::new(config, origin);
     for i in 0..18 {
-        let site = Locality {
+        let locality = Locality {
             domain: Domain::new(&format!("d{}", i % 3)).unwrap(),
             region: Region::new("r0").unwrap(),
         };
-        table.insert(&Upstream::new(&format!("engine-{i}")).unwrap(), site);
+        table.insert(&Upstream::new(&format!("engine-{i}")).unwrap(), locality);
     }
     table
 }
 
 const PREFIX: [u64; 8] = [11, 12, 13, 14, 15, 16, 17, 18];
 
-fn ask() -> Query<'static> {
+fn query() -> Query<'static> {
     Query {
         prompt: Tokens(5_000),
         output: Tokens(100),
@@ -49,7 +49,9 @@
     for host in 0..10 {
         let mut rng = SmallRng::seed_from_u64(host as u64);
         let table = table(host, Config::default());
-        let index = Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
+        let index = Sampling
+            .pick(&table, &query(), Mono::ZERO, &mut rng)
+            .unwrap();
         *chosen
             .entry(table.name(index).unwrap().clone())
             .or_default() += 1;
@@ -68,11 +70,11 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let first = table.find(&Upstream::new("engine-7").unwrap()).unwrap();
     table.record_sent(first, Tokens(5_000));
-    table.record_first_token(first, &ask());
+    table.record_first_token(first, &query());
     table.record_end(first, Tokens(5_000), true);
     for _ in 0..50 {
         assert_eq!(
-            Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng),
+            Sampling.pick(&table, &query(), Mono::ZERO, &mut rng),
             Some(first)
         );
     }
@@ -80,7 +82,7 @@
     table.remove(&Upstream::new("engine-7").unwrap());
     assert!(
         Sampling
-            .pick(&table, &ask(), Mono::ZERO, &mut rng)
+            .pick(&table, &query(), Mono::ZERO, &mut rng)
             .is_some()
     );
 }
@@ -91,8 +93,10 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts: HashMap<_, usize> = HashMap::new();
     for _ in 0..360 {
-        let index = Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
-        table.record_sent(index, ask().prompt);
+        let index = Sampling
+            .pick(&table, &query(), Mono::ZERO, &mut rng)
+            .unwrap();
+        table.record_sent(index, query().prompt);
         *counts.entry(index).or_default() += 1;
     }
     let most = counts.values().max().copied();
@@ -104,9 +108,11 @@
 fn a_long_wait_outweighs_a_cached_start() {
     let mut table = table(0, Config::default());
     let mut rng = SmallRng::seed_from_u64(1);
-    let cached = Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
+    let cached = Sampling
+        .pick(&table, &query(), Mono::ZERO, &mut rng)
+        .unwrap();
     table.record_sent(cached, Tokens(5_000));
-    table.record_first_token(cached, &ask());
+    table.record_first_token(cached, &query());
     table.record_end(cached, Tokens(5_000), true);
     let report = Report {
         wait: Duration::from_secs(5),
@@ -116,7 +122,7 @@
         ..Report::default()
     };
     table.record_report(cached, report, Mono::ZERO);
-    let next = Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng);
+    let next = Sampling.pick(&table, &query(), Mono::ZERO, &mut rng);
     assert!(next.is_some_and(|index| index != cached));
 }
 
@@ -127,8 +133,10 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts: HashMap<_, usize> = HashMap::new();
     for _ in 0..360 {
-        let index = Sampling.pick(&table, &ask(), Mono::ZERO, &mut rng).unwrap();
-        table.record_sent(index, ask().prompt);
+        let index = Sampling
+            .pick(&table, &query(), Mono::ZERO, &mut rng)
+            .unwrap();
+        table.record_sent(index, query().prompt);
         let idle = Report {
             free_memory: Tokens(400_000),
             prefill_speed: 8_000,
--- a/almondlock-policy/tests/failed_upstream.rs
+++ b/almondlock-policy/tests/failed_upstream.rs
@@ -18,25 +18,25 @@
 use rand::{SeedableRng, rngs::SmallRng};
 
 fn table(config: Config, upstreams: usize) -> (Table, Vec<Index>) {
-    let site = Locality {
+    let locality = Locality {
         domain: Domain::new("d0").unwrap(),
         region: Region::new("r0").unwrap(),
     };
-    let home = Origin {
+    let origin = Origin {
         host: Host::new("entry-1").unwrap(),
-        domain: site.domain.clone(),
-        region: site.region.clone(),
+        domain: locality.domain.clone(),
+        region: locality.region.clone(),
     };
-    let mut table = Table::new(config, home);
+    let mut table = Table::new(config, origin);
     let name = |i| Upstream::new(&format!("engine-{i}")).unwrap();
-    let all = (0..upstreams).map(|i| table.insert(&name(i), site.clone()));
+    let all = (0..upstreams).map(|i| table.insert(&name(i), locality.clone()));
     let all = all.collect();
     (table, all)
 }
 
 fn used(table: &Table, prompt: u64, now: Mono) -> BTreeSet<u64> {
     let mut rng = SmallRng::seed_from_u64(9);
-    let ask = Query {
+    let query = Query {
         prompt: Tokens(prompt),
         ..Query::default()
     };
@@ -44,7 +44,7 @@
         let name: &Upstream = table.name(index)?;
         name.as_str()["engine-".len()..].parse().ok()
     };
-    let pick = |_| Sampling.pick(table, &ask, now, &mut rng).and_then(number);
+    let pick = |_| Sampling.pick(table, &query, now, &mut rng).and_then(number);
     (0..500).filter_map(pick).collect()
 }
 
--- a/almondlock-policy/tests/herd_choice.rs
+++ b/almondlock-policy/tests/herd_choice.rs
@@ -18,18 +18,18 @@
 use yare::parameterized;
 
 fn table(host: usize, upstreams: usize) -> Table {
-    let home = Origin {
+    let origin = Origin {
         host: Host::new(&format!("entry-{host}")).unwrap(),
         domain: Domain::new("d0").unwrap(),
         region: Region::new("r0").unwrap(),
     };
-    let mut table = Table::new(Config::default(), home);
+    let mut table = Table::new(Config::default(), origin);
     for i in 0..upstreams {
-        let site = Locality {
+        let locality = Locality {
             domain: Domain::new(&format!("d{}", i % 3)).unwrap(),
             region: Region::new("r0").unwrap(),
         };
-        table.insert(&Upstream::new(&format!("engine-{i}")).unwrap(), site);
+        table.insert(&Upstream::new(&format!("engine-{i}")).unwrap(), locality);
     }
     table
 }
@@ -58,12 +58,12 @@
             table.record_report(index, report, now);
         }
         for _ in 0..20 {
-            let ask = Query {
+            let query = Query {
                 prompt: Tokens(1_000),
                 ..Query::default()
             };
-            let index = picker.pick(&table, &ask, now, &mut rng).unwrap();
-            table.record_sent(index, ask.prompt);
+            let index = picker.pick(&table, &query, now, &mut rng).unwrap();
+            table.record_sent(index, query.prompt);
             *counts
                 .entry(table.name(index).unwrap().clone())
                 .or_default() += 1;
@@ -93,13 +93,13 @@
         ..Report::default()
     };
     table.record_report(busy, report, now);
-    let ask = Query {
+    let query = Query {
         prompt: Tokens(100),
         ..Query::default()
     };
     let mut share = |table: &Table, at| {
         (0..200)
-            .filter(|_| Sampling.pick(table, &ask, at, &mut rng) == Some(busy))
+            .filter(|_| Sampling.pick(table, &query, at, &mut rng) == Some(busy))
             .count()
     };
     assert_eq!(share(&table, now), 0);
@@ -115,12 +115,12 @@
     let mut counts: HashMap<_, usize> = HashMap::new();
     let sends = 20 * upstreams.min(32);
     for _ in 0..sends {
-        let ask = Query {
+        let query = Query {
             prompt: Tokens(1_000),
             ..Query::default()
         };
-        let index = Sampling.pick(&table, &ask, Mono::ZERO, &mut rng).unwrap();
-        table.record_sent(index, ask.prompt);
+        let index = Sampling.pick(&table, &query, Mono::ZERO, &mut rng).unwrap();
+        table.record_sent(index, query.prompt);
         *counts.entry(index).or_default() += 1;
     }
     let most = counts.into_values().max().unwrap();
--- a/almondlock-policy/tests/max_min.rs
+++ b/almondlock-policy/tests/max_min.rs
@@ -20,14 +20,14 @@
 fn streams(slots: u32, unread: u32, queued: u32) -> Usage {
     Usage {
         slots,
-        unread,
+        unanswered: unread,
         queued,
         ..Usage::default()
     }
 }
 
-fn judge(counts: &[(u32, Usage)]) -> Assessment<u32> {
-    Assessment::new(TEN, counts, Unlisted::default())
+fn assess(usages: &[(u32, Usage)]) -> Assessment<u32> {
+    Assessment::new(TEN, usages, Unlisted::default())
 }
 
 #[parameterized(
@@ -59,23 +59,23 @@
 /// Nothing is contended: an organisation that has nearly all there is stays within.
 #[test]
 fn no_contention() {
-    let ruling = judge(&[(1, streams(100, 20, 0)), (2, streams(5, 5, 0))]);
-    assert!(ruling.is_empty());
+    let assessment = assess(&[(1, streams(100, 20, 0)), (2, streams(5, 5, 0))]);
+    assert!(assessment.is_empty());
 }
 
 /// Slots are contended. Whoever has more than the level is over, by as much as it has more.
 #[test]
 fn greedy_is_over() {
     let small = streams(10, 2, 0);
-    let ruling = judge(&[(1, streams(100, 40, 20)), (2, small), (3, small)]);
-    let excess = ruling.excess(&1).unwrap();
+    let assessment = assess(&[(1, streams(100, 40, 20)), (2, small), (3, small)]);
+    let excess = assessment.excess(&1).unwrap();
     assert_eq!(
         (excess.resource, excess.used, excess.share),
         (Resource::Slots, 100.0, 90.0)
     );
     assert!(matches!(excess.least_served, Some(2 | 3)));
-    assert_eq!(ruling.standing(&2), Standing::Within);
-    let Standing::Over { by } = ruling.standing(&1) else {
+    assert_eq!(assessment.standing(&2), Standing::Within);
+    let Standing::Over { by } = assessment.standing(&1) else {
         panic!("within");
     };
     assert!((by - 1.0 / 9.0).abs() < 1e-9);
@@ -85,17 +85,17 @@
 #[test]
 fn nobody_waits() {
     let small = streams(10, 0, 0);
-    let ruling = judge(&[(1, streams(130, 40, 20)), (2, small), (3, small)]);
-    assert!(ruling.is_empty());
+    let assessment = assess(&[(1, streams(130, 40, 20)), (2, small), (3, small)]);
+    assert!(assessment.is_empty());
 }
 
 fn prompts(reading: u32, unread: u32, refused: u32) -> Usage {
     Usage {
         slots: unread,
-        unread,
-        reading,
+        unanswered: unread,
+        reading_ms: reading,
         queued: 0,
-        queued_reading: refused * 5_000,
+        queued_reading_ms: refused * 5_000,
     }
 }
 
@@ -103,8 +103,8 @@
 /// organisation was refused. What is promised is shared out.
 #[test]
 fn reading_is_contended() {
-    let ruling = judge(&[(1, prompts(50_000, 10, 3)), (2, prompts(10_000, 2, 1))]);
-    let excess = ruling.excess(&1).unwrap();
+    let assessment = assess(&[(1, prompts(50_000, 10, 3)), (2, prompts(10_000, 2, 1))]);
+    let excess = assessment.excess(&1).unwrap();
     assert_eq!(
         (
             excess.resource,
@@ -114,7 +114,7 @@
         ),
         (Resource::Reading, 50_000.0, 45_000.0, Some(2))
     );
-    assert_eq!(ruling.standing(&2), Standing::Within);
+    assert_eq!(assessment.standing(&2), Standing::Within);
 }
 
 /// Long prompts are read for seconds and others' first events haven't come, as at any time;
@@ -126,7 +126,7 @@
     idle = { prompts(1_100, 1, 0), prompts(100, 1, 1) },
 )]
 fn usual_reading(large: Usage, small: Usage) {
-    assert!(judge(&[(1, large), (2, small)]).is_empty());
+    assert!(assess(&[(1, large), (2, small)]).is_empty());
 }
 
 /// Many long prompts are refused for want of engines' time while slots are free: that makes
@@ -134,28 +134,28 @@
 #[test]
 fn refused_prompts_take_no_slot() {
     let waiting = prompts(0, 0, 600);
-    let ruling = judge(&[(1, streams(60, 5, 0)), (2, waiting), (3, streams(20, 5, 0))]);
-    assert!(ruling.is_empty());
+    let assessment = assess(&[(1, streams(60, 5, 0)), (2, waiting), (3, streams(20, 5, 0))]);
+    assert!(assessment.is_empty());
 }
 
-/// Small organisations that are not listed still have shares, and their waiting counts.
+/// Small organisations that are not listed still have shares, and their waiting usages.
 #[test]
 fn unlisted_count() {
     let rest = Unlisted {
         organisations: 10,
-        count: streams(50, 10, 0),
+        usage: streams(50, 10, 0),
     };
-    let ruling = Assessment::new(TEN, &[(1_u32, streams(100, 30, 0))], rest);
-    let excess = ruling.excess(&1).unwrap();
+    let assessment = Assessment::new(TEN, &[(1_u32, streams(100, 30, 0))], rest);
+    let excess = assessment.excess(&1).unwrap();
     assert_eq!((excess.share, excess.least_served), (60.0, None));
 }
 
 /// Without engines nothing can be shared out, and nobody is put behind.
 #[test]
 fn no_engines() {
-    let counts = [(1, streams(5, 5, 0)), (2, streams(1, 1, 0))];
-    let ruling = Assessment::new(Capacity::default(), &counts, Unlisted::default());
-    assert!(ruling.is_empty());
+    let usages = [(1, streams(5, 5, 0)), (2, streams(1, 1, 0))];
+    let assessment = Assessment::new(Capacity::default(), &usages, Unlisted::default());
+    assert!(assessment.is_empty());
 }
 
 fn speed() -> Speed {
--- a/almondlock-policy/tests/outlier_ejection.rs
+++ b/almondlock-policy/tests/outlier_ejection.rs
@@ -19,7 +19,7 @@
 }
 
 /// What several hosts reported of an upstream.
-fn account(answers: u32, failures: u32, slowness: f64) -> Summary {
+fn summary(answers: u32, failures: u32, slowness: f64) -> Summary {
     Summary {
         hosts: 5,
         answers,
@@ -33,11 +33,11 @@
 
 /// A host that was told this of upstream 0, and that all others are well.
 fn told(of_first: Summary) -> Detector<u32> {
-    let mut table = Detector::default();
-    let well = account(10, 0, 1.0);
-    let accounts = MEMBERS.map(|key| (key, if key == 0 { of_first } else { well }));
-    table.replace_reported(START, HashMap::from(accounts));
-    table
+    let mut detector = Detector::default();
+    let well = summary(10, 0, 1.0);
+    let summaries = MEMBERS.map(|key| (key, if key == 0 { of_first } else { well }));
+    detector.replace_reported(START, HashMap::from(summaries));
+    detector
 }
 
 /// Guards against judgements by too little, and against none where it is clear.
@@ -50,47 +50,55 @@
     far_slower = { 10, 0, 5.0, true },
 )]
 fn reported(answers: u32, failures: u32, slowness: f64, is_ejected: bool) {
-    let mut table = told(account(answers, failures, slowness));
-    let changes = table.review(START, &MEMBERS, &mut rng());
-    assert_eq!(table.is_ejected(&0), is_ejected, "{changes:?}");
+    let mut detector = told(summary(answers, failures, slowness));
+    let changes = detector.review(START, &MEMBERS, &mut rng());
+    assert_eq!(detector.is_ejected(&0), is_ejected, "{changes:?}");
     assert_eq!(changes.len(), usize::from(is_ejected));
 }
 
 /// Guards against placement that takes a slower upstream for as good as others.
 #[test]
 fn rate_of_slower() {
-    let mut table = told(account(10, 0, 2.0));
-    table.review(START, &MEMBERS, &mut rng());
-    assert!((table.rate(&0) - 0.5).abs() < 0.01);
-    assert!((table.rate(&1) - 1.0).abs() < f64::EPSILON);
+    let mut detector = told(summary(10, 0, 2.0));
+    detector.review(START, &MEMBERS, &mut rng());
+    assert!((detector.rate(&0) - 0.5).abs() < 0.01);
+    assert!((detector.rate(&1) - 1.0).abs() < f64::EPSILON);
 }
 
 /// Guards against reports that count when they are older than 3 s.
 #[test]
 fn old_news() {
-    let mut table = told(account(5, 5, 1.0));
-    assert!(table.review(after(3_001), &MEMBERS, &mut rng()).is_empty());
+    let mut detector = told(summary(5, 5, 1.0));
+    assert!(
+        detector
+            .review(after(3_001), &MEMBERS, &mut rng())
+            .is_empty()
+    );
 }
 
 /// Guards against own observations that count when they are older than 3 s.
 #[test]
 fn old_observations() {
-    let mut table = Detector::default();
-    failing(&mut table, START);
-    assert!(table.review(after(3_001), &MEMBERS, &mut rng()).is_empty());
-    failing(&mut table, after(4_000));
-    assert_eq!(table.review(after(4_001), &MEMBERS, &mut rng()).len(), 1);
+    let mut detector = Detector::default();
+    failing(&mut detector, START);
+    assert!(
+        detector
+            .review(after(3_001), &MEMBERS, &mut rng())
+            .is_empty()
+    );
+    failing(&mut detector, after(4_000));
+    assert_eq!(detector.review(after(4_001), &MEMBERS, &mut rng()).len(), 1);
 }
 
 /// A host observes that upstream 0 fails and all others answer.
-fn failing(table: &mut Detector<u32>, now: Mono) {
+fn failing(detector: &mut Detector<u32>, now: Mono) {
     for key in MEMBERS {
         let sample = match key {
             0 => Sample::Failure,
             _ => Sample::Answer,
         };
         for _ in 0..4 {
-            table.observe(now, &key, sample);
+            detector.observe(now, &key, sample);
         }
     }
 }
@@ -101,7 +109,7 @@
 fn one_reporter() {
     let report = |answers, failures, slowness| Summary {
         hosts: 1,
-        ..account(answers, failures, slowness)
+        ..summary(answers, failures, slowness)
     };
     let lie = report(0, 250, 9.0);
     let alone = Summary::pool(&[lie]);
@@ -118,64 +126,64 @@
 /// Guards against an upstream that is judged by what its earlier life did.
 #[test]
 fn another_life() {
-    let mut table = Detector::default();
-    failing(&mut table, START);
-    assert_eq!(table.review(START, &MEMBERS, &mut rng()).len(), 1);
-    table.forget(&0);
-    assert!(!table.is_ejected(&0));
-    assert!(table.review(after(200), &MEMBERS, &mut rng()).is_empty());
+    let mut detector = Detector::default();
+    failing(&mut detector, START);
+    assert_eq!(detector.review(START, &MEMBERS, &mut rng()).len(), 1);
+    detector.forget(&0);
+    assert!(!detector.is_ejected(&0));
+    assert!(detector.review(after(200), &MEMBERS, &mut rng()).is_empty());
 }
 
 /// Guards against more than a third of the upstreams ejected, and against the best of the
 /// outliers in place of the worst.
 #[test]
 fn a_third() {
-    let mut table = Detector::default();
+    let mut detector = Detector::default();
     let slowness = [4.0, 9.0, 5.0, 1.0, 1.0, 1.0, 1.0];
-    let accounts = (0..7).zip(slowness.map(|slowness| account(9, 0, slowness)));
-    table.replace_reported(START, accounts.collect());
+    let summaries = (0..7).zip(slowness.map(|slowness| summary(9, 0, slowness)));
+    detector.replace_reported(START, summaries.collect());
     let members = [0, 1, 2, 3, 4, 5, 6];
-    table.review(START, &members, &mut rng());
+    detector.review(START, &members, &mut rng());
     let ejected: Vec<u32> = members
         .into_iter()
-        .filter(|key| table.is_ejected(key))
+        .filter(|key| detector.is_ejected(key))
         .collect();
     assert_eq!(ejected, [1, 2]);
-    assert!(table.rate(&0) < 0.3);
+    assert!(detector.rate(&0) < 0.3);
 }
 
 /// Guards against more than a third that stay ejected once others are evacuated or leave, and
 /// against the worst reinstated in place of the best.
 #[test]
 fn a_third_of_fewer() {
-    let mut table = Detector::default();
+    let mut detector = Detector::default();
     let slowness = [9.0, 5.0, 1.0, 1.0, 1.0, 1.0, 1.0];
-    let accounts = (0..7).zip(slowness.map(|slowness| account(9, 0, slowness)));
-    table.replace_reported(START, accounts.collect());
+    let summaries = (0..7).zip(slowness.map(|slowness| summary(9, 0, slowness)));
+    detector.replace_reported(START, summaries.collect());
     let members = [0, 1, 2, 3, 4, 5, 6];
-    assert_eq!(table.review(START, &members, &mut rng()).len(), 2);
-    let changes = table.review(after(200), &members[..5], &mut rng());
+    assert_eq!(detector.review(START, &members, &mut rng()).len(), 2);
+    let changes = detector.review(after(200), &members[..5], &mut rng());
     let changed: Vec<(u32, bool)> = changes.iter().map(|c| (c.key, c.is_ejected)).collect();
     assert_eq!(changed, [(1, false)]);
-    assert!(table.is_ejected(&0) && !table.is_ejected(&1));
-    assert!(table.rate(&1) < 0.3);
-    let changes = table.review(after(400), &members[..5], &mut rng());
+    assert!(detector.is_ejected(&0) && !detector.is_ejected(&1));
+    assert!(detector.rate(&1) < 0.3);
+    let changes = detector.review(after(400), &members[..5], &mut rng());
     assert!(changes.is_empty());
 }
 
 /// Guards against a host with late timers that takes its own delay for the upstreams'.
 #[test]
 fn late_timers() {
-    let mut table = Detector::default();
-    table.stall.note_delay(START, Duration::from_millis(300));
+    let mut detector = Detector::default();
+    detector.stall.note_delay(START, Duration::from_millis(300));
     for _ in 0..10 {
-        table.observe(after(100), &0, Sample::Time(9.0));
+        detector.observe(after(100), &0, Sample::Time(9.0));
         for key in &MEMBERS[1..] {
-            table.observe(after(600), key, Sample::Time(1.0));
+            detector.observe(after(600), key, Sample::Time(1.0));
         }
     }
-    assert!(table.review(after(600), &MEMBERS, &mut rng()).is_empty());
-    let reported: Vec<u32> = table
+    assert!(detector.review(after(600), &MEMBERS, &mut rng()).is_empty());
+    let reported: Vec<u32> = detector
         .report(after(600))
         .iter()
         .map(|(key, _)| *key)
@@ -189,31 +197,34 @@
     slow = { Sample::Time(4.0) },
 )]
 fn self_doubt(sample: Sample) {
-    let mut table = Detector::default();
+    let mut detector = Detector::default();
     for key in MEMBERS {
         for _ in 0..8 {
-            table.observe(START, &key, sample);
+            detector.observe(START, &key, sample);
         }
     }
-    assert!(table.review(START, &MEMBERS, &mut rng()).is_empty());
-    assert!(table.report(START).is_empty());
+    assert!(detector.review(START, &MEMBERS, &mut rng()).is_empty());
+    assert!(detector.report(START).is_empty());
 }
 
 /// Guards against probes that one host sends as often as all hosts together should, and
 /// against an ejected upstream that nobody probes.
 #[test]
 fn probes() {
-    let mut table = Detector::default();
+    let mut detector = Detector::default();
     let mut rng = rng();
-    failing(&mut table, START);
-    table.review(START, &MEMBERS, &mut rng);
+    failing(&mut detector, START);
+    detector.review(START, &MEMBERS, &mut rng);
     let mut count = 0;
     for tick in 0..3_000 {
         // News keep coming, without any of this upstream.
         let now = after(tick * 100);
-        table.replace_reported(now, HashMap::new());
-        count += u32::from(table.try_probe(now, &0, 30, &mut rng));
-        assert!(!table.try_probe(now, &1, 30, &mut rng), "it isn't ejected");
+        detector.replace_reported(now, HashMap::new());
+        count += u32::from(detector.try_probe(now, &0, 30, &mut rng));
+        assert!(
+            !detector.try_probe(now, &1, 30, &mut rng),
+            "it isn't ejected"
+        );
     }
     assert!(
         (1..=12).contains(&count),
@@ -224,36 +235,40 @@
 /// Guards against upstreams that are never reinstated without relays.
 #[test]
 fn reinstated_alone() {
-    let mut table = Detector::default();
-    failing(&mut table, START);
-    table.review(START, &MEMBERS, &mut rng());
+    let mut detector = Detector::default();
+    failing(&mut detector, START);
+    detector.review(START, &MEMBERS, &mut rng());
     for n in 1..=4 {
-        assert!(table.is_ejected(&0), "after {n} probes");
-        assert!(table.record_probe(&0, after(n * 1_000), true));
-        table.review(after(n * 1_000), &MEMBERS, &mut rng());
+        assert!(detector.is_ejected(&0), "after {n} probes");
+        assert!(detector.record_probe(&0, after(n * 1_000), true));
+        detector.review(after(n * 1_000), &MEMBERS, &mut rng());
     }
-    assert!(!table.is_ejected(&0));
+    assert!(!detector.is_ejected(&0));
 }
 
 /// Guards against requests that were sent before the ejection and count as probes.
 #[test]
 fn sent_before() {
-    let mut table = Detector::default();
-    failing(&mut table, START);
-    table.review(after(100), &MEMBERS, &mut rng());
-    assert!(!table.record_probe(&0, START, true));
-    assert!(table.record_probe(&0, after(200), false));
+    let mut detector = Detector::default();
+    failing(&mut detector, START);
+    detector.review(after(100), &MEMBERS, &mut rng());
+    assert!(!detector.record_probe(&0, START, true));
+    assert!(detector.record_probe(&0, after(200), false));
 }
 
 /// Guards against an upstream that stays ejected for good because no request of its service may
 /// probe it.
 #[test]
 fn no_probes() {
-    let mut table = Detector::default();
-    failing(&mut table, START);
-    table.review(START, &MEMBERS, &mut rng());
-    assert!(table.review(after(9_000), &MEMBERS, &mut rng()).is_empty());
-    let changes = table.review(after(10_000), &MEMBERS, &mut rng());
+    let mut detector = Detector::default();
+    failing(&mut detector, START);
+    detector.review(START, &MEMBERS, &mut rng());
+    assert!(
+        detector
+            .review(after(9_000), &MEMBERS, &mut rng())
+            .is_empty()
+    );
+    let changes = detector.review(after(10_000), &MEMBERS, &mut rng());
     assert_eq!(changes.len(), 1);
-    assert!(!table.is_ejected(&0) && WINDOW < Duration::from_secs(10));
+    assert!(!detector.is_ejected(&0) && WINDOW < Duration::from_secs(10));
 }
--- a/almondlock-policy/tests/subset_spread.rs
+++ b/almondlock-policy/tests/subset_spread.rs
@@ -19,7 +19,7 @@
     Upstream::new(&format!("engine-{i}")).unwrap()
 }
 
-fn site(i: usize) -> Locality {
+fn locality(i: usize) -> Locality {
     Locality {
         domain: Domain::new(&format!("d{}", i % 6)).unwrap(),
         region: Region::new(&format!("r{}", i % 2)).unwrap(),
@@ -27,14 +27,14 @@
 }
 
 fn table(host: usize, upstreams: usize) -> Table {
-    let home = Origin {
+    let origin = Origin {
         host: Host::new(&format!("entry-{host}")).unwrap(),
         domain: Domain::new("d0").unwrap(),
         region: Region::new("r0").unwrap(),
     };
-    let mut table = Table::new(Config::default(), home);
+    let mut table = Table::new(Config::default(), origin);
     for i in 0..upstreams {
-        table.insert(&name(i), site(i));
+        table.insert(&name(i), locality(i));
     }
     table
 }
@@ -75,8 +75,8 @@
         let table = table(host, 880);
         for member in used(&table) {
             let i: usize = member.as_str()["engine-".len()..].parse().unwrap();
-            assert_eq!(site(i).region.as_str(), "r0");
-            *domains.entry(site(i).domain).or_default() += 1;
+            assert_eq!(locality(i).region.as_str(), "r0");
+            *domains.entry(locality(i).domain).or_default() += 1;
         }
         assert_eq!(domains.len(), 3);
         assert!(domains.values().all(|count| *count >= 10), "{domains:?}");
@@ -88,14 +88,14 @@
     let mut table = table(0, 880);
     let before = used(&table);
     for i in 880..890 {
-        table.insert(&name(i), site(i));
+        table.insert(&name(i), locality(i));
     }
     let after = used(&table);
     assert!(before.intersection(&after).count() >= 28);
     // Order of arrival makes no difference.
     let mut other = self::table(0, 0);
     for i in (0..890).rev() {
-        other.insert(&name(i), site(i));
+        other.insert(&name(i), locality(i));
     }
     assert_eq!(used(&other), after);
 }
@@ -124,24 +124,24 @@
         .iter()
         .filter_map(|i| table.find(&name(*i)))
         .collect();
-    let ask = Query {
+    let query = Query {
         prompt: Tokens(10),
         excluded: &excluded,
         ..Query::default()
     };
     for _ in 0..200 {
-        let index = Sampling.pick(&table, &ask, Mono::ZERO, &mut rng).unwrap();
+        let index = Sampling.pick(&table, &query, Mono::ZERO, &mut rng).unwrap();
         assert!(!excluded.contains(&index) && index != gone);
     }
     // The slot is used again; news of the one that was there are ignored.
-    table.insert(&name(2), site(2));
+    table.insert(&name(2), locality(2));
     table.record_sent(gone, Tokens(10));
     table.record_end(gone, Tokens(10), false);
     assert_eq!(table.name(gone), None);
     let all: Vec<Index> = (0..6).filter_map(|i| table.find(&name(i))).collect();
-    let ask = Query {
+    let query = Query {
         excluded: &all,
         ..Query::default()
     };
-    assert_eq!(Sampling.pick(&table, &ask, Mono::ZERO, &mut rng), None);
+    assert_eq!(Sampling.pick(&table, &query, Mono::ZERO, &mut rng), None);
 }
