--- a/almondlock-policy/tests/cache_affinity.rs
+++ b/almondlock-policy/tests/cache_affinity.rs
@@ -1,7 +1,7 @@
-//! Prompts that share their start are sent through any entry host. Processing
-//! the start once and finding it cached from then on saves most of the time to
-//! the first token; but a popular start must not pile everything on the one
-//! upstream that has it, and a wrong belief may cost time, never an answer.
+//! Prompts with a common prefix arrive at any entry host, and a cached prefix
+//! saves most of the time to the first token. Guards against entry hosts that
+//! send them to different upstreams, against a popular prefix that overloads the
+//! upstream that has it cached, and against a wrong hint that costs an answer.
 
 #![cfg(test)]
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn entry_hosts_agree_without_talking() {
+fn hosts_agree() {
     let mut chosen: HashMap<Upstream, usize> = HashMap::new();
     for host in 0..10 {
         let mut rng = SmallRng::seed_from_u64(host as u64);
@@ -56,12 +56,12 @@
             .entry(table.name(index).unwrap().clone())
             .or_default() += 1;
     }
-    // The prefix hashes to two upstreams; nothing else is chosen.
+    // The prefix hashes to two upstreams, and no other is chosen.
     assert!(chosen.len() <= 2, "{chosen:?}");
 }
 
 #[test]
-fn what_was_processed_is_found_again() {
+fn processed_prefix_found() {
     let config = Config {
         assumed_hit_percent: 0,
         ..Config::default()
@@ -78,7 +78,7 @@
             Some(first)
         );
     }
-    // When it is gone, so is the belief.
+    // Removing the upstream removes the hint.
     table.remove(&Upstream::new("engine-7").unwrap());
     assert!(
         Sampling
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_popular_prefix_spills_over() {
+fn popular_prefix_spills() {
     let mut table = table(0, Config::default());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts: HashMap<_, usize> = HashMap::new();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_long_wait_outweighs_a_cached_start() {
+fn wait_outweighs_cache() {
     let mut table = table(0, Config::default());
     let mut rng = SmallRng::seed_from_u64(1);
     let cached = Sampling
@@ -126,9 +126,9 @@
     assert!(next.is_some_and(|index| index != cached));
 }
 
-/// Reports that lag behind say that nothing waits there, each time anew.
+/// Guards against stale reports that lift the bound: each one says that the upstream is idle.
 #[test]
-fn lagging_reports_do_not_lift_the_bound() {
+fn stale_reports_bounded() {
     let mut table = table(0, Config::default());
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts: HashMap<_, usize> = HashMap::new();
--- a/almondlock-policy/tests/engine_cells.rs
+++ b/almondlock-policy/tests/engine_cells.rs
@@ -1,4 +1,6 @@
-//! Engines divided into cells, from which a host takes its own first.
+//! Engines are divided into cells, and a host uses its own cell first. Guards against cells that
+//! are too small for the largest prompts, against hosts that divide the engines differently, and
+//! against hosts that all use the same cell.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +13,7 @@
     Domain::new(&format!("d-{n}")).unwrap()
 }
 
-/// So many engines in each failure domain.
+/// Creates the given number of engines in each failure domain.
 fn engines(counts: &[usize]) -> Vec<(Upstream, Domain)> {
     let mut engines: Vec<(Upstream, Domain)> = Vec::new();
     for (place, count) in counts.iter().enumerate() {
@@ -28,7 +30,7 @@
     cell::assign(engines, own, host)
 }
 
-/// The sizes of the cells, the host's own first.
+/// Returns the sizes of the cells, the host's own first.
 fn sizes(cells: &[usize]) -> Vec<usize> {
     let mut sizes: BTreeMap<usize, usize> = BTreeMap::new();
     for cell in cells {
@@ -37,8 +39,8 @@
     sizes.into_values().collect()
 }
 
-/// Failure domains that are large enough have a cell each. Those that aren't share
-/// one, or join another one if they are too few together.
+/// Failure domains that are large enough have a cell each. Smaller ones share a cell, or join
+/// another domain's cell if they are too small together.
 #[parameterized(
     one_each = { &[23, 23, 22], &[23, 23, 22] },
     all_too_small = { &[5, 5, 4], &[14] },
@@ -52,7 +54,7 @@
     assert_eq!(sizes(&cells), expected);
 }
 
-/// The host's own cell is the one of its failure domain, whichever that is.
+/// The host's own cell is that of its failure domain, whichever that is.
 #[test]
 fn own_first() {
     let engines = engines(&[23, 24, 25]);
@@ -65,8 +67,8 @@
     }
 }
 
-/// A failure domain with hundreds of engines is divided, by all hosts in the same way,
-/// and they begin in different cells of it.
+/// All hosts divide a failure domain with hundreds of engines in the same way, and their own
+/// cells in it differ.
 #[test]
 fn large_domain() {
     let engines = engines(&[200, 200]);
@@ -82,8 +84,8 @@
     assert_eq!(owners.into_values().collect::<Vec<_>>(), [8; 5]);
 }
 
-/// Guards against hosts that all crowd one cell when their own failure domain has no engines,
-/// as while it is evacuated: they share the others.
+/// Guards against hosts that all use the same cell while their own failure domain has no engines,
+/// for example since it is evacuated. They are distributed over the other cells.
 #[test]
 fn domain_without_engines() {
     let own = |host| sizes(&assign(&engines(&[23, 24]), &domain(7), host));
@@ -92,7 +94,7 @@
     assert_eq!(own(2), own(0));
 }
 
-/// Two others are looked at, never the same one twice.
+/// Two other cells are compared, never the same one twice.
 #[test]
 fn two_drawn() {
     let mut rng = SmallRng::seed_from_u64(1);
--- a/almondlock-policy/tests/failed_upstream.rs
+++ b/almondlock-policy/tests/failed_upstream.rs
@@ -1,7 +1,7 @@
-//! An upstream dies while the configuration still lists it. Callers must not be
-//! sent there one after the other; it is asked again after a while, and at once
-//! when there is nothing else. One that never answers a probe must not keep the
-//! others from being probed.
+//! An upstream dies while the configuration still lists it. Guards against
+//! further attempts at the dead upstream while others are usable, against a
+//! refusal while only failed upstreams are left, and against an upstream that
+//! never answers a probe and keeps the others from being probed.
 
 #![cfg(test)]
 
@@ -34,6 +34,7 @@
     (table, all)
 }
 
+/// Returns the numbers of the upstreams that are selected for prompts of this length.
 fn used(table: &Table, prompt: u64, now: Mono) -> BTreeSet<u64> {
     let mut rng = SmallRng::seed_from_u64(9);
     let query = Query {
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn passed_over_for_a_while() {
+fn failed_passed_over() {
     let (mut table, all) = table(Config::default(), 4);
     let now = Mono::from_millis(1_000);
     table.record_failure(all[1], now);
@@ -59,11 +60,15 @@
     for index in all {
         table.record_failure(index, now);
     }
-    assert_eq!(used(&table, 10, now).len(), 4, "better than a refusal");
+    assert_eq!(
+        used(&table, 10, now).len(),
+        4,
+        "a failed upstream is better than a refusal"
+    );
 }
 
 #[test]
-fn probes_go_round() {
+fn probes_rotate() {
     let (mut table, all) = table(Config::default(), 5);
     let now = Mono::from_millis(1_000);
     let age = Duration::from_millis(200);
@@ -72,7 +77,11 @@
     assert_eq!(asked.len(), 8);
     assert!(!asked.contains(&all[3]));
     let first: BTreeSet<_> = asked[..4].iter().map(|index| table.name(*index)).collect();
-    assert_eq!(first.len(), 4, "each once before one twice");
+    assert_eq!(
+        first.len(),
+        4,
+        "each is probed once before one is probed again"
+    );
     for index in &all {
         table.record_report(*index, Report::default(), now);
     }
@@ -80,7 +89,7 @@
 }
 
 #[test]
-fn long_prompts_keep_off_upstreams_for_short_ones() {
+fn kept_for_short() {
     let config = Config {
         short_only_percent: 50,
         ..Config::default()
--- a/almondlock-policy/tests/first_moments.rs
+++ b/almondlock-policy/tests/first_moments.rs
@@ -1,4 +1,6 @@
-//! All hosts start at once, and two seconds' worth of callers come with the first listener.
+//! All hosts start at the same time, and two seconds' worth of requests arrive as soon as the first
+//! one listens. Guards against prompts that are placed too early in this situation, or held back
+//! until they are late.
 
 use std::time::Duration;
 
@@ -21,8 +23,9 @@
     }
 }
 
-/// Guards against long prompts that take all engines before short ones are placed, against
-/// prompts placed without knowledge, and against either of them waiting until it is late.
+/// Guards against long prompts that occupy all engines before short ones are placed, against
+/// prompts that are placed before loads are known, and against prompts that wait until they are
+/// late.
 #[parameterized(
     short_informed = { prompt(400, 0, 250, 35, true), None },
     short_uninformed = { prompt(400, 0, 250, 35, false), Some(31) },
@@ -40,9 +43,9 @@
     assert_eq!(held.map(|left| left.as_millis()), expected.map(u128::from));
 }
 
-/// Guards against a host that holds prompts though nobody asked for it.
+/// Guards against a host that holds prompts back although no settling time is configured.
 #[test]
-fn nothing_asked() {
+fn no_settling() {
     assert_eq!(
         hold_time(Duration::ZERO, &prompt(0, 0, 8_000, 9_000, false)),
         None
--- a/almondlock-policy/tests/herd_choice.rs
+++ b/almondlock-policy/tests/herd_choice.rs
@@ -1,6 +1,6 @@
-//! Load reports lag. Between two reports all entry hosts see the same idle
-//! upstream; if each goes for the lowest figure, all callers of that moment
-//! wait behind each other there while others stand idle.
+//! Load reports are stale. Between two reports all entry hosts see the same idle
+//! upstream. Guards against a herd: if each host chose the lowest reported load,
+//! all requests of that moment would queue there while other upstreams are idle.
 
 #![cfg(test)]
 
@@ -34,8 +34,8 @@
     table
 }
 
-/// Three entry hosts hear that one of 18 upstreams is idle and send 20 requests
-/// each before the next report. The largest number on one upstream.
+/// Three entry hosts get reports that one of 18 upstreams is idle, and send 20 requests each
+/// before the next report. Returns the largest number of requests at one upstream.
 fn worst<P>(picker: P) -> usize
 where
     P: Picker,
@@ -73,16 +73,17 @@
 }
 
 #[test]
-fn probing_spreads_where_least_reported_piles_up() {
+fn sampling_spreads() {
     assert_eq!(worst(LeastReported), 60);
-    // An even spread is 4 to 5; the idle one may take up to what it is behind.
-    let probing = worst(Sampling);
-    assert!(probing <= 12, "{probing} on one upstream");
+    // An even spread is 3 to 4 requests each; the idle upstream may get about as many more as
+    // it has fewer in flight.
+    let most = worst(Sampling);
+    assert!(most <= 12, "{most} at one upstream");
     assert!(worst(Random) <= 12);
 }
 
 #[test]
-fn old_figures_fade() {
+fn old_reports_decay() {
     let mut table = table(0, 2);
     let mut rng = SmallRng::seed_from_u64(3);
     let now = Mono::from_millis(1_000);
@@ -103,13 +104,13 @@
             .count()
     };
     assert_eq!(share(&table, now), 0);
-    // What was busy a minute ago is no worse than the other one.
+    // An upstream that was busy a minute ago is as good as the other one.
     let later = share(&table, Mono::from_millis(61_000));
     assert!((60..140).contains(&later), "{later} of 200");
 }
 
 #[parameterized(small = { 18 }, middle = { 100 }, large = { 880 })]
-fn own_work_counts_at_once(upstreams: usize) {
+fn own_attempts_counted(upstreams: usize) {
     let mut table = table(0, upstreams);
     let mut rng = SmallRng::seed_from_u64(5);
     let mut counts: HashMap<_, usize> = HashMap::new();
@@ -124,5 +125,5 @@
         *counts.entry(index).or_default() += 1;
     }
     let most = counts.into_values().max().unwrap();
-    assert!(most <= 26, "{most} on one where 20 is even");
+    assert!(most <= 26, "{most} at one upstream, where 20 is even");
 }
--- a/almondlock-policy/tests/long_stretch.rs
+++ b/almondlock-policy/tests/long_stretch.rs
@@ -1,8 +1,8 @@
-//! A stretch of long prompts keeps the engines busy all the time. If all are taken
-//! that can be in time by themselves, the dearest take an eighth of that time for
-//! much less than an eighth of the tokens, and short streams beside them pause.
-//! With a price that time is left to others; in a calm stretch the dearest are
-//! served as well.
+//! Long prompts arrive at the rate that the engines can just read. If every prompt
+//! that can be in time is admitted, the longest ones take an eighth of the engines'
+//! time for much less than an eighth of the tokens, and short streams on the same
+//! engines pause. Guards against admission that doesn't weigh tokens against time
+//! while the engines are busy, or that refuses the longest prompts at low load.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 const OBJECTIVE: Duration = Duration::from_secs(3);
-/// Engines that read long prompts.
+/// Number of engines that read long prompts.
 const ENGINES: usize = 56;
-/// Parts of a prompt, read by the engines that are free first.
+/// Number of parts of a prompt, which are read by the engines that are free first.
 const PARTS: usize = 17;
 const LARGE: u64 = 400_000;
 
@@ -34,29 +34,30 @@
     }
 }
 
-/// What came of many prompts.
+/// Totals over all prompts of a run.
 #[derive(Debug, Default)]
 struct Outcome {
     asked: f64,
     taken: f64,
     tokens: f64,
-    /// Seconds of an engine.
+    /// Reading time of the admitted prompts, in seconds of one engine.
     time: f64,
     large_asked: f64,
     large_taken: f64,
 }
 
-/// A prompt comes each `gap` seconds in the mean.
+/// Simulates prompts that arrive every `gap` seconds on average. With `price`, admission takes the
+/// backlog of the engines into account.
 fn served(gap: f64, price: bool) -> Outcome {
     let (speed, mut rng) = (speed(), SmallRng::seed_from_u64(7));
     let mut backlog = Backlog::default();
-    // When each engine has read all that it took, soonest first.
+    // Time at which each engine has read all its parts, soonest first.
     let (mut now, mut free) = (1.0_f64, [0.0_f64; ENGINES]);
     let mut outcome = Outcome::default();
     for _ in 0..2_000 {
         now += -gap * (1.0 - rng.random::<f64>()).ln();
-        // A bell curve, nearly, of the logarithm: 155,000 in the median, a tenth
-        // above 310,000.
+        // The logarithm is nearly normally distributed: the median is 155,000 tokens, and
+        // a tenth of the prompts is above 310,000.
         let bell: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         let prompt = (155_000.0 * f64::exp(0.55 * bell)).min(900_000.0) as u64;
         free.sort_unstable_by(f64::total_cmp);
@@ -70,7 +71,7 @@
             objective: OBJECTIVE,
             elapsed: Duration::ZERO,
             expected_delay: Duration::from_secs_f64(end),
-            // Without a price, as if the engines were always idle.
+            // Without a price, the engines always seem idle.
             backlog: if price { mean } else { Duration::ZERO },
             engine_ratio: if price {
                 PARTS as f64 / ENGINES as f64
@@ -94,8 +95,8 @@
     outcome
 }
 
-/// As much is asked for as can be read. What a price turns away would have yielded
-/// little for its time.
+/// The demand equals the capacity. The prompts that the price refuses would have yielded few
+/// tokens for their time.
 #[test]
 fn busy_stretch() {
     let (with, without) = (served(0.085, true), served(0.085, false));
@@ -106,7 +107,7 @@
     assert!(lost / saved < 0.6 * without.tokens / without.time, "{seen}");
 }
 
-/// A quarter of that.
+/// The demand is a quarter of the capacity, so nearly all prompts are admitted.
 #[test]
 fn calm_stretch() {
     let calm = served(0.34, true);
--- a/almondlock-policy/tests/max_min.rs
+++ b/almondlock-policy/tests/max_min.rs
@@ -1,5 +1,6 @@
-//! One organisation sends several times its usual rate. Only what it has beyond its max-min
-//! share may be put behind others, only while others wait, and nothing without contention.
+//! One organisation sends several times its usual rate. Guards against putting its requests behind
+//! others for what is within its max-min share, while no other organisation waits, or without
+//! contention.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 use proptest::prelude::*;
 use yare::parameterized;
 
-/// 120 slots, of which 110 count; 1,250 ms of reading.
+/// Ten engines with 120 slots, of which 110 count. Reading is contended from 1,250 ms on.
 const TEN: Capacity = Capacity {
     engines: 10,
     slots: 120,
@@ -35,14 +36,14 @@
     one_large = { 10.0, &[(2.0, 1), (9.0, 1)], Some(8.0) },
     two_large = { 10.0, &[(20.0, 1), (2.0, 1), (30.0, 1)], Some(4.0) },
     many_alike = { 10.0, &[(1.0, 4), (30.0, 2)], Some(3.0) },
-    nobody = { 10.0, &[], None },
+    no_demand = { 10.0, &[], None },
 )]
 fn levels(capacity: f64, demands: &[(f64, u32)], expected: Option<f64>) {
     assert_eq!(level(capacity, &mut demands.to_vec()), expected);
 }
 
 proptest! {
-    /// The capacity is shared out in full, and nobody gets more than it asks for.
+    /// The capacity is shared out in full, and no party gets more than its demand.
     #[test]
     fn level_fills(capacity in 0.0..1e4_f64, demands in prop::collection::vec((0.0..1e3_f64, 1..5_u32), 1..40)) {
         let asked: f64 = demands.iter().map(|(demand, count)| demand * f64::from(*count)).sum();
@@ -56,14 +57,15 @@
     }
 }
 
-/// Nothing is contended: an organisation that has nearly all there is stays within.
+/// Without contention, an organisation that has nearly all slots is within its share.
 #[test]
 fn no_contention() {
     let assessment = assess(&[(1, streams(100, 20, 0)), (2, streams(5, 5, 0))]);
     assert!(assessment.is_empty());
 }
 
-/// Slots are contended. Whoever has more than the level is over, by as much as it has more.
+/// If slots are contended, an organisation that has more than the level is over its share by the
+/// difference.
 #[test]
 fn greedy_is_over() {
     let small = streams(10, 2, 0);
@@ -81,9 +83,9 @@
     assert!((by - 1.0 / 9.0).abs() < 1e-9);
 }
 
-/// Slots are contended, but nobody that has less waits: nobody is put behind.
+/// If slots are contended but no organisation below the level waits, none is over its share.
 #[test]
-fn nobody_waits() {
+fn none_waits() {
     let small = streams(10, 0, 0);
     let assessment = assess(&[(1, streams(130, 40, 20)), (2, small), (3, small)]);
     assert!(assessment.is_empty());
@@ -99,8 +101,8 @@
     }
 }
 
-/// Engines' time is contended by long prompts while slots are free: one of a small
-/// organisation was refused. What is promised is shared out.
+/// Long prompts contend for reading time while slots are free, and a prompt of a small
+/// organisation was refused. The assigned reading time is shared out.
 #[test]
 fn reading_is_contended() {
     let assessment = assess(&[(1, prompts(50_000, 10, 3)), (2, prompts(10_000, 2, 1))]);
@@ -117,9 +119,9 @@
     assert_eq!(assessment.standing(&2), Standing::Within);
 }
 
-/// Long prompts are read for seconds and others' first events haven't come, as at any time;
-/// none was refused but the large organisation's own, or engines have next to nothing to
-/// read. Nobody is put behind.
+/// Long prompts are read for seconds while other requests have no first event yet, as is usual. No
+/// prompt was refused except those of the large organisation, or the engines have little to read.
+/// No organisation is over its share.
 #[parameterized(
     none_refused = { prompts(50_000, 10, 0), prompts(100, 3, 0) },
     only_its_own = { prompts(50_000, 10, 9), prompts(100, 3, 0) },
@@ -129,8 +131,8 @@
     assert!(assess(&[(1, large), (2, small)]).is_empty());
 }
 
-/// Many long prompts are refused for want of engines' time while slots are free: that makes
-/// no slot scarce.
+/// Many long prompts are refused for lack of reading time while slots are free. That doesn't make
+/// slots contended.
 #[test]
 fn refused_prompts_take_no_slot() {
     let waiting = prompts(0, 0, 600);
@@ -138,9 +140,9 @@
     assert!(assessment.is_empty());
 }
 
-/// Small organisations that are not listed still have shares, and their waiting usages.
+/// Small organisations that are not listed have shares as well, and their waiting requests count.
 #[test]
-fn unlisted_count() {
+fn unlisted_counted() {
     let rest = Unlisted {
         organisations: 10,
         usage: streams(50, 10, 0),
@@ -150,7 +152,7 @@
     assert_eq!((excess.share, excess.least_served), (60.0, None));
 }
 
-/// Without engines nothing can be shared out, and nobody is put behind.
+/// Without engines there is nothing to share out, and no organisation is over its share.
 #[test]
 fn no_engines() {
     let usages = [(1, streams(5, 5, 0)), (2, streams(1, 1, 0))];
@@ -183,8 +185,8 @@
     }
 }
 
-/// A stretch of long prompts from one organisation: its next one is refused earlier than
-/// others', but not if its engines are idle, nor while all of them are.
+/// An organisation that is over its share sends long prompts. Its next one is refused earlier than
+/// those of others, except if the engines that would read it are idle, or all engines are.
 #[parameterized(
     others_take_it = { 1_200, 300, 0.0, false },
     over = { 1_200, 300, 1.0, true },
@@ -199,7 +201,7 @@
 }
 
 proptest! {
-    /// A standing never lets in what would be refused without it.
+    /// A prompt that is refused regardless of shares is also refused with any standing.
     #[test]
     fn only_tightens(expected in 0..8_000_u64, backlog in 0..2_000_u64, alone in 0..8_000_u64, by in 0.0..20.0_f64) {
         let case = long(expected, backlog);
--- a/almondlock-policy/tests/outlier_ejection.rs
+++ b/almondlock-policy/tests/outlier_ejection.rs
@@ -1,4 +1,6 @@
-//! What observations of upstreams come to, and who is ejected by them.
+//! Upstreams become slow or fail while their health checks pass. Guards against such upstreams that
+//! aren't ejected or reinstated, and against the ejection of healthy ones through stale, wrong or
+//! too few observations.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -18,7 +20,7 @@
     SmallRng::seed_from_u64(1)
 }
 
-/// What several hosts reported of an upstream.
+/// Creates a summary that several hosts reported of an upstream.
 fn summary(answers: u32, failures: u32, slowness: f64) -> Summary {
     Summary {
         hosts: 5,
@@ -31,7 +33,8 @@
     }
 }
 
-/// A host that was told this of upstream 0, and that all others are well.
+/// Creates the detector of a host with this report about upstream 0, and reports of all others as
+/// healthy.
 fn told(of_first: Summary) -> Detector<u32> {
     let mut detector = Detector::default();
     let well = summary(10, 0, 1.0);
@@ -40,7 +43,8 @@
     detector
 }
 
-/// Guards against judgements by too little, and against none where it is clear.
+/// Guards against ejections for small deviations or few failures, and against missing ones in
+/// clear cases.
 #[parameterized(
     well = { 10, 0, 1.0, false },
     one_failure = { 3, 1, 1.0, false },
@@ -56,7 +60,7 @@
     assert_eq!(changes.len(), usize::from(is_ejected));
 }
 
-/// Guards against placement that takes a slower upstream for as good as others.
+/// Guards against placement that treats a slower upstream as equal to the others.
 #[test]
 fn rate_of_slower() {
     let mut detector = told(summary(10, 0, 2.0));
@@ -65,9 +69,9 @@
     assert!((detector.rate(&1) - 1.0).abs() < f64::EPSILON);
 }
 
-/// Guards against reports that count when they are older than 3 s.
+/// Guards against reports that count although they are older than 3 s.
 #[test]
-fn old_news() {
+fn old_reports() {
     let mut detector = told(summary(5, 5, 1.0));
     assert!(
         detector
@@ -76,7 +80,7 @@
     );
 }
 
-/// Guards against own observations that count when they are older than 3 s.
+/// Guards against own observations that count although they are older than 3 s.
 #[test]
 fn old_observations() {
     let mut detector = Detector::default();
@@ -90,7 +94,7 @@
     assert_eq!(detector.review(after(4_001), &MEMBERS, &mut rng()).len(), 1);
 }
 
-/// A host observes that upstream 0 fails and all others answer.
+/// Records a host's observations that upstream 0 fails and all others answer.
 fn failing(detector: &mut Detector<u32>, now: Mono) {
     for key in MEMBERS {
         let sample = match key {
@@ -103,8 +107,8 @@
     }
 }
 
-/// Guards against one host's report that ejects an upstream for all others: it has no weight
-/// alone, and the weight of one besides an honest one.
+/// Guards against a wrong report of one host that ejects an upstream for all hosts. It has no
+/// weight alone, and the weight of a single correct report beside that.
 #[test]
 fn one_reporter() {
     let report = |answers, failures, slowness| Summary {
@@ -123,9 +127,9 @@
     assert!(pooled.failure_share_bound() < 0.15, "{pooled:?}");
 }
 
-/// Guards against an upstream that is judged by what its earlier life did.
+/// Guards against an upstream that is ejected after a restart for earlier failures.
 #[test]
-fn another_life() {
+fn restarted_upstream() {
     let mut detector = Detector::default();
     failing(&mut detector, START);
     assert_eq!(detector.review(START, &MEMBERS, &mut rng()).len(), 1);
@@ -134,10 +138,10 @@
     assert!(detector.review(after(200), &MEMBERS, &mut rng()).is_empty());
 }
 
-/// Guards against more than a third of the upstreams ejected, and against the best of the
-/// outliers in place of the worst.
+/// Guards against the ejection of more than a third of the upstreams, and of the best outliers
+/// instead of the worst.
 #[test]
-fn a_third() {
+fn third_ejected() {
     let mut detector = Detector::default();
     let slowness = [4.0, 9.0, 5.0, 1.0, 1.0, 1.0, 1.0];
     let summaries = (0..7).zip(slowness.map(|slowness| summary(9, 0, slowness)));
@@ -152,10 +156,10 @@
     assert!(detector.rate(&0) < 0.3);
 }
 
-/// Guards against more than a third that stay ejected once others are evacuated or leave, and
-/// against the worst reinstated in place of the best.
+/// Guards against more than a third of the upstreams staying ejected after others are evacuated or
+/// leave, and against the reinstatement of the worst instead of the best.
 #[test]
-fn a_third_of_fewer() {
+fn fewer_upstreams() {
     let mut detector = Detector::default();
     let slowness = [9.0, 5.0, 1.0, 1.0, 1.0, 1.0, 1.0];
     let summaries = (0..7).zip(slowness.map(|slowness| summary(9, 0, slowness)));
@@ -171,7 +175,7 @@
     assert!(changes.is_empty());
 }
 
-/// Guards against a host with late timers that takes its own delay for the upstreams'.
+/// Guards against a host with late timers that attributes its own delay to the upstreams.
 #[test]
 fn late_timers() {
     let mut detector = Detector::default();
@@ -191,12 +195,12 @@
     assert!(!reported.contains(&0));
 }
 
-/// Guards against a host that is cut off, or slow, and reports that of its upstreams.
+/// Guards against a host that is cut off or slow itself and blames its upstreams.
 #[parameterized(
     cut_off = { Sample::Failure },
     slow = { Sample::Time(4.0) },
 )]
-fn self_doubt(sample: Sample) {
+fn untrusted_host(sample: Sample) {
     let mut detector = Detector::default();
     for key in MEMBERS {
         for _ in 0..8 {
@@ -207,8 +211,8 @@
     assert!(detector.report(START).is_empty());
 }
 
-/// Guards against probes that one host sends as often as all hosts together should, and
-/// against an ejected upstream that nobody probes.
+/// Guards against a host that probes as often as all hosts together should, and against an ejected
+/// upstream that is never probed.
 #[test]
 fn probes() {
     let mut detector = Detector::default();
@@ -217,22 +221,22 @@
     detector.review(START, &MEMBERS, &mut rng);
     let mut count = 0;
     for tick in 0..3_000 {
-        // News keep coming, without any of this upstream.
+        // Reports keep arriving, but have nothing about this upstream.
         let now = after(tick * 100);
         detector.replace_reported(now, HashMap::new());
         count += u32::from(detector.try_probe(now, &0, 30, &mut rng));
         assert!(
             !detector.try_probe(now, &1, 30, &mut rng),
-            "it isn't ejected"
+            "probe of an upstream that isn't ejected"
         );
     }
     assert!(
         (1..=12).contains(&count),
-        "{count} in 300 s, one in 60 s meant"
+        "{count} probes in 300 s, expected one in 60 s"
     );
 }
 
-/// Guards against upstreams that are never reinstated without relays.
+/// Guards against upstreams that are never reinstated if no relay sends reports.
 #[test]
 fn reinstated_alone() {
     let mut detector = Detector::default();
@@ -246,7 +250,7 @@
     assert!(!detector.is_ejected(&0));
 }
 
-/// Guards against requests that were sent before the ejection and count as probes.
+/// Guards against requests that count as probes although they were sent before the ejection.
 #[test]
 fn sent_before() {
     let mut detector = Detector::default();
@@ -256,8 +260,8 @@
     assert!(detector.record_probe(&0, after(200), false));
 }
 
-/// Guards against an upstream that stays ejected for good because no request of its service may
-/// probe it.
+/// Guards against an upstream that stays ejected forever because no request of its service may be
+/// used as a probe.
 #[test]
 fn no_probes() {
     let mut detector = Detector::default();
--- a/almondlock-policy/tests/prompt_length.rs
+++ b/almondlock-policy/tests/prompt_length.rs
@@ -1,6 +1,7 @@
-//! The entry knows a prompt's bytes only. A wrong estimate puts it in the wrong
-//! class: too short, and it delays short prompts; too long, and it is refused.
-//! Engines' counts correct it, one at a time, and no single one can ruin it.
+//! The entry knows only a prompt's length in bytes. Guards against wrong estimates
+//! in tokens, which put a prompt into the wrong class: if it is too short, the
+//! prompt delays short ones; if it is too long, the prompt is refused. Token counts
+//! from engines correct the estimate, and a single absurd one has little effect.
 
 #![cfg(test)]
 
@@ -16,14 +17,14 @@
 }
 
 #[test]
-fn estimate_follows_the_engines_count() {
+fn estimate_follows_counts() {
     let mut estimator = Estimator::default();
     for _ in 0..300 {
         estimator.observe(&model(), 30_000, Tokens(10_000));
     }
     let tokens = estimator.estimate_tokens(&model(), 30_000).0;
     assert!((9_900..=10_100).contains(&tokens), "{tokens}");
-    // Other models keep theirs.
+    // The ratios of other models don't change.
     let other = Model::new("small").unwrap();
     assert_eq!(estimator.estimate_tokens(&other, 40_000), Tokens(10_000));
 }
@@ -33,7 +34,7 @@
     all = { 2_000, u64::MAX },
     one = { u64::MAX, 1 },
 )]
-fn absurd_counts_do_little(bytes: u64, tokens: u64) {
+fn absurd_counts(bytes: u64, tokens: u64) {
     let mut estimator = Estimator::default();
     estimator.observe(&model(), bytes, Tokens(tokens));
     let estimate = estimator.estimate_tokens(&model(), 40_000).0;
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn prefixes_are_bounded_and_tell_where_prompts_part() {
+fn common_prefix_found() {
     let long = "word ".repeat(1_000_000);
     assert_eq!(prefix::hashes(long.as_bytes()).len(), prefix::MAX_HASHES);
     assert!(prefix::covered_tokens(prefix::MAX_HASHES) >= Tokens(1_000_000));
--- a/almondlock-policy/tests/refused_long.rs
+++ b/almondlock-policy/tests/refused_long.rs
@@ -1,6 +1,6 @@
-//! Many long prompts come at once. What can't be in time any more is refused at
-//! once, and while the engines are busy also what takes the time of several
-//! others, so that those are served; short and middling ones are never refused.
+//! Many long prompts arrive at the same time. Guards against admitting those that can't
+//! be in time or, while the engines are busy, those that take the time of several
+//! others, and against refusing short or medium ones.
 
 use std::time::Duration;
 
@@ -15,7 +15,8 @@
 const BUSY: u64 = 300;
 const IDLE: u64 = 50;
 
-/// Reads 256 tokens in a millisecond, and 218,000 alone within the objective.
+/// An engine that reads 256 tokens per millisecond, and a prompt of 218,000 tokens alone within the
+/// objective.
 fn speed() -> Speed {
     Speed {
         slots: 16,
@@ -71,8 +72,8 @@
     a_third = { 2_300, 0, 16.0 / 48.0, true },
     twice_as_many = { 3_000, 0, 16.0 / 1_026.0, false },
 )]
-/// Guards against the longest prompts that are refused by an idle fleet, as few of its
-/// engines as they take.
+/// Guards against an idle fleet that refuses the longest prompts, although they take few of its
+/// engines.
 fn by_fleet(expected: u64, backlog: u64, taken: f64, refused: bool) {
     let case = Candidate {
         objective: Duration::from_secs(4),
@@ -82,9 +83,9 @@
     assert_eq!(refuses(&speed(), &case), refused);
 }
 
-/// The time that a caller has waited already counts as well.
+/// The time that a caller has already waited counts as well.
 #[test]
-fn waited_already() {
+fn already_waited() {
     let soon = case(200_000, 900, BUSY);
     let late = Candidate {
         elapsed: Duration::from_secs(1),
@@ -93,8 +94,8 @@
     assert!(!refuses(&speed(), &soon) && refuses(&speed(), &late));
 }
 
-/// Where reading takes no longer for pairs of tokens, long prompts yield as much
-/// as others and only their lateness counts.
+/// If pairs of tokens take no reading time, long prompts yield as many tokens per time as others,
+/// and only their lateness counts.
 #[test]
 fn even_rate() {
     let even = Speed {
@@ -105,8 +106,8 @@
     assert!(refuses(&even, &case(900_000, 1_700, BUSY)));
 }
 
-/// One large prompt makes the engines busy for a moment, which isn't a stretch of
-/// them; after a second of it, it is.
+/// One large prompt that keeps the engines busy for a moment hardly changes the smoothed backlog.
+/// After a second, it does.
 #[test]
 fn smoothed_backlog() {
     let mut backlog = Backlog::default();
@@ -118,8 +119,8 @@
     assert!(then > millis(350) && then < millis(450), "{then:?}");
 }
 
-/// A refused caller comes back when what keeps it out has been read: not at once,
-/// to find the same, and not when it can't be in time any more.
+/// A refused caller is told to return once the backlog that caused the refusal has been read: not
+/// at once, when it would be refused again, and not too late to be in time.
 #[parameterized(
     just_late = { 200_000, 1_700, 0..=100 },
     late = { 200_000, 2_300, 600..=700 },
--- a/almondlock-policy/tests/scarce_slots.rs
+++ b/almondlock-policy/tests/scarce_slots.rs
@@ -1,6 +1,6 @@
-//! Engines' slots are all in use, and short prompts wait at a host. Guards against an order
-//! that makes prompts late which could be in time, lines without bound, hosts that take the
-//! same slot, and prompts that wait for what is gone.
+//! All slots of the engines are in use, and short prompts wait at a host. Guards against an order
+//! that makes prompts late which could be in time, unbounded queues, hosts that take the same
+//! slot, and prompts that wait for slots of lost engines.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// All engines with so many streams each.
+/// Updates the allocator with this number of streams on every engine.
 fn update(allocator: &mut Allocator, now: Mono, streams: u32, hosts: usize) {
     let engine = Engine {
         slots: SLOTS,
@@ -46,7 +46,7 @@
     allocator.update(now, [engine; ENGINES], HOLD, hosts);
 }
 
-/// A lone host without a free slot.
+/// Creates the allocator of a single host that uses all slots itself.
 fn full() -> Allocator {
     let mut allocator = Allocator::default();
     for _ in 0..ENGINES * SLOTS as usize {
@@ -56,6 +56,7 @@
     allocator
 }
 
+/// Has a prompt wait for a slot.
 fn wait(allocator: &mut Allocator, now: Mono, prompt: &Prompt) -> Ticket {
     match allocator.decide(now, prompt, false, &mut rng()) {
         Verdict::Wait(ticket) => ticket,
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn free_slots_at_once() {
+fn free_slots_used() {
     let mut allocator = Allocator::default();
     update(&mut allocator, START, SLOTS / 2, 26);
     for _ in 0..20 {
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn in_time_before_late() {
+fn timely_before_late() {
     let mut allocator = full();
     let late = wait(&mut allocator, START, &prompt(START));
     let now = after(250);
@@ -93,9 +94,9 @@
     );
     assert_eq!(end(&mut allocator, now), Some(first));
     assert_eq!(end(&mut allocator, now), Some(second));
-    // A late one leaves the slot to prompts at other hosts that are still in time.
+    // A late prompt leaves the slot to prompts at other hosts that are still in time,
     assert_eq!(end(&mut allocator, now), None);
-    // Until it has waited for long.
+    // until it has waited for long.
     assert_eq!(end(&mut allocator, after(1_200)), Some(late));
 }
 
@@ -123,7 +124,7 @@
     assert_eq!(end(&mut allocator, after(10)), Some(expected));
 }
 
-/// Refused ones are told of times one after the other, and the line is bounded.
+/// The queue is bounded, and refused prompts are told successive times at which to return.
 #[test]
 fn full_queue() {
     let mut allocator = full();
@@ -141,7 +142,7 @@
     assert!(returns[0] >= Duration::from_millis(500));
 }
 
-/// Without a bound, a prompt waits as long as the overload lasts.
+/// Guards against a prompt that waits as long as the overload lasts.
 #[test]
 fn longest_wait() {
     let mut allocator = full();
@@ -150,8 +151,8 @@
     assert_eq!(allocator.grant(after(1_400), &mut rng()), [ticket]);
 }
 
-/// Guards against the longest wait counted from when a prompt asks: one that was held before,
-/// as after its host's start, would wait beyond its caller's patience.
+/// Guards against a longest wait that isn't counted from the prompt's arrival: a prompt that was
+/// held back before, as after its host's start, would wait beyond its caller's patience.
 #[test]
 fn wait_since_arrival() {
     let mut allocator = full();
@@ -161,7 +162,7 @@
     assert_eq!(verdict, Verdict::Send);
 }
 
-/// A prompt whose deadline leaves no time to wait is sent, not held until it is over.
+/// A prompt whose deadline leaves no time to wait is sent, not held until its deadline has passed.
 #[test]
 fn near_deadline() {
     let mut allocator = full();
@@ -173,8 +174,8 @@
     assert_eq!(verdict, Verdict::Send);
 }
 
-/// Engines with much to read have free slots: prompts that are late in any prompt aren't held
-/// for others, nor refused.
+/// Only backlogged engines have free slots. Prompts that are late in any case aren't held back for
+/// others, and aren't refused.
 #[test]
 fn backlogged_engines() {
     let backlogged = Engine {
@@ -197,9 +198,9 @@
     assert_eq!(verdict, Verdict::Send);
 }
 
-/// The caller has left: its turn goes to the next one.
+/// After its caller has left, a prompt's turn goes to the next one.
 #[test]
-fn left_queue() {
+fn caller_left() {
     let mut allocator = full();
     let first = wait(&mut allocator, START, &prompt(START));
     let second = wait(&mut allocator, START, &prompt(START));
@@ -208,7 +209,7 @@
     assert_eq!(allocator.waiting(), 0);
 }
 
-/// The engines are lost: what waits for their slots is placed anew, and finds out.
+/// After all engines are lost, waiting prompts are sent, so that they are placed anew.
 #[test]
 fn lost_engines() {
     let mut allocator = full();
@@ -217,7 +218,7 @@
     assert_eq!(allocator.grant(after(50), &mut rng()), [ticket]);
 }
 
-/// A lost engine's slots don't count: prompts aren't sent for them.
+/// The slots of a lost engine don't count, and no prompts are sent for them.
 #[test]
 fn lost_slots() {
     let mut allocator = full();
@@ -231,7 +232,8 @@
     assert!(allocator.grant(after(50), &mut rng()).is_empty());
 }
 
-/// Guards against an overflow by what an upstream reports of itself: any number of requests.
+/// Guards against an integer overflow through an absurd number of requests in an upstream's
+/// report.
 #[test]
 fn absurd_reports() {
     let absurd = Engine {
@@ -246,7 +248,7 @@
     assert_eq!(allocator.occupancy().in_use, u32::MAX);
 }
 
-/// A host is lost with its requests: the slots that it had go to those that wait elsewhere.
+/// After a host is lost with its requests, its slots go to prompts that wait at other hosts.
 #[test]
 fn lost_host() {
     let mut allocator = Allocator::default();
@@ -260,8 +262,8 @@
     assert_eq!(allocator.grant(after(100), &mut rng()), [ticket]);
 }
 
-/// Hosts that see the same few free slots don't all take them before they hear of each
-/// other.
+/// Hosts that see the same few free slots don't all take them before they learn of each other's
+/// requests.
 #[test]
 fn no_herd() {
     let hosts: u32 = 20;
--- a/almondlock-policy/tests/subset_spread.rs
+++ b/almondlock-policy/tests/subset_spread.rs
@@ -1,7 +1,7 @@
-//! Each of many entry hosts works with a part of a large fleet. If the parts
-//! overlapped badly, some upstreams would stand idle; if a part lay in one
-//! failure domain, that domain's loss would leave an entry host with nothing;
-//! if parts were drawn anew at each change, all figures would be lost with it.
+//! Each of many entry hosts uses a subset of a large fleet. Guards against subsets
+//! that leave some upstreams idle, against a subset within one failure domain, whose
+//! loss would leave the entry host without upstreams, and against subsets that
+//! change as a whole with each upstream, which would lose all load information.
 
 #![cfg(test)]
 
@@ -39,7 +39,7 @@
     table
 }
 
-/// The upstreams that an entry host sends to.
+/// Returns the upstreams that an entry host sends to.
 fn used(table: &Table) -> BTreeSet<Upstream> {
     let mut rng = SmallRng::seed_from_u64(1);
     let pick = |_| {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn subsets_cover_the_region_evenly() {
+fn even_cover() {
     let mut counts: HashMap<Upstream, usize> = HashMap::new();
     for host in 0..370 {
         let members = used(&table(host, 880));
@@ -59,7 +59,7 @@
             *counts.entry(member).or_default() += 1;
         }
     }
-    // 370 hosts times 32 over the 440 upstreams of the region are 27 each.
+    // 370 hosts with 32 upstreams each use an upstream of the 440 in the region 27 times.
     assert_eq!(counts.len(), 440);
     let (least, most) = (counts.values().min(), counts.values().max());
     assert!(
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_subset_spans_all_domains_of_its_region() {
+fn all_domains() {
     for host in 0..20 {
         let mut domains: HashMap<Domain, usize> = HashMap::new();
         let table = table(host, 880);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_change_moves_little() {
+fn small_change() {
     let mut table = table(0, 880);
     let before = used(&table);
     for i in 880..890 {
@@ -92,7 +92,7 @@
     }
     let after = used(&table);
     assert!(before.intersection(&after).count() >= 28);
-    // Order of arrival makes no difference.
+    // The order of insertion makes no difference.
     let mut other = self::table(0, 0);
     for i in (0..890).rev() {
         other.insert(&name(i), locality(i));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_other_region_serves_when_this_one_is_gone() {
+fn region_lost() {
     let mut table = table(0, 60);
     for i in (0..60).step_by(2) {
         table.set_leaving(&name(i), true);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn excluded_and_removed_are_not_chosen() {
+fn excluded_and_removed() {
     let mut table = table(0, 6);
     let mut rng = SmallRng::seed_from_u64(2);
     let gone = table.find(&name(2)).unwrap();
@@ -133,7 +133,7 @@
         let index = Sampling.pick(&table, &query, Mono::ZERO, &mut rng).unwrap();
         assert!(!excluded.contains(&index) && index != gone);
     }
-    // The slot is used again; news of the one that was there are ignored.
+    // The slot is used again. Calls for the removed upstream have no effect.
     table.insert(&name(2), locality(2));
     table.record_sent(gone, Tokens(10));
     table.record_end(gone, Tokens(10), false);
