--- a/almondlock-policy/examples/decisions.rs
+++ b/almondlock-policy/examples/decisions.rs
@@ -1,7 +1,7 @@
-//! Measures how long decisions take on this machine.
+//! Measures the time that decisions take on this machine.
 //!
-//! Each operation is timed alone; the clock's own cost (some 20 ns) is in the
-//! figures. The work is bounded: a few seconds in all.
+//! Each operation is timed by itself, so that the times include the cost of
+//! reading the clock (some 20 ns). The whole run takes a few seconds.
 //!
 //! `cargo run --release -p almondlock-policy --example decisions [SEED]`
 
@@ -29,9 +29,11 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
+/// Number of rounds of most measurements.
 const ROUNDS: usize = 20_000;
 
-fn show(what: &str, mut times: Vec<Duration>) {
+/// Prints the median, the 99th and the 99.9th percentile of some times.
+fn print_percentiles(what: &str, mut times: Vec<Duration>) {
     times.sort();
     let at = |permille: usize| times[(times.len() * permille / 1_000).min(times.len() - 1)];
     let micros = |time: Duration| time.as_nanos() as f64 / 1_000.0;
@@ -43,6 +45,7 @@
     );
 }
 
+/// Runs an operation and records the time it takes.
 fn timed<F, T>(times: &mut Vec<Duration>, work: F) -> T
 where
     F: FnOnce() -> T,
@@ -85,7 +88,8 @@
     table
 }
 
-fn picks<P>(what: &str, picker: P, upstreams: usize, prefix: &[u64], rng: &mut SmallRng)
+/// Measures the selection of an upstream by one strategy.
+fn measure_picker<P>(what: &str, picker: P, upstreams: usize, prefix: &[u64], rng: &mut SmallRng)
 where
     P: Picker,
 {
@@ -112,17 +116,18 @@
             table.record_end(index, prompt, false);
         }
     }
-    show(&format!("choice: {what}, {upstreams} upstreams"), times);
+    print_percentiles(&format!("choice: {what}, {upstreams} upstreams"), times);
 }
 
-fn choices(rng: &mut SmallRng) {
+/// Measures the selection of upstreams and changes of their table.
+fn measure_choice(rng: &mut SmallRng) {
     let prompt: Vec<u8> = (0..200_000).map(|_| rng.random()).collect();
     let prefix = prefix::hashes(&prompt);
     for upstreams in [18, 100, 880] {
-        picks("probing", Sampling, upstreams, &[], rng);
-        picks("probing, with a prefix", Sampling, upstreams, &prefix, rng);
-        picks("least reported", LeastReported, upstreams, &[], rng);
-        picks("random", Random, upstreams, &[], rng);
+        measure_picker("probing", Sampling, upstreams, &[], rng);
+        measure_picker("probing, with a prefix", Sampling, upstreams, &prefix, rng);
+        measure_picker("least reported", LeastReported, upstreams, &[], rng);
+        measure_picker("random", Random, upstreams, &[], rng);
     }
     for upstreams in [18, 100, 880] {
         let mut table = table(upstreams, rng);
@@ -132,7 +137,7 @@
             table.remove(&name(i));
             timed(&mut times, || table.insert(&name(i), locality(i)));
         }
-        show(&format!("choice: one upstream added to {upstreams}"), times);
+        print_percentiles(&format!("choice: one upstream added to {upstreams}"), times);
     }
 }
 
@@ -152,7 +157,8 @@
     }
 }
 
-fn queues(rng: &mut SmallRng) {
+/// Measures a sidecar's queue.
+fn measure_queue(rng: &mut SmallRng) {
     for (organisations, waiting) in [(10, 20), (10, 1_000), (100, 1_000), (1_500, 4_000)] {
         let names: Vec<Organisation> = (0..organisations).map(organisation).collect();
         let room = Room::idle(Tokens(1_000_000), 256);
@@ -161,7 +167,7 @@
         for round in 0..ROUNDS as u64 {
             let now = Mono::from_micros(round * 100);
             let job = job(&names[rng.random_range(0..names.len())], now, rng);
-            // A refusal leaves one job less to be granted.
+            // A refused job is missing among the grants, which doesn't matter here.
             let _ = timed(&mut pushes, || queue.push(round, job, &room, now));
             if queue.len() < waiting {
                 continue;
@@ -172,12 +178,13 @@
             }
         }
         let what = format!("{waiting} waiting, {organisations} organisations");
-        show(&format!("queue: push, {what}"), pushes);
-        show(&format!("queue: grant, {what}"), grants);
+        print_percentiles(&format!("queue: push, {what}"), pushes);
+        print_percentiles(&format!("queue: grant, {what}"), grants);
     }
 }
 
-fn gates() {
+/// Measures the gate that admits attempts.
+fn measure_gate() {
     let mut gate = Gate::new(gate::Config::default(), Incarnation(1));
     let host = Host::new("entry-1").expect("a plain name");
     let (mut lives, mut settles) = (Vec::new(), Vec::new());
@@ -197,14 +204,15 @@
         timed(&mut settles, || gate.settle(&attempt, Incarnation(1), now));
     }
     let records = gate.len();
-    show(
+    print_percentiles(
         &format!("gate: admit, start, finish, {records} records"),
         lives,
     );
-    show(&format!("gate: settle, {records} records"), settles);
+    print_percentiles(&format!("gate: settle, {records} records"), settles);
 }
 
-fn limits(rng: &mut SmallRng) {
+/// Measures the limits of organisations.
+fn measure_limiter(rng: &mut SmallRng) {
     let names: Vec<Organisation> = (0..1_500).map(organisation).collect();
     let mut limiter = Limiter::new(limit::Config::default());
     for name in &names {
@@ -222,10 +230,11 @@
             limiter.admit(name, Tokens(3_000), now).is_ok()
         });
     }
-    show("limit: admit, 1500 organisations", times);
+    print_percentiles("limit: admit, 1500 organisations", times);
 }
 
-fn watches() {
+/// Measures the watch for prompts that kill engines.
+fn measure_watch() {
     let name = organisation(0);
     let mut watch = Watch::new(poison::Config::default());
     let mut times = Vec::new();
@@ -238,10 +247,11 @@
             start
         });
     }
-    show("poison: begin and end a run", times);
+    print_percentiles("poison: begin and end a run", times);
 }
 
-fn ledgers() {
+/// Measures the ledger of engine memory.
+fn measure_ledger() {
     let mut ledger = Ledger::new(ledger::Config::default());
     let owner = Owner {
         host: Host::new("entry-1").expect("a plain name"),
@@ -264,17 +274,18 @@
             ledger.remove(&(10_000 + round));
         });
     }
-    show("ledger: open, opened, ended, 1000 held", times);
+    print_percentiles("ledger: open, opened, ended, 1000 held", times);
 }
 
-fn prefixes(rng: &mut SmallRng) {
+/// Measures the hashing of prompt prefixes.
+fn measure_prefix(rng: &mut SmallRng) {
     for bytes in [4_000, 400_000, 4_000_000] {
         let prompt: Vec<u8> = (0..bytes).map(|_| rng.random()).collect();
         let mut times = Vec::new();
         for _ in 0..200 {
             timed(&mut times, || prefix::hashes(&prompt));
         }
-        show(&format!("prefix: hashes of {bytes} bytes"), times);
+        print_percentiles(&format!("prefix: hashes of {bytes} bytes"), times);
     }
 }
 
@@ -287,11 +298,11 @@
         "operation", "p50", "p99", "p99.9"
     );
     let mut rng = SmallRng::seed_from_u64(seed);
-    choices(&mut rng);
-    queues(&mut rng);
-    gates();
-    limits(&mut rng);
-    watches();
-    ledgers();
-    prefixes(&mut rng);
+    measure_choice(&mut rng);
+    measure_queue(&mut rng);
+    measure_gate();
+    measure_limiter(&mut rng);
+    measure_watch();
+    measure_ledger();
+    measure_prefix(&mut rng);
 }
--- a/almondlock-policy/examples/footprint.rs
+++ b/almondlock-policy/examples/footprint.rs
@@ -1,5 +1,6 @@
-//! Measures the memory that each kind of item takes, as slopes for the page on
-//! capacity: resident memory of the process before and after many of them,
+//! Measures the memory that one item of each kind takes, for planning capacity.
+//!
+//! It is the growth of the process's resident memory while many items are created,
 //! divided by their number. Linux only, since it reads `/proc/self/statm`.
 //!
 //! `cargo run --release -p almondlock-policy --example footprint`
@@ -21,27 +22,30 @@
     retry,
 };
 
+/// Number of items of each kind.
 const ITEMS: u64 = 200_000;
-const PAGE: u64 = 4_096;
+/// Size of a memory page.
+const PAGE_BYTES: u64 = 4_096;
 
-fn resident() -> u64 {
+/// Returns the resident memory of this process, in bytes.
+fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
-    pages.and_then(|text| text.parse::<u64>().ok()).unwrap_or(0) * PAGE
+    pages.and_then(|text| text.parse::<u64>().ok()).unwrap_or(0) * PAGE_BYTES
 }
 
-/// Builds a thing with so many items in it and shows what one of them takes.
+/// Builds a value with this number of items and prints the memory that one item takes.
 fn measure<F, T>(what: &str, items: u64, build: F)
 where
     F: FnOnce() -> T,
 {
-    let before = resident();
+    let before = resident_bytes();
     let built = black_box(build());
-    let after = resident();
+    let after = resident_bytes();
     let each = after.saturating_sub(before) / items.max(1);
     println!("{what:<44} {items:>8} {each:>8}");
-    // What was given back to the allocator would be found again by the next
-    // one and hide its need.
+    // Freed memory would be used again by the next measurement, which would then
+    // show too little.
     std::mem::forget(built);
 }
 
@@ -95,7 +99,7 @@
             deadline: Mono::from_millis(600_000 + counter),
             suspect: false,
         };
-        // A refusal would show as a smaller figure for all.
+        // Refused jobs would show as less memory for each item.
         let _ = queue.push(attempt, job, &room, Mono::ZERO);
     }
     queue
--- a/almondlock-policy/examples/order.rs
+++ b/almondlock-policy/examples/order.rs
@@ -1,11 +1,10 @@
-//! Compares orders of work on one modelled engine.
+//! Compares scheduling orders on a simulated engine.
 //!
-//! The engine is a model and not an engine: each step processes up to a fixed
-//! number of prompt tokens and one answer token of each running request, and
-//! takes a fixed time, a time per prompt token and a time per request. Waiting
-//! and starting are decided by the real [`Queue`]. The same requests, drawn
-//! from a seed, are given to each order. What it shows is how the orders compare, not
-//! what a deployment will measure.
+//! Each step of the simulated engine processes up to a fixed number of prompt
+//! tokens and one answer token of each running request. It takes a fixed time, a
+//! time per prompt token and a time per request. The real [`Queue`] decides which
+//! request starts next. Each order gets the same requests, drawn from a seed. The
+//! results show how the orders compare, not what a deployment will measure.
 //!
 //! `cargo run --release -p almondlock-policy --example order [SEED [MEMORY]]`
 
@@ -18,37 +17,50 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
+/// Number of requests that the engine runs concurrently.
 const SLOTS: u32 = 64;
-/// Prompt tokens that one step processes.
-const CHUNK: u64 = 1_024;
+/// Largest number of prompt tokens that one step processes.
+const CHUNK_TOKENS: u64 = 1_024;
+/// Fixed time of a step.
 const STEP_MICROS: u64 = 6_000;
+/// Time of a step for each prompt token.
 const PROMPT_TOKEN_NANOS: u64 = 45_000;
+/// Time of a step for each running request.
 const REQUEST_MICROS: u64 = 60;
 /// Simulated time during which requests arrive.
 const SPAN: Duration = Duration::from_secs(4_000);
 
+/// A request of the simulated traffic.
 #[derive(Clone)]
 struct Request {
+    /// Time of arrival.
     at: Mono,
     organisation: Organisation,
+    /// Length of the prompt in tokens.
     prompt: u64,
+    /// Length of the answer in tokens.
     output: u64,
 }
 
+/// A request that the engine runs.
 struct Running {
     id: usize,
+    /// Priority and order of start. The least is processed first.
     rank: (u8, u64),
+    /// Prompt tokens that are not processed yet.
     left: u64,
+    /// Answer tokens that are written.
     answered: u64,
 }
 
-/// Whether the engine is told priorities.
+/// Whether the engine processes requests by their priorities.
 #[derive(Clone, Copy, PartialEq)]
 enum Priorities {
     Honoured,
     None,
 }
 
+/// The simulated engine with its queue.
 struct Engine<'a> {
     requests: &'a [Request],
     memory: Tokens,
@@ -57,6 +69,7 @@
     running: Vec<Running>,
     granted: u64,
     now: Mono,
+    /// Time to first token of each request, `None` for a refused one.
     first: Vec<Option<Duration>>,
 }
 
@@ -77,14 +90,14 @@
         }
     }
 
-    /// Time to first token of each request.
+    /// Processes all requests, and returns the time to first token of each.
     fn run(mut self) -> Vec<Option<Duration>> {
         let mut next = 0;
         loop {
             while let Some(request) = self.requests.get(next)
                 && request.at <= self.now
             {
-                self.arrive(next);
+                self.enqueue(next);
                 next += 1;
             }
             self.grant();
@@ -98,7 +111,8 @@
         }
     }
 
-    fn arrive(&mut self, id: usize) {
+    /// Adds a request to the queue.
+    fn enqueue(&mut self, id: usize) {
         let request = &self.requests[id];
         let job = Job {
             organisation: request.organisation.clone(),
@@ -110,10 +124,11 @@
             suspect: false,
         };
         let room = self.room();
-        // What the queue refuses has no first token and is counted as such.
+        // A refused request has no time to first token and is left out of the results.
         let _ = self.queue.push(id, job, &room, self.now);
     }
 
+    /// Returns the free slots and memory of the engine.
     fn room(&self) -> Room {
         let need = |run: &Running| {
             let request = &self.requests[run.id];
@@ -127,6 +142,7 @@
         }
     }
 
+    /// Starts the requests that the queue grants.
     fn grant(&mut self) {
         while let Some(grant) = self.queue.grant(self.now, &self.room()) {
             self.granted += 1;
@@ -143,9 +159,10 @@
         }
     }
 
+    /// Runs one step of the engine.
     fn step(&mut self) {
         self.running.sort_by_key(|run| run.rank);
-        let mut budget = CHUNK;
+        let mut budget = CHUNK_TOKENS;
         let mut done = Vec::new();
         for run in &mut self.running {
             let part = run.left.min(budget);
@@ -159,7 +176,7 @@
             }
             run.answered += 1;
         }
-        let tokens = CHUNK - budget;
+        let tokens = CHUNK_TOKENS - budget;
         let micros = STEP_MICROS
             + tokens * PROMPT_TOKEN_NANOS / 1_000
             + self.running.len() as u64 * REQUEST_MICROS;
@@ -184,9 +201,9 @@
     Organisation::new(name).expect("a plain name")
 }
 
-/// Requests at random moments, `rate` per second, of which one in `long` is
-/// over a hundred thousand tokens; 0 is none.
-fn traffic(rng: &mut SmallRng, name: &str, rate: f64, long: u32) -> Vec<Request> {
+/// Draws requests with exponentially distributed intervals, `rate` per second. One in `long` has
+/// over a hundred thousand prompt tokens, none if `long` is 0.
+fn draw_requests(rng: &mut SmallRng, name: &str, rate: f64, long: u32) -> Vec<Request> {
     let mut at = 0.0;
     let mut requests = Vec::new();
     loop {
@@ -194,7 +211,7 @@
         if at >= SPAN.as_secs_f64() {
             return requests;
         }
-        // Most are a few thousand tokens, some tens of thousands.
+        // Most prompts have a few thousand tokens, some have tens of thousands.
         let shape: f64 = rng.random_range(0.0..1.0);
         let usual = (1_000.0 * 30f64.powf(shape * shape)) as u64;
         let huge = rng.random_range(100_000..400_000);
@@ -214,8 +231,8 @@
     times.get(at).copied().unwrap_or_default()
 }
 
-/// Times of the requests that a filter takes.
-fn select<F>(requests: &[Request], first: &[Option<Duration>], keep: F) -> Vec<Duration>
+/// Returns the times to first token of the requests that pass a filter.
+fn select_times<F>(requests: &[Request], first: &[Option<Duration>], keep: F) -> Vec<Duration>
 where
     F: Fn(&Request) -> bool,
 {
@@ -226,6 +243,7 @@
     kept.filter_map(|(_, first)| *first).collect()
 }
 
+/// A scheduling order to compare.
 struct Order {
     name: &'static str,
     config: Config,
@@ -246,9 +264,10 @@
     ]
 }
 
-fn by_class(seed: u64, memory: Tokens) {
+/// Compares the orders by class of prompt length.
+fn compare_classes(seed: u64, memory: Tokens) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let requests = traffic(&mut rng, "org", 1.5, 50);
+    let requests = draw_requests(&mut rng, "org", 1.5, 50);
     let without: Vec<Request> = requests
         .iter()
         .filter(|request| request.prompt < 100_000)
@@ -265,8 +284,8 @@
         let alone = Engine::new(&without, memory, &order).run();
         for class in Class::ALL {
             let is_class = |request: &Request| Class::of(Tokens(request.prompt)) == class;
-            let times = select(&requests, &first, is_class);
-            let calm = select(&without, &alone, is_class);
+            let times = select_times(&requests, &first, is_class);
+            let calm = select_times(&without, &alone, is_class);
             print!("{name:<10} {:<7} {:>5}", class.as_str(), times.len());
             for percent in [50, 95, 99] {
                 print!(" {:>10}", percentile(times.clone(), percent).as_millis());
@@ -282,10 +301,11 @@
     }
 }
 
-fn under_flood(seed: u64, memory: Tokens) {
+/// Compares how the orders shield one organisation from another one's flood of requests.
+fn compare_flood(seed: u64, memory: Tokens) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let quiet = traffic(&mut rng, "quiet", 0.5, 0);
-    let flood = traffic(&mut rng, "flood", 8.0, 0);
+    let quiet = draw_requests(&mut rng, "quiet", 0.5, 0);
+    let flood = draw_requests(&mut rng, "flood", 8.0, 0);
     let mut both = quiet.clone();
     both.extend(flood);
     both.sort_by_key(|request| request.at);
@@ -299,8 +319,8 @@
         let name = order.name;
         let alone = Engine::new(&quiet, memory, &order).run();
         let beside = Engine::new(&both, memory, &order).run();
-        let alone = percentile(select(&quiet, &alone, is_quiet), 95);
-        let beside = percentile(select(&both, &beside, is_quiet), 95);
+        let alone = percentile(select_times(&quiet, &alone, is_quiet), 95);
+        let beside = percentile(select_times(&both, &beside, is_quiet), 95);
         let ratio = beside.as_secs_f64() / alone.as_secs_f64();
         println!(
             "{name:<10} {:>12} {:>14} (x{ratio:.2})",
@@ -310,10 +330,10 @@
     }
 }
 
-/// How the two figures that a deployment sets move the classes.
-fn sweep(seed: u64, memory: Tokens) {
+/// Prints how the times of each class depend on the two parameters that a deployment configures.
+fn sweep_parameters(seed: u64, memory: Tokens) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let requests = traffic(&mut rng, "org", 1.5, 50);
+    let requests = draw_requests(&mut rng, "org", 1.5, 50);
     println!("\np95 in ms by stretch and reserve");
     println!("stretch reserve      short     medium       long       huge        all");
     for stretch in [0.0, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0] {
@@ -353,8 +373,8 @@
 fn main() {
     let seed = argument(1, 1);
     let memory = Tokens(argument(2, 700_000));
-    println!("seed {seed}, {memory} tokens of memory; a modelled engine, see the source");
-    by_class(seed, memory);
-    under_flood(seed, memory);
-    sweep(seed, memory);
+    println!("seed {seed}, {memory} tokens of memory, simulated engine");
+    compare_classes(seed, memory);
+    compare_flood(seed, memory);
+    sweep_parameters(seed, memory);
 }
