--- a/almondlock-bench/examples/configuration.rs
+++ b/almondlock-bench/examples/configuration.rs
@@ -99,7 +99,7 @@
         };
         let began = Instant::now();
         let mut longest = Duration::ZERO;
-        current.see(Mono::from_micros(version), &dialect, &document);
+        current.observe(Mono::from_micros(version), &dialect, &document);
         longest = longest.max(began.elapsed());
         let mut job = current.job().expect("it is to be read");
         let read = loop {
@@ -113,7 +113,7 @@
         let step = Instant::now();
         let now = Mono::from_micros(version);
         drop(job);
-        current.end(now, &dialect, version, read);
+        current.apply_result(now, &dialect, version, read);
         longest = longest.max(step.elapsed());
         changes.push(began.elapsed());
         steps.push(longest);
--- a/almondlock-daemon/src/roles/control.rs
+++ b/almondlock-daemon/src/roles/control.rs
@@ -206,7 +206,7 @@
             u32::try_from(count).unwrap_or(u32::MAX)
         };
         spawn_local(async move {
-            if let Err(error) = exchange::relay(socket, domain, relays).await {
+            if let Err(error) = exchange::run_relay(socket, domain, relays).await {
                 tracing::error!(%error, "loads are no longer passed on");
             }
         });
--- a/almondlock-gateway/examples/exchange_growth.rs
+++ b/almondlock-gateway/examples/exchange_growth.rs
@@ -17,7 +17,7 @@
     time::Mono,
 };
 use almondlock_gateway::{
-    exchange::{Digest, Gather, Listen, Message, Round, Sum, telling_period},
+    exchange::{Aggregator, Digest, Message, Round, Subscription, Sum, report_interval},
     load::{Key, Load},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -128,7 +128,8 @@
         return Totals::default();
     };
     let mut hosts: Vec<Host> = (0..count).map(|_| Host::default()).collect();
-    let mut relays: Vec<(Gather, u64)> = (0..RELAYS).map(|_| (Gather::default(), 0)).collect();
+    let mut relays: Vec<(Aggregator, u64)> =
+        (0..RELAYS).map(|_| (Aggregator::default(), 0)).collect();
     let mut totals = Totals::default();
     for at in (0..LENGTH).step_by(STEP as usize) {
         let now = Mono::from_millis(100_000 + at);
@@ -145,7 +146,7 @@
             if at < *next {
                 continue;
             }
-            let round = gather.take(now, &domain);
+            let round = gather.next_round(now, &domain);
             *next = at + millis(gather.period());
             if counts {
                 send(&round, place, &mut totals);
@@ -174,11 +175,11 @@
     (place, count): (usize, usize),
     (at, is_changed): (u64, bool),
     now: Mono,
-    relays: &mut [(Gather, u64)],
+    relays: &mut [(Aggregator, u64)],
 ) -> Count {
     let period = match host.running.is_empty() {
         true => IDLE,
-        false => telling_period(count),
+        false => report_interval(count),
     };
     let is_all = at >= host.told_all + millis(period);
     let mut told = Count::default();
@@ -198,14 +199,14 @@
             host: place as u64,
             number: host.number,
             listens: match relay {
-                _ if relay == close => Listen::Closely,
-                _ if relay == seldom => Listen::Seldom,
-                _ => Listen::No,
+                _ if relay == close => Subscription::Closely,
+                _ if relay == seldom => Subscription::Seldom,
+                _ => Subscription::No,
             },
             loads: host.loads(),
         };
         told.add(1, size(&Message::Tell(digest.clone())));
-        gather.tell(now, address(place), digest);
+        gather.receive_report(now, address(place), digest);
     }
     told
 }
@@ -214,10 +215,10 @@
 fn send(round: &Round, relay: usize, totals: &mut Totals) {
     let head = size(&Message::Sum { included: 1 });
     for sum in round.changes.parts() {
-        totals.close.add(round.close.len(), head + size(&sum));
+        totals.close.add(round.followers.len(), head + size(&sum));
     }
     for sum in round.whole.iter().flat_map(Sum::parts) {
-        totals.close.add(round.others.len(), head + size(&sum));
+        totals.close.add(round.newcomers.len(), head + size(&sum));
     }
     let beacon = Message::Beacon {
         hosts: round.changes.hosts,
--- a/almondlock-gateway/examples/pace_cost.rs
+++ b/almondlock-gateway/examples/pace_cost.rs
@@ -11,7 +11,7 @@
 
 use almondlock_base::{id::Upstream, time::Mono};
 use almondlock_gateway::{
-    exchange::{Message, Observed, Pace, Paces},
+    exchange::{Message, Observation, Pace, Paces},
     load::Key,
 };
 use almondlock_policy::pace::{Account, Sample, Table};
@@ -79,15 +79,15 @@
     for round in 0..ROUNDS {
         let now = start + Duration::from_secs(u64::from(round));
         for host in 0..hosts {
-            let observed = Observed {
+            let observed = Observation {
                 host: host.into(),
                 number: round,
                 follows: true,
                 paces: paces(()).step_by(8).collect(),
             };
-            relay.hear(now, SocketAddr::from(([127, 0, 0, 1], host)), observed);
+            relay.receive(now, SocketAddr::from(([127, 0, 0, 1], host)), observed);
         }
-        black_box(relay.take(now));
+        black_box(relay.take_updates(now));
     }
     let round = each(begun.elapsed(), ROUNDS);
     println!(
--- a/almondlock-gateway/examples/share_cost.rs
+++ b/almondlock-gateway/examples/share_cost.rs
@@ -18,7 +18,7 @@
         Message,
         shares::{Counts, Envelope, PERIOD, Report, Tag, Tally, Totals},
     },
-    share::{Known, Ledger},
+    share::{Findings, Ledger},
 };
 use almondlock_policy::share::{Capacity, Count};
 
@@ -48,7 +48,7 @@
     let ledger = Ledger::default();
     let claims = names
         .iter()
-        .map(|name| ledger.send("service", name, Duration::from_millis(32)));
+        .map(|name| ledger.claim_sent("service", name, Duration::from_millis(32)));
     let claims: Vec<_> = claims.collect();
     let (report, report_us) = timed(|| {
         let report = Report {
@@ -56,7 +56,7 @@
             number: 1,
             counts: ledger.counts(),
         };
-        Envelope::of(&report)
+        Envelope::encode(&report)
     });
     let report = report.expect("a report can be written");
     let reports: Vec<Envelope> = (0..HOSTS).map(|host| busy(host, &names)).collect();
@@ -65,26 +65,26 @@
     let (_, sums_us) = timed(|| {
         now = now + PERIOD;
         for (host, report) in (0..HOSTS).zip(&reports) {
-            tally.hear(now, address(host), report);
+            tally.receive(now, address(host), report);
         }
-        tally.take(now)
+        tally.take_updates(now)
     });
     now = now + PERIOD;
     for (host, report) in (0..HOSTS).zip(&reports) {
-        tally.hear(now, address(host), report);
+        tally.receive(now, address(host), report);
     }
-    let (sums, _) = tally.take(now).expect("reports were heard");
-    let mut known = Known::default();
+    let (sums, _) = tally.take_updates(now).expect("reports were heard");
+    let mut known = Findings::default();
     let (_, hear_us) = timed(|| {
-        let totals: Option<Totals> = sums.open(relay);
+        let totals: Option<Totals> = sums.decode(relay);
         if let Some(totals) = totals {
-            known.hear(now, relay, &totals, |_| CAPACITY);
+            known.receive(now, relay, &totals, |_| CAPACITY);
         }
     });
     let (_, request_us) = timed(|| {
-        let claim = ledger.send("service", &names[0], Duration::from_millis(32));
+        let claim = ledger.claim_sent("service", &names[0], Duration::from_millis(32));
         let finding = known.excess(now, relay, Tag::of("service", &names[0]));
-        claim.read();
+        claim.finish_reading();
         (claim, finding)
     });
     drop(claims);
@@ -113,7 +113,7 @@
         number: 1,
         counts: Counts::new(counts.collect(), BTreeMap::new()),
     };
-    Envelope::of(&report).expect("a report can be written")
+    Envelope::encode(&report).expect("a report can be written")
 }
 
 /// What a step gives, and how many microseconds it takes in the mean.
--- a/almondlock-gateway/src/attempt.rs
+++ b/almondlock-gateway/src/attempt.rs
@@ -13,7 +13,7 @@
     life::{Course, Request, Whole},
     outgoing,
     pace::Sent,
-    pick::{Choice, Lack},
+    pick::{Choice, Shortage},
     placement::{self, Placed, lacking},
     slots::Grant,
     upstream::{self, Connection, Head},
@@ -125,7 +125,7 @@
         let connection = connect(worker, request, target).await;
         let connection = connection.map_err(|error| Broken::of(&error, &target.name))?;
         let now = clock::mono();
-        let places = iter::once(&choice.first).chain(&choice.helpers);
+        let places = iter::once(&choice.primary).chain(&choice.helpers);
         let mut parties = places.filter_map(|place| targets.get(*place));
         let Some(closed) = parties.find(|party| worker.backoff(now, &party.name).is_some()) else {
             return Ok(Prepared {
@@ -143,8 +143,8 @@
 }
 
 /// The upstream that answers.
-fn first<'a>(targets: &'a [Target], choice: &Choice) -> Result<&'a Target, Lack> {
-    targets.get(choice.first).ok_or(Lack::Upstream)
+fn first<'a>(targets: &'a [Target], choice: &Choice) -> Result<&'a Target, Shortage> {
+    targets.get(choice.primary).ok_or(Shortage::Upstream)
 }
 
 /// Sends a request to one upstream and waits for the head of its answer.
@@ -225,7 +225,7 @@
         part_ms = choice.part.as_millis(), read_by = %readers(targets, choice),
         expected_ms = choice.expected.as_millis(),
         backlog_ms = worker.load.borrow().total(now, &target.name).reading,
-        hosts = worker.load.borrow().hosts(now),
+        hosts = worker.load.borrow().other_hosts(now),
         revision = known.revision.0, age_ms = worker.node.known_age(now).map(|age| age.as_millis()),
         attempt = course.tried.len() + 1,
         backoff = worker.backoff(now, &target.name).map(Reason::as_str), "sent"
@@ -313,7 +313,7 @@
     let status = run.head.status;
     if let Some(requests) = run.head.text(names.load.as_str()).and_then(requests) {
         let mut load = worker.load.borrow_mut();
-        load.report(clock::mono(), &run.upstream, requests);
+        load.record_reported(clock::mono(), &run.upstream, requests);
     }
     let broken = |failure, reason: &str| Broken::new(failure, Some(&run.upstream), reason);
     if run.head.get(names.not_run.as_str()).is_some() || status == 421 {
--- a/almondlock-gateway/src/backoff.rs
+++ b/almondlock-gateway/src/backoff.rs
@@ -8,7 +8,7 @@
 use crate::{
     dialect::Dialect,
     life::{Course, Request},
-    pick::Lack,
+    pick::Shortage,
     upstream::Head,
     worker::{Target, Worker},
 };
@@ -51,7 +51,7 @@
         request: &Request,
         course: &Course,
         now: Mono,
-    ) -> Result<Vec<Target>, Lack> {
+    ) -> Result<Vec<Target>, Shortage> {
         let known = self.known();
         let targets = known.instances.get(&request.service).into_iter().flatten();
         let targets: Vec<&Target> = targets
@@ -61,7 +61,7 @@
         let open = open.filter(|target| self.backoff(now, &target.name).is_none());
         let open: Vec<Target> = open.map(|target| Target::clone(target)).collect();
         match open.is_empty() && !targets.is_empty() {
-            true => Err(Lack::Backoff),
+            true => Err(Shortage::Backoff),
             false => Ok(open),
         }
     }
--- a/almondlock-gateway/src/exchange/gather.rs
+++ b/almondlock-gateway/src/exchange/aggregator.rs
@@ -15,7 +15,7 @@
 
 use almondlock_base::{id::Domain, time::Mono};
 
-use super::message::{Digest, Introduction, Listen, Sum};
+use super::message::{Digest, Introduction, Subscription, Sum};
 use crate::load::{Key, Load};
 
 /// A host that told nothing for this long has stopped: what it had under way
@@ -41,7 +41,7 @@
 /// Other hosts that a host is told of, which it tells its load while no relay answers.
 /// Each is told of those that follow it in the order of addresses, so that each hears from
 /// as many.
-pub const PEERS: usize = 64;
+pub const MAX_PEERS: usize = 64;
 /// The change of the time left to read, in milliseconds, that is told at once: what a
 /// short prompt takes. A smaller one makes no difference to a choice, and is told in
 /// turn.
@@ -59,7 +59,7 @@
 
 /// What hosts told last.
 #[derive(Debug, Default)]
-pub struct Gather {
+pub struct Aggregator {
     hosts: HashMap<SocketAddr, Told>,
     /// The loads as they were sent last.
     sent: BTreeMap<Key, Load>,
@@ -72,20 +72,20 @@
     /// What has changed, and part of the rest.
     pub changes: Sum,
     /// Who gets the changes, and the number of its digest that they include.
-    pub close: Vec<(SocketAddr, u32)>,
+    pub followers: Vec<(SocketAddr, u32)>,
     /// Everything. Left out if nobody gets it.
     pub whole: Option<Sum>,
     /// Who gets everything.
-    pub others: Vec<(SocketAddr, u32)>,
+    pub newcomers: Vec<(SocketAddr, u32)>,
     /// Who is told only that the relay is there.
     pub beacons: Vec<SocketAddr>,
     /// Who is told where the relay is.
     pub introductions: Vec<(SocketAddr, Introduction)>,
 }
 
-impl Gather {
+impl Aggregator {
     /// A host told something.
-    pub fn tell(&mut self, now: Mono, from: SocketAddr, digest: Digest) {
+    pub fn receive_report(&mut self, now: Mono, from: SocketAddr, digest: Digest) {
         let last = self.hosts.get(&from);
         let is_met = last.is_some_and(|last| {
             let same = last.digest.host == digest.host;
@@ -109,20 +109,20 @@
     /// Whether a host follows this relay closely.
     pub fn is_followed_by(&self, host: &SocketAddr) -> bool {
         let told = self.hosts.get(host);
-        told.is_some_and(|told| told.digest.listens == Listen::Closely)
+        told.is_some_and(|told| told.digest.listens == Subscription::Closely)
     }
 
     /// The time until the next round.
     pub fn period(&self) -> Duration {
         let all = self.hosts.values();
-        let close = all.filter(|told| told.digest.listens == Listen::Closely);
+        let close = all.filter(|told| told.digest.listens == Subscription::Closely);
         let followers = u32::try_from(close.count()).unwrap_or(u32::MAX);
         let shared = ROUND_PER_HOST.saturating_mul(followers);
         shared.clamp(ROUND, ROUND_MOST)
     }
 
     /// What goes out now, from a relay in this failure domain.
-    pub fn take(&mut self, now: Mono, domain: &Domain) -> Round {
+    pub fn next_round(&mut self, now: Mono, domain: &Domain) -> Round {
         self.hosts.retain(|_, told| now.since(told.at) < GONE);
         self.rounds += 1;
         let all = self.all();
@@ -142,15 +142,15 @@
         for (to, told) in &mut self.hosts {
             let number = told.digest.number;
             match told.digest.listens {
-                Listen::Closely if told.is_met && is_quiet => {}
-                Listen::Closely if told.is_met => round.close.push((*to, number)),
-                Listen::Closely => round.others.push((*to, number)),
-                Listen::Seldom if is_seldom => round.beacons.push(*to),
-                Listen::Seldom | Listen::No => {}
+                Subscription::Closely if told.is_met && is_quiet => {}
+                Subscription::Closely if told.is_met => round.followers.push((*to, number)),
+                Subscription::Closely => round.newcomers.push((*to, number)),
+                Subscription::Seldom if is_seldom => round.beacons.push(*to),
+                Subscription::Seldom | Subscription::No => {}
             }
             told.is_met = true;
         }
-        let is_whole_due = !round.others.is_empty();
+        let is_whole_due = !round.newcomers.is_empty();
         round.whole = is_whole_due.then(|| Sum {
             hosts,
             is_whole: true,
@@ -198,9 +198,9 @@
         all.sort_unstable();
         let introductions = all.iter().enumerate().map(|(place, to)| {
             let told = self.hosts.get(to);
-            let follows = told.is_some_and(|told| told.digest.listens != Listen::No);
+            let follows = told.is_some_and(|told| told.digest.listens != Subscription::No);
             let next = all.iter().cycle().skip(place + 1).take(all.len() - 1);
-            let peers = next.copied().take(PEERS).filter(|_| follows);
+            let peers = next.copied().take(MAX_PEERS).filter(|_| follows);
             let introduction = Introduction {
                 domain: domain.clone(),
                 peers: peers.collect(),
--- a/almondlock-gateway/src/exchange/host.rs
+++ b/almondlock-gateway/src/exchange/host.rs
@@ -7,9 +7,9 @@
 use tokio::{net::UdpSocket, time::sleep};
 
 use super::{
-    DATAGRAM, Digest, Limit, Listen, Message, Observed, Relays, Sum,
+    DATAGRAM, Digest, Limit, Message, Observation, Relays, Subscription, Sum,
+    limiter::REPEAT,
     observed::{IDLE_REPORT, period as report_period},
-    ration::REPEAT,
     send,
 };
 use crate::{
@@ -67,7 +67,7 @@
         Digest {
             host: self.host,
             number: self.number,
-            listens: Listen::No,
+            listens: Subscription::No,
             loads,
         }
     }
@@ -127,7 +127,7 @@
                 let woken = clock::mono();
                 let is_all = woken >= all_due;
                 if due > now {
-                    worker.pacing.late(woken, woken.since(due));
+                    worker.pacing.record_late_timer(woken, woken.since(due));
                 }
                 tell(&worker, &socket, &named, &mut teller, is_all).await;
             }
@@ -142,13 +142,13 @@
 {
     let load = worker.load.borrow();
     match teller.has_news || load.is_reading() {
-        true => telling_period(load.hosts(now)),
+        true => report_interval(load.other_hosts(now)),
         false => IDLE_PERIOD,
     }
 }
 
 /// How often a host with work under way tells all relays, among so many others.
-pub fn telling_period(hosts: usize) -> Duration {
+pub fn report_interval(hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
     let shared = PERIOD_PER_HOST.saturating_mul(hosts);
     PERIOD.max(shared).min(IDLE_PERIOD)
@@ -197,10 +197,10 @@
     D: Dialect,
 {
     let now = clock::mono();
-    let loads = worker.load.borrow().own(now);
+    let loads = worker.load.borrow().own_loads(now);
     let digest = teller.digest(loads);
     let all = addresses(named, &worker.node.view().get().sources);
-    let listened = teller.relays.listen(now, &all, teller.host);
+    let listened = teller.relays.choose_relays(now, &all, teller.host);
     teller.close_at = now;
     teller.is_close_due = false;
     worker
@@ -214,7 +214,7 @@
     if is_all {
         teller.all_at = now;
         teller.has_news = false;
-        if let Some(report) = worker.share_report(now) {
+        if let Some(report) = worker.due_share_report(now) {
             let message = Message::Shares(report);
             for to in &all {
                 send(socket, *to, &message).await;
@@ -225,11 +225,11 @@
             tell_paces(worker, socket, teller, &all, closely).await;
         }
     }
-    let directly = teller.relays.alone(now);
+    let directly = teller.relays.direct_peers(now);
     for to in all.into_iter().chain(directly) {
         let listens = listened.iter().find(|(relay, _)| *relay == to);
-        let listens = listens.map_or(Listen::No, |(_, pace)| *pace);
-        if is_all || listens == Listen::Closely {
+        let listens = listens.map_or(Subscription::No, |(_, pace)| *pace);
+        if is_all || listens == Subscription::Closely {
             let digest = Digest {
                 listens,
                 ..digest.clone()
@@ -263,7 +263,7 @@
     teller.paces_number = teller.paces_number.wrapping_add(1);
     teller.paces_count = paces.len();
     for to in relays {
-        let report = Observed {
+        let report = Observation {
             host: teller.host,
             number: teller.paces_number,
             follows: closely == Some(*to),
@@ -281,22 +281,24 @@
     let read = postcard::take_from_bytes(bytes).and_then(|(message, rest)| match message {
         Message::Sum { included } => {
             let sum: Sum = postcard::from_bytes(rest)?;
-            teller.relays.hear(now, from, sum.hosts);
+            teller.relays.receive(now, from, sum.hosts);
             let own = teller.told(included);
-            worker.load.borrow_mut().hear(now, from, sum, own);
+            worker.load.borrow_mut().receive_sum(now, from, sum, own);
             Ok(())
         }
         Message::Beacon { hosts } => {
-            teller.relays.hear(now, from, hosts);
+            teller.relays.receive(now, from, hosts);
             Ok(())
         }
         Message::Introduction(told) => {
-            teller.relays.meet(now, from, &worker.domain, &told);
+            teller
+                .relays
+                .receive_introduction(now, from, &worker.domain, &told);
             Ok(())
         }
         Message::Tell(digest) => {
             let mut load = worker.load.borrow_mut();
-            load.tell(now, digest.host, digest.loads);
+            load.receive_report(now, digest.host, digest.loads);
             Ok(())
         }
         Message::Limits(limits) => {
@@ -310,15 +312,15 @@
             Ok(())
         }
         Message::Suspects(suspects) => {
-            worker.suspicion.hear(now, &suspects);
+            worker.suspicion.receive(now, &suspects);
             Ok(())
         }
         Message::ShareTotals(envelope) => {
-            worker.hear_totals(now, from, &envelope);
+            worker.receive_totals(now, from, &envelope);
             Ok(())
         }
         Message::Paces(paces) => {
-            worker.hear_paces(now, &paces);
+            worker.receive_paces(now, &paces);
             Ok(())
         }
         Message::Ask(_)
--- a/almondlock-gateway/src/exchange/ration.rs
+++ b/almondlock-gateway/src/exchange/limiter.rs
@@ -9,7 +9,7 @@
 use almondlock_base::time::Mono;
 use almondlock_policy::throttle::{Bound, Issuer, Limits, Rate};
 
-use super::message::{Ask, Limit, Permit, millis};
+use super::message::{Limit, Permit, Query, millis};
 use crate::load::Key;
 
 /// How often all limits are told again, in case a datagram was lost.
@@ -22,7 +22,7 @@
 
 /// Limits and permits at one relay.
 #[derive(Debug, Default)]
-pub struct Ration {
+pub struct Limiter {
     limits: Limits<Key>,
     // When each limit was last told.
     told: HashMap<Key, Mono>,
@@ -32,9 +32,9 @@
     repeated: Mono,
 }
 
-impl Ration {
+impl Limiter {
     /// A host told limits.
-    pub fn hear(&mut self, now: Mono, limits: &[Limit]) {
+    pub fn receive(&mut self, now: Mono, limits: &[Limit]) {
         for limit in limits {
             self.told.insert(limit.key, now);
             if self.limits.learn(&limit.key, limit.notice(now)) {
@@ -50,8 +50,8 @@
 
     /// A host asks for a permit. This relay has one of `parts` equal parts of each limit;
     /// none if how many there are isn't known yet.
-    pub fn ask(&mut self, now: Mono, ask: &Ask, parts: u32) -> Permit {
-        self.hear(now, &[ask.limit]);
+    pub fn request_permit(&mut self, now: Mono, ask: &Query, parts: u32) -> Permit {
+        self.receive(now, &[ask.limit]);
         let named = self.limits.notice(&ask.limit.key);
         let rate = Bound::of(named, ask.cold).map(|bound| bound.rate());
         let taken = match (rate, parts) {
@@ -67,7 +67,7 @@
 
     /// What hosts are told in this round: limits that have changed or, from time to time,
     /// all of them.
-    pub fn take(&mut self, now: Mono) -> Vec<Limit> {
+    pub fn take_updates(&mut self, now: Mono) -> Vec<Limit> {
         if now.since(self.repeated) < REPEAT {
             let news = std::mem::take(&mut self.news).into_iter();
             let news = news.filter_map(|key| Some((key, self.limits.notice(&key)?)));
--- a/almondlock-gateway/src/exchange/message.rs
+++ b/almondlock-gateway/src/exchange/message.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    observed::{Observed, Pace},
+    observed::{Observation, Pace},
     shares::Envelope,
 };
 use crate::load::{Key, Load};
@@ -43,7 +43,7 @@
     /// of them from time to time.
     Limits(Vec<Limit>),
     /// A host to a relay.
-    Ask(Ask),
+    Ask(Query),
     /// A relay to the host that asked.
     Permit(Permit),
     /// A host to all relays: a request was lost with the upstream that ran it.
@@ -59,7 +59,7 @@
     ShareTotals(Envelope),
     /// A host to all relays: what it observed of upstreams. Only from hosts whose settings
     /// ask for it.
-    Observed(Observed),
+    Observed(Observation),
     /// A relay to the hosts that follow its observations: what all hosts observed.
     Paces(Vec<Pace>),
 }
@@ -124,7 +124,7 @@
 /// Asks for a permit to send one request to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Ask {
+pub struct Query {
     /// Counts the host's questions.
     pub number: u32,
     /// The upstream, and its limit as the host knows it.
@@ -152,7 +152,7 @@
 /// How closely a host wants to follow a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Listen {
+pub enum Subscription {
     /// No sums, only introductions.
     No,
     /// No sums, but that the relay is there: to take over when the other one falls silent.
@@ -170,7 +170,7 @@
     /// Counts the host's digests, from 1.
     pub number: u32,
     /// What it wants from the relay that it tells this.
-    pub listens: Listen,
+    pub listens: Subscription,
     /// Loads by upstream.
     pub loads: Vec<(Key, Load)>,
 }
--- a/almondlock-gateway/src/exchange/mod.rs
+++ b/almondlock-gateway/src/exchange/mod.rs
@@ -32,11 +32,11 @@
 //! Hosts whose settings ask for fair shares tell all relays what organisations have in
 //! flight, and the relays tell such hosts the sums ([`shares`]).
 
-mod gather;
+mod aggregator;
 mod host;
+mod limiter;
 mod message;
 mod observed;
-mod ration;
 mod relay;
 mod relays;
 pub mod shares;
@@ -48,13 +48,15 @@
 
 pub(crate) use self::host::run;
 pub use self::{
-    gather::{Gather, PEERS, Round},
-    host::telling_period,
-    message::{Ask, Digest, Introduction, Limit, Listen, Loss, Message, Permit, Sum, Suspect},
-    observed::{Observed, PACES, Pace, Paces},
-    ration::Ration,
-    relay::relay,
-    relays::{Relays, SILENCE},
+    aggregator::{Aggregator, MAX_PEERS, Round},
+    host::report_interval,
+    limiter::Limiter,
+    message::{
+        Digest, Introduction, Limit, Loss, Message, Permit, Query, Subscription, Sum, Suspect,
+    },
+    observed::{MAX_PACES, Observation, Pace, Paces},
+    relay::run_relay,
+    relays::{RELAY_TIMEOUT, Relays},
     suspects::Suspects,
 };
 
--- a/almondlock-gateway/src/exchange/observed.rs
+++ b/almondlock-gateway/src/exchange/observed.rs
@@ -16,7 +16,7 @@
 use crate::load::Key;
 
 /// Upstreams that one datagram tells of at the most. Each takes up to 25 bytes.
-pub const PACES: usize = 2_000;
+pub const MAX_PACES: usize = 2_000;
 /// How often a host with nothing to report says that it listens.
 pub(super) const IDLE_REPORT: Duration = Duration::from_millis(1_000);
 /// Between two reports of a host, and two rounds of a relay, at the least and at the most.
@@ -96,7 +96,7 @@
 /// What one host observed.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Observed {
+pub struct Observation {
     /// The host's number, drawn at its start.
     pub host: u64,
     /// Counts the host's reports.
@@ -110,7 +110,7 @@
 #[derive(Debug)]
 struct Told {
     at: Mono,
-    report: Observed,
+    report: Observation,
 }
 
 /// What hosts observed, as one relay knows it.
@@ -122,7 +122,7 @@
 
 impl Paces {
     /// A host reported.
-    pub fn hear(&mut self, now: Mono, from: SocketAddr, report: Observed) {
+    pub fn receive(&mut self, now: Mono, from: SocketAddr, report: Observation) {
         let last = self.hosts.get(&from).map(|told| &told.report);
         // A datagram that was overtaken by a later one is older news.
         let is_late =
@@ -133,7 +133,7 @@
     }
 
     /// What is told in this round, and to whom, if one is due.
-    pub fn take(&mut self, now: Mono) -> Option<(Vec<SocketAddr>, Vec<Pace>)> {
+    pub fn take_updates(&mut self, now: Mono) -> Option<(Vec<SocketAddr>, Vec<Pace>)> {
         if self.hosts.is_empty() || now < self.next {
             return None;
         }
@@ -172,9 +172,9 @@
         let paces = known.iter();
         let paces = paces.map(|(key, (birth, account))| Pace::of(now, *key, *birth, account));
         let mut paces: Vec<Pace> = paces.collect();
-        if paces.len() > PACES {
+        if paces.len() > MAX_PACES {
             paces.sort_by_key(|pace| Reverse((pace.failures, pace.slowness)));
-            paces.truncate(PACES);
+            paces.truncate(MAX_PACES);
         }
         paces
     }
--- a/almondlock-gateway/src/exchange/relay.rs
+++ b/almondlock-gateway/src/exchange/relay.rs
@@ -7,14 +7,15 @@
 use tokio::{net::UdpSocket, time::sleep};
 
 use super::{
-    DATAGRAM, Gather, Message, Paces, Ration, Round, Sum, Suspects, send, send_bytes, shares::Tally,
+    Aggregator, DATAGRAM, Limiter, Message, Paces, Round, Sum, Suspects, send, send_bytes,
+    shares::Tally,
 };
 
 /// What a relay has heard.
 #[derive(Default)]
 struct State {
-    gather: Gather,
-    ration: Ration,
+    gather: Aggregator,
+    ration: Limiter,
     suspects: Suspects,
     shares: Tally,
     paces: Paces,
@@ -22,7 +23,7 @@
 
 /// Adds up what entry hosts tell, in this failure domain, and gives out permits, until the
 /// process ends. `relays` tells how many relays share the limits; 0: that isn't known.
-pub async fn relay<F>(socket: UdpSocket, domain: Domain, relays: F) -> io::Result<()>
+pub async fn run_relay<F>(socket: UdpSocket, domain: Domain, relays: F) -> io::Result<()>
 where
     F: Fn() -> u32,
 {
@@ -43,7 +44,7 @@
             }
             () = sleep(next.since(clock::mono())) => {
                 let now = clock::mono();
-                let round = state.gather.take(now, &domain);
+                let round = state.gather.next_round(now, &domain);
                 next = now + state.gather.period();
                 send_round(&socket, &round).await;
                 send_news(&socket, &mut state, &round).await;
@@ -63,16 +64,16 @@
 ) {
     let now = clock::mono();
     match message {
-        Message::Tell(digest) => state.gather.tell(now, from, digest),
-        Message::Limits(limits) => state.ration.hear(now, &limits),
+        Message::Tell(digest) => state.gather.receive_report(now, from, digest),
+        Message::Limits(limits) => state.ration.receive(now, &limits),
         Message::Ask(ask) => {
-            let permit = state.ration.ask(now, &ask, relays);
+            let permit = state.ration.request_permit(now, &ask, relays);
             send(socket, from, &Message::Permit(permit)).await;
         }
-        Message::Lost(loss) => state.suspects.lose(now, &loss),
-        Message::Harmless(print) => state.suspects.clear(now, print),
-        Message::Shares(envelope) => state.shares.hear(now, from, &envelope),
-        Message::Observed(report) => state.paces.hear(now, from, report),
+        Message::Lost(loss) => state.suspects.record_loss(now, &loss),
+        Message::Harmless(print) => state.suspects.record_answer(now, print),
+        Message::Shares(envelope) => state.shares.receive(now, from, &envelope),
+        Message::Observed(report) => state.paces.receive(now, from, report),
         Message::Sum { .. }
         | Message::Beacon { .. }
         | Message::Introduction(_)
@@ -90,8 +91,8 @@
 async fn send_news(socket: &UdpSocket, state: &mut State, round: &Round) {
     let now = clock::mono();
     let news = [
-        some(state.ration.take(now), Message::Limits),
-        some(state.suspects.take(now), Message::Suspects),
+        some(state.ration.take_updates(now), Message::Limits),
+        some(state.suspects.take_updates(now), Message::Suspects),
     ];
     for message in news.iter().flatten() {
         for to in state.gather.hosts() {
@@ -103,7 +104,7 @@
         some(state.suspects.all(now), Message::Suspects),
     ];
     for message in all.iter().flatten() {
-        for (to, _) in &round.others {
+        for (to, _) in &round.newcomers {
             send(socket, *to, message).await;
         }
     }
@@ -111,7 +112,7 @@
 
 /// Sends the sums by organisation to the hosts that report to this relay and follow it.
 async fn send_totals(socket: &UdpSocket, state: &mut State) {
-    let Some((envelope, hosts)) = state.shares.take(clock::mono()) else {
+    let Some((envelope, hosts)) = state.shares.take_updates(clock::mono()) else {
         return;
     };
     let message = Message::ShareTotals(envelope);
@@ -124,7 +125,7 @@
 
 /// Tells what all hosts observed, to those that follow that.
 async fn send_paces(socket: &UdpSocket, state: &mut State) {
-    let Some((hosts, paces)) = state.paces.take(clock::mono()) else {
+    let Some((hosts, paces)) = state.paces.take_updates(clock::mono()) else {
         return;
     };
     let message = Message::Paces(paces);
@@ -143,10 +144,10 @@
 
 async fn send_round(socket: &UdpSocket, round: &Round) {
     for part in round.changes.parts() {
-        send_sum(socket, &part, &round.close).await;
+        send_sum(socket, &part, &round.followers).await;
     }
     for part in round.whole.iter().flat_map(Sum::parts) {
-        send_sum(socket, &part, &round.others).await;
+        send_sum(socket, &part, &round.newcomers).await;
     }
     let beacon = Message::Beacon {
         hosts: round.changes.hosts,
--- a/almondlock-gateway/src/exchange/relays.rs
+++ b/almondlock-gateway/src/exchange/relays.rs
@@ -4,11 +4,11 @@
 
 use almondlock_base::{id::Domain, time::Mono};
 
-use super::message::{Introduction, Listen};
+use super::message::{Introduction, Subscription};
 
 /// A relay that is followed closely and was not heard for this long is left for
 /// another. Four of its usual sums where it has most of them to send.
-pub const SILENCE: Duration = Duration::from_millis(160);
+pub const RELAY_TIMEOUT: Duration = Duration::from_millis(160);
 /// The same of one that is listened to seldom: three of its usual sums.
 const SILENCE_SELDOM: Duration = Duration::from_millis(1_500);
 /// Relays that a host listens to at a time. One may be cut off from other hosts
@@ -36,7 +36,7 @@
 
 impl Relays {
     /// A relay was heard that knows so many hosts.
-    pub fn hear(&mut self, now: Mono, from: SocketAddr, hosts: u32) {
+    pub fn receive(&mut self, now: Mono, from: SocketAddr, hosts: u32) {
         self.heard = Some(now);
         self.counts.insert(from, hosts);
         let listened = self.listened.iter_mut().find(|(relay, _)| *relay == from);
@@ -46,7 +46,13 @@
     }
 
     /// A relay told where it is. `own` is this host's failure domain.
-    pub fn meet(&mut self, now: Mono, from: SocketAddr, own: &Domain, told: &Introduction) {
+    pub fn receive_introduction(
+        &mut self,
+        now: Mono,
+        from: SocketAddr,
+        own: &Domain,
+        told: &Introduction,
+    ) {
         self.heard = Some(now);
         if told.domain == *own {
             self.near.insert(from, now);
@@ -61,12 +67,12 @@
     /// followed closely: one in this host's failure domain if there is one, since
     /// its sums are large and what crosses domains is paid for. `first` is any
     /// number: hosts with different ones begin at different relays.
-    pub fn listen(
+    pub fn choose_relays(
         &mut self,
         now: Mono,
         all: &[SocketAddr],
         first: u64,
-    ) -> Vec<(SocketAddr, Listen)> {
+    ) -> Vec<(SocketAddr, Subscription)> {
         let left = self.leave(now, all);
         for relay in self.order(all, first, &left) {
             let taken = self.listened.iter().any(|(other, _)| *other == relay);
@@ -76,7 +82,7 @@
         }
         self.prefer_near(now, all, &left);
         self.prefer_far_more(now);
-        let paces = [Listen::Closely, Listen::Seldom];
+        let paces = [Subscription::Closely, Subscription::Seldom];
         let listened = self.listened.iter().zip(paces);
         listened.map(|((relay, _), pace)| (*relay, pace)).collect()
     }
@@ -84,7 +90,7 @@
     /// Leaves relays that are gone or silent, and gives them. A near one counts as
     /// near again once it has said so: until then it would be taken back at once.
     fn leave(&mut self, now: Mono, all: &[SocketAddr]) -> Vec<SocketAddr> {
-        let bounds = [SILENCE, SILENCE_SELDOM];
+        let bounds = [RELAY_TIMEOUT, SILENCE_SELDOM];
         let listened = std::mem::take(&mut self.listened).into_iter().zip(bounds);
         let (kept, left): (Vec<_>, Vec<_>) = listened
             .partition(|((relay, at), bound)| all.contains(relay) && now.since(*at) < *bound);
@@ -150,9 +156,9 @@
     }
 
     /// Whom to tell directly: nobody while a relay is heard.
-    pub fn alone(&self, now: Mono) -> Vec<SocketAddr> {
+    pub fn direct_peers(&self, now: Mono) -> Vec<SocketAddr> {
         match self.heard {
-            Some(at) if now.since(at) >= SILENCE => self.peers.keys().copied().collect(),
+            Some(at) if now.since(at) >= RELAY_TIMEOUT => self.peers.keys().copied().collect(),
             _ => Vec::new(),
         }
     }
--- a/almondlock-gateway/src/exchange/shares.rs
+++ b/almondlock-gateway/src/exchange/shares.rs
@@ -27,9 +27,9 @@
 /// How often hosts report and relays tell the sums.
 pub const PERIOD: Duration = Duration::from_millis(200);
 /// How long a report counts at a relay, and a sum at a host.
-pub const FRESH: Duration = Duration::from_millis(500);
+pub const MAX_AGE: Duration = Duration::from_millis(500);
 /// Organisations that a datagram lists; the others are summed up. Each takes 12 to 25 bytes.
-pub const LISTED: usize = 64;
+pub const MAX_LISTED: usize = 64;
 /// Services whose unlisted organisations a datagram tells of.
 const SERVICES: usize = 16;
 
@@ -45,7 +45,7 @@
 
 impl Envelope {
     /// Wraps contents of the present format.
-    pub fn of<T>(contents: &T) -> Option<Envelope>
+    pub fn encode<T>(contents: &T) -> Option<Envelope>
     where
         T: Serialize,
     {
@@ -62,7 +62,7 @@
     }
 
     /// The contents, if they have the present format.
-    pub fn open<T>(&self, from: SocketAddr) -> Option<T>
+    pub fn decode<T>(&self, from: SocketAddr) -> Option<T>
     where
         T: DeserializeOwned,
     {
@@ -92,8 +92,8 @@
     /// That of an organisation and a service by their names.
     pub fn of(service: &str, organisation: &str) -> Tag {
         Tag {
-            service: Key::named(service),
-            organisation: Key::named(organisation),
+            service: Key::of_name(service),
+            organisation: Key::of_name(organisation),
         }
     }
 }
@@ -117,7 +117,7 @@
             .filter(|(_, count)| !count.is_empty())
             .collect();
         listed.sort_by_key(|(_, count)| Reverse(count.weight()));
-        for (tag, count) in listed.drain(LISTED.min(listed.len())..) {
+        for (tag, count) in listed.drain(MAX_LISTED.min(listed.len())..) {
             let rest = rests.entry(tag.service).or_default();
             rest.organisations = rest.organisations.saturating_add(1);
             rest.count.add(&count);
@@ -176,8 +176,8 @@
 
 impl Tally {
     /// A host reported.
-    pub fn hear(&mut self, now: Mono, from: SocketAddr, envelope: &Envelope) {
-        let Some(report) = envelope.open::<Report>(from) else {
+    pub fn receive(&mut self, now: Mono, from: SocketAddr, envelope: &Envelope) {
+        let Some(report) = envelope.decode::<Report>(from) else {
             return;
         };
         // A datagram that was overtaken by a later one is older news.
@@ -191,18 +191,18 @@
     }
 
     /// The sums and the hosts that reported, if it is time to tell them.
-    pub fn take(&mut self, now: Mono) -> Option<(Envelope, Vec<SocketAddr>)> {
+    pub fn take_updates(&mut self, now: Mono) -> Option<(Envelope, Vec<SocketAddr>)> {
         if self.told.is_empty() || now.since(self.taken) < PERIOD {
             return None;
         }
         self.taken = now;
         let totals = self.totals(now);
         let hosts = self.told.keys().copied().collect();
-        Envelope::of(&totals).map(|envelope| (envelope, hosts))
+        Envelope::encode(&totals).map(|envelope| (envelope, hosts))
     }
 
     fn totals(&mut self, now: Mono) -> Totals {
-        self.told.retain(|_, (at, _)| now.since(*at) < FRESH);
+        self.told.retain(|_, (at, _)| now.since(*at) < MAX_AGE);
         let mut all: BTreeMap<Tag, Count> = BTreeMap::new();
         let mut rests: BTreeMap<Key, Rest> = BTreeMap::new();
         let mut oldest = Duration::ZERO;
--- a/almondlock-gateway/src/exchange/suspects.rs
+++ b/almondlock-gateway/src/exchange/suspects.rs
@@ -26,7 +26,7 @@
 
 impl Suspects {
     /// A host lost a request with an upstream.
-    pub fn lose(&mut self, now: Mono, loss: &Loss) {
+    pub fn record_loss(&mut self, now: Mono, loss: &Loss) {
         let sent = now - Duration::from_millis(loss.age_ms.into());
         let life = (loss.key, loss.birth);
         if self.tally.lose(now, loss.print, life, sent) {
@@ -40,7 +40,7 @@
     }
 
     /// A host had an answer to a request.
-    pub fn clear(&mut self, now: Mono, print: Fingerprint) {
+    pub fn record_answer(&mut self, now: Mono, print: Fingerprint) {
         if self.tally.clear(now, &print) {
             tracing::info!(fingerprint = %print, "a suspected request was answered");
             self.news.insert(print);
@@ -49,7 +49,7 @@
 
     /// What hosts are told in this round: those that have changed or, from time to time,
     /// all of them.
-    pub fn take(&mut self, now: Mono) -> Vec<Suspect> {
+    pub fn take_updates(&mut self, now: Mono) -> Vec<Suspect> {
         if now.since(self.repeated) >= REPEAT {
             self.repeated = now;
             self.news.extend(self.tally.known());
--- a/almondlock-gateway/src/follow.rs
+++ b/almondlock-gateway/src/follow.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     dialect::Dialect,
-    reading::{Job, Pace, Progress, Version},
+    reading::{Job, Pacer, Progress, Version},
     rules::{Error, Rules},
     worker::Worker,
 };
@@ -42,7 +42,7 @@
 where
     D: Dialect,
 {
-    let mut pace = Pace::default();
+    let mut pace = Pacer::default();
     let mut is_told = false;
     let result = loop {
         let until = pace.begin(clock::mono());
@@ -54,7 +54,7 @@
         };
         let now = clock::mono();
         pace.end(now);
-        let behind = worker.current.borrow().behind(now);
+        let behind = worker.current.borrow().overdue(now);
         if let Some(behind) = behind.filter(|_| !is_told) {
             is_told = true;
             tracing::warn!(
@@ -82,7 +82,7 @@
     pub(crate) fn rules(&self, document: &Document) -> Option<Arc<Rules>> {
         let job = {
             let mut current = self.current.borrow_mut();
-            current.see(clock::mono(), &self.dialect, document);
+            current.observe(clock::mono(), &self.dialect, document);
             current.job().filter(|_| current.is_first())
         };
         if let Some(mut job) = job {
@@ -103,7 +103,7 @@
             Err(error) => tracing::error!(version, %error, "configuration can't be read"),
         }
         let mut current = self.current.borrow_mut();
-        current.end(now, &self.dialect, version, result);
+        current.apply_result(now, &self.dialect, version, result);
     }
 
     fn log_in_force(&self, now: Mono, job: &Job, read: &Version, slices: u32) {
--- a/almondlock-gateway/src/held.rs
+++ b/almondlock-gateway/src/held.rs
@@ -67,12 +67,12 @@
     ) -> Held<D> {
         let demand = request.demand;
         let memory = demand.map_or(0, |demand| demand.prompt + demand.output);
-        let others = choice.shares.iter().filter(|s| s.place != choice.first);
+        let others = choice.shares.iter().filter(|s| s.place != choice.primary);
         let shared: u64 = others.map(|share| share.tokens).sum();
         let first = Work {
             reading: choice.part,
             writes: true,
-            short: choice.helpers.is_empty() && choice.part <= pick::SHORT,
+            short: choice.helpers.is_empty() && choice.part <= pick::MAX_SHORT_READING,
             memory: memory.saturating_sub(shared),
             ..Work::default()
         };
@@ -86,7 +86,7 @@
             (*place, part)
         });
         let mut load = worker.load.borrow_mut();
-        let tickets = [(choice.first, first)].into_iter().chain(helpers);
+        let tickets = [(choice.primary, first)].into_iter().chain(helpers);
         let tickets = tickets
             .filter_map(|(place, mut work)| {
                 let name = &targets.get(place)?.name;
@@ -96,7 +96,7 @@
             .collect();
         drop(load);
         worker.changed.notify_one();
-        let target = targets.get(choice.first);
+        let target = targets.get(choice.primary);
         Held {
             slot: target.and_then(|target| worker.take_slot(request, target, now)),
             is_short: first.short,
@@ -104,11 +104,11 @@
             tickets,
             leases: RefCell::default(),
             claim: worker.claim_sent(request),
-            is_elsewhere: choice.shares.iter().any(|s| s.place != choice.first),
+            is_elsewhere: choice.shares.iter().any(|s| s.place != choice.primary),
             expected: now + choice.expected,
             is_read: Cell::new(false),
             probe: targets
-                .get(choice.first)
+                .get(choice.primary)
                 .filter(|target| worker.is_probe(&target.name))
                 .map(|_| request.route.objective),
         }
@@ -150,11 +150,11 @@
     pub(crate) fn read(&self) {
         self.is_read.set(true);
         if let Some(claim) = &self.claim {
-            claim.read();
+            claim.finish_reading();
         }
         let mut load = self.worker.load.borrow_mut();
         for (upstream, ticket) in &self.tickets {
-            load.read(upstream, *ticket);
+            load.finish_reading(upstream, *ticket);
         }
         self.worker.changed.notify_one();
     }
--- a/almondlock-gateway/src/life.rs
+++ b/almondlock-gateway/src/life.rs
@@ -190,7 +190,7 @@
             },
             Err(broken) => broken,
         };
-        worker.blame(&request, &broken, begun);
+        worker.report_loss(&request, &broken, begun);
         worker.observe_failure(&request, &broken, begun);
         course.note(&mut broken);
         let now = clock::mono();
--- a/almondlock-gateway/src/limit.rs
+++ b/almondlock-gateway/src/limit.rs
@@ -12,7 +12,7 @@
     life::Request,
     load::Key,
     permit::Outcome,
-    pick::Limited,
+    pick::Quota,
     response::HOP,
     upstream::Head,
     worker::{Target, Worker},
@@ -96,11 +96,11 @@
     }
 
     /// How an upstream stands with what bounds it.
-    pub(crate) fn limited(&self, now: Mono, target: &Target) -> Limited {
+    pub(crate) fn limited(&self, now: Mono, target: &Target) -> Quota {
         match self.bound(target) {
-            None => Limited::No,
-            Some(_) if self.permits.is_open(now, Key::of(&target.name)) => Limited::Open,
-            Some(_) => Limited::Spent,
+            None => Quota::Unlimited,
+            Some(_) if self.permits.is_open(now, Key::of(&target.name)) => Quota::Available,
+            Some(_) => Quota::Exhausted,
         }
     }
 
@@ -145,7 +145,7 @@
         let opens = keys.map(|key| self.permits.opens(now, key)).min();
         let bounds = targets.filter_map(|target| self.bound(target));
         let rate = bounds.map(|bound| bound.rate()).sum();
-        let hosts = self.load.borrow().hosts(now).saturating_add(1);
+        let hosts = self.load.borrow().other_hosts(now).saturating_add(1);
         let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
         let (opens, patience) = (opens.unwrap_or_default(), request.left(now));
         let share = (rate, hosts);
--- a/almondlock-gateway/src/load.rs
+++ b/almondlock-gateway/src/load.rs
@@ -16,7 +16,7 @@
 use almondlock_base::{id::Upstream, time::Mono};
 use serde::{Deserialize, Serialize};
 
-use crate::exchange::{SILENCE, Sum};
+use crate::exchange::{RELAY_TIMEOUT, Sum};
 
 /// What another entry host told counts no longer than this. Ten of its usual
 /// messages: its work has ended by itself meanwhile, or it has stopped.
@@ -114,11 +114,11 @@
 impl Key {
     /// That of an upstream.
     pub fn of(name: &Upstream) -> Key {
-        Key::named(name.as_str())
+        Key::of_name(name.as_str())
     }
 
     /// That of anything else with a name.
-    pub fn named(name: &str) -> Key {
+    pub fn of_name(name: &str) -> Key {
         Key(crc32fast::hash(name.as_bytes()))
     }
 }
@@ -265,7 +265,7 @@
     }
 
     /// Its answer has begun: all of its prompt was read.
-    pub fn read(&mut self, upstream: &Upstream, ticket: Ticket) {
+    pub fn finish_reading(&mut self, upstream: &Upstream, ticket: Ticket) {
         let items = self.own.get_mut(upstream);
         if let Some(item) = items.and_then(|items| items.get_mut(&ticket)) {
             item.begun = true;
@@ -290,7 +290,7 @@
     }
 
     /// What this entry host has under way, for the others.
-    pub fn own(&self, now: Mono) -> Vec<(Key, Load)> {
+    pub fn own_loads(&self, now: Mono) -> Vec<(Key, Load)> {
         let totals = self.own.iter();
         totals
             .map(|(name, items)| (Key::of(name), Load::from(&sum(now, items))))
@@ -304,14 +304,14 @@
     }
 
     /// Another entry host told what it has under way.
-    pub fn tell(&mut self, now: Mono, host: u64, loads: Vec<(Key, Load)>) {
+    pub fn receive_report(&mut self, now: Mono, host: u64, loads: Vec<(Key, Load)>) {
         self.told.insert(host, (now, loads.into_iter().collect()));
         self.told.retain(|_, (at, _)| now.since(*at) < FORGET);
     }
 
     /// A relay told what all entry hosts that it knows have under way, this one
     /// included with `own`.
-    pub fn hear(&mut self, now: Mono, relay: SocketAddr, sum: Sum, own: &[(Key, Load)]) {
+    pub fn receive_sum(&mut self, now: Mono, relay: SocketAddr, sum: Sum, own: &[(Key, Load)]) {
         let known = self.sums.entry(relay).or_default();
         if sum.is_whole {
             known.loads.clear();
@@ -333,13 +333,13 @@
     }
 
     /// The relay that loads come from at present. None if they don't come from one.
-    pub fn relay(&self, now: Mono) -> Option<SocketAddr> {
+    pub fn current_relay(&self, now: Mono) -> Option<SocketAddr> {
         self.relayed(now).map(|(relay, _)| relay)
     }
 
     fn relayed(&self, now: Mono) -> Option<(SocketAddr, &Summed)> {
         let directly = self.fresh(now).next().is_some();
-        let age = if directly { SILENCE } else { FORGET };
+        let age = if directly { RELAY_TIMEOUT } else { FORGET };
         let sums = self.sums.iter().map(|(relay, sum)| (*relay, sum));
         let fresh = sums.filter(|(_, sum)| now.since(sum.at) < age);
         let last = fresh.clone().max_by_key(|(_, sum)| (sum.at, sum.hosts))?;
@@ -383,7 +383,7 @@
     /// entry hosts lost power it still works for callers that are gone, which
     /// nobody else could know; without this the next requests would be sent
     /// there first.
-    pub fn report(&mut self, now: Mono, upstream: &Upstream, requests: u32) {
+    pub fn record_reported(&mut self, now: Mono, upstream: &Upstream, requests: u32) {
         let known = self.total(now, upstream).requests() - self.unknown(now, upstream);
         let unknown = requests.saturating_sub(known);
         self.unknown.insert(upstream.clone(), (now, unknown));
@@ -402,12 +402,12 @@
     }
 
     /// How long ago a relay last told of them, if one does.
-    pub fn age(&self, now: Mono) -> Option<Duration> {
+    pub fn sum_age(&self, now: Mono) -> Option<Duration> {
         self.sum(now).map(|sum| now.since(sum.at))
     }
 
     /// How many other entry hosts are heard of.
-    pub fn hosts(&self, now: Mono) -> usize {
+    pub fn other_hosts(&self, now: Mono) -> usize {
         let summed = self
             .sum(now)
             .map(|sum| sum.hosts.saturating_sub(1) as usize);
--- a/almondlock-gateway/src/outgoing.rs
+++ b/almondlock-gateway/src/outgoing.rs
@@ -74,7 +74,7 @@
         put(&[name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"]);
     };
     set(&names.deadline, &request.left(now).as_millis().to_string());
-    if let Some(target) = placed.targets.get(placed.choice.first) {
+    if let Some(target) = placed.targets.get(placed.choice.primary) {
         set(&names.instance, target.name.as_str());
     }
     if let Some(organisation) = &request.organisation {
--- a/almondlock-gateway/src/pace.rs
+++ b/almondlock-gateway/src/pace.rs
@@ -19,7 +19,7 @@
 use crate::{
     attempt::Broken,
     dialect::Dialect,
-    exchange::{PACES, Pace},
+    exchange::{MAX_PACES, Pace},
     life::{Course, Request},
     load::Key,
     pick::{self, Candidate, Choice},
@@ -74,13 +74,13 @@
     }
 
     /// The rate of an upstream, and whether it is ejected.
-    pub(crate) fn standing(&self, upstream: &Upstream) -> (f64, bool) {
+    pub(crate) fn rate_and_ejection(&self, upstream: &Upstream) -> (f64, bool) {
         let table = self.table.borrow();
         (table.rate(upstream), table.is_ejected(upstream))
     }
 
     /// A timer of this host fired so much too late.
-    pub(crate) fn late(&self, now: Mono, by: Duration) {
+    pub(crate) fn record_late_timer(&self, now: Mono, by: Duration) {
         self.table.borrow_mut().doubt.late(now, by);
     }
 
@@ -135,7 +135,7 @@
         let is_engine = request.demand.is_some() && !choice.expected.is_zero();
         let is_timed = is_alone && after.is_none() && is_engine;
         // Placement expects as much more as the upstream is known to be slower.
-        let (rate, is_ejected) = worker.pacing.standing(upstream);
+        let (rate, is_ejected) = worker.pacing.rate_and_ejection(upstream);
         let rate = if is_ejected { 1.0 } else { rate };
         Sent {
             at: clock::mono(),
@@ -211,10 +211,12 @@
         let rules = known.rules.as_ref()?;
         let speed = rules.service(&request.service)?.engine.as_ref();
         let engine = speed.zip(request.demand);
-        if engine.is_some_and(|(speed, demand)| speed.reading(demand.prompt) > pick::SHORT) {
+        if engine
+            .is_some_and(|(speed, demand)| speed.reading(demand.prompt) > pick::MAX_SHORT_READING)
+        {
             return None;
         }
-        let hosts = self.load.borrow().hosts(now) + 1;
+        let hosts = self.load.borrow().other_hosts(now) + 1;
         // Borrowed only from here on: a new configuration forgets upstreams in it.
         let mut table = self.pacing.table.borrow_mut();
         let mut rng = self.rng.borrow_mut();
@@ -231,13 +233,13 @@
             ..*candidate
         };
         let choice = match engine {
-            Some((speed, demand)) => pick::engine(speed, demand, &[candidate], &mut *rng),
-            None => pick::plain(&[candidate], &mut *rng),
+            Some((speed, demand)) => pick::choose_engine(speed, demand, &[candidate], &mut *rng),
+            None => pick::choose_plain(&[candidate], &mut *rng),
         };
         let choice = choice.ok()?;
         tracing::info!(request = %request.id, upstream = %target.name, "probe");
         Some(Choice {
-            first: place,
+            primary: place,
             ..choice
         })
     }
@@ -343,11 +345,11 @@
             let birth = self.known_birth(upstream)?;
             Some(Pace::of(now, Key::of(upstream), birth, account))
         });
-        paces.take(PACES).collect()
+        paces.take(MAX_PACES).collect()
     }
 
     /// A relay told what all hosts observed.
-    pub(crate) fn hear_paces(&self, now: Mono, paces: &[Pace]) {
+    pub(crate) fn receive_paces(&self, now: Mono, paces: &[Pace]) {
         if !self.features.observed_pace {
             return;
         }
--- a/almondlock-gateway/src/permit.rs
+++ b/almondlock-gateway/src/permit.rs
@@ -18,7 +18,7 @@
 };
 
 use crate::{
-    exchange::{Ask, Limit, Message, Permit, send},
+    exchange::{Limit, Message, Permit, Query, send},
     load::Key,
 };
 
@@ -141,7 +141,7 @@
         self.last.set(number);
         let (sender, answer) = oneshot::channel();
         self.asked.borrow_mut().insert(number, sender);
-        let ask = Ask {
+        let ask = Query {
             number,
             limit: Limit::of(now, key, &bound.named.unwrap_or(Notice::NONE)),
             cold: bound.cold,
--- a/almondlock-gateway/src/pick/groups.rs
+++ b/almondlock-gateway/src/pick/groups.rs
@@ -43,7 +43,7 @@
 }
 
 impl<'a> Groups<'a> {
-    pub(super) fn of(speed: &Speed, all: &'a [usize], candidates: &[Candidate]) -> Groups<'a> {
+    pub(super) fn divide(speed: &Speed, all: &'a [usize], candidates: &[Candidate]) -> Groups<'a> {
         let streams = all.iter().map(|i| candidates[*i].total.short).sum();
         let needed = short_side(speed, streams, all.len());
         let backlogs = all.iter().map(|i| candidates[*i].total.backlog());
@@ -63,7 +63,7 @@
 /// The engines with those that name limits among the readers: beside the few requests
 /// that they take they can read for others, and the short streams' engines and the
 /// writers are those that can do their part.
-pub(super) fn arranged(engines: &[usize], candidates: &[Candidate]) -> Vec<usize> {
+pub(super) fn order_by_limits(engines: &[usize], candidates: &[Candidate]) -> Vec<usize> {
     let is_free = |i: &&usize| candidates[**i].takes_orders();
     let (free, limited): (Vec<usize>, Vec<usize>) = engines.iter().partition(is_free);
     let last = free.len() / LONG_LEAST + 1;
--- a/almondlock-gateway/src/pick/long.rs
+++ b/almondlock-gateway/src/pick/long.rs
@@ -6,9 +6,9 @@
 use rand::{Rng, RngCore};
 
 use super::{
-    Choice, Lack, READERS,
-    field::{Field, best},
+    Choice, MAX_READERS, Shortage,
     groups::Groups,
+    selection::{Selection, draw_cheapest},
 };
 use crate::memory::{self, Share};
 
@@ -49,8 +49,12 @@
 /// each of them begins to read its part.
 type Order = Vec<(f64, usize)>;
 
-impl Field<'_> {
-    pub(super) fn long<R>(&self, groups: &Groups<'_>, rng: &mut R) -> Result<Choice, Lack>
+impl Selection<'_> {
+    pub(super) fn choose_long<R>(
+        &self,
+        groups: &Groups<'_>,
+        rng: &mut R,
+    ) -> Result<Choice, Shortage>
     where
         R: RngCore,
     {
@@ -76,8 +80,8 @@
                 break found;
             }
             count += 1;
-            if count > order.len().min(READERS) {
-                return Err(Lack::Memory);
+            if count > order.len().min(MAX_READERS) {
+                return Err(Shortage::Memory);
             }
         };
         Ok(self.placed(first, shares, &order[..count]))
@@ -93,7 +97,7 @@
             shares,
             expected: self.expected(slowest, part),
             part,
-            ..Choice::alone(first)
+            ..Choice::single(first)
         }
     }
 
@@ -117,18 +121,18 @@
     where
         R: RngCore,
     {
-        let most = (readers + 1).min(READERS);
+        let most = (readers + 1).min(MAX_READERS);
         if self.speed.part(self.demand.prompt, most) > WRITER_PART {
             return None;
         }
-        let has_room = |i: usize| self.has_place(i) && self.free(i) > self.demand.output;
+        let has_room = |i: usize| self.has_place(i) && self.free_memory(i) > self.demand.output;
         let can_answer = |i: &&usize| has_room(**i) && self.takes_orders(**i);
         let open = groups.writers.iter().filter(can_answer);
         let costs = open.map(|i| {
             let streams = self.candidates[*i].total.long();
             (self.cost(*i) + (WRITING * streams).as_secs_f64(), *i)
         });
-        best(costs, rng)
+        draw_cheapest(costs, rng)
     }
 
     /// Into how many parts the prompt is cut, given the readers in order and the
@@ -160,14 +164,15 @@
         let rank = |i: &usize| {
             let idle = self.candidates[*i].total.long() == 0;
             let unlimited = self.takes_orders(*i);
-            (unlimited, self.has_place(*i), idle, self.free(*i))
+            (unlimited, self.has_place(*i), idle, self.free_memory(*i))
         };
-        let can_answer = |i: &usize| self.free(*i) > self.demand.output && self.may_answer(*i);
+        let can_answer =
+            |i: &usize| self.free_memory(*i) > self.demand.output && self.may_answer(*i);
         let others = members.clone().filter(can_answer);
         let first = writer.or_else(|| others.max_by_key(rank))?;
         let others = members.filter(|i| *i != first && self.takes_orders(*i));
-        let others: Vec<(usize, u64)> = others.map(|i| (i, self.free(i))).collect();
-        let own = (first, self.free(first));
+        let others: Vec<(usize, u64)> = others.map(|i| (i, self.free_memory(i))).collect();
+        let own = (first, self.free_memory(first));
         let mut shares = memory::spread(self.memory_needed(), own, &others)?;
         shares.retain(|share| self.takes_orders(share.place));
         Some((first, shares))
@@ -178,7 +183,7 @@
     /// the parts of several prompts stop the same few streams, and not all of them.
     fn harm(&self, i: usize) -> f64 {
         let total = &self.candidates[i].total;
-        let large = self.speed.part(self.demand.prompt, READERS) > LARGE;
+        let large = self.speed.part(self.demand.prompt, MAX_READERS) > LARGE;
         match (total.short, total.long()) {
             (0, 1..) if large => HARM_LONG.as_secs_f64(),
             (0, _) => 0.0,
@@ -193,5 +198,5 @@
     let parts = (whole.as_secs_f64() / PART.as_secs_f64()).ceil();
     // A prompt's reading time is bounded by its tokens; a float beyond the
     // range saturates.
-    (parts as usize).clamp(1, READERS)
+    (parts as usize).clamp(1, MAX_READERS)
 }
--- a/almondlock-gateway/src/pick/mod.rs
+++ b/almondlock-gateway/src/pick/mod.rs
@@ -35,9 +35,9 @@
 //! parts are too large for any stream beside them is written by a reader that
 //! writes nothing else.
 
-mod field;
 mod groups;
 mod long;
+mod selection;
 mod slots;
 
 use std::{collections::BTreeMap, time::Duration};
@@ -46,16 +46,16 @@
 use rand::{Rng, RngCore};
 
 pub(crate) use self::slots::is_backlogged;
-pub use self::slots::{hold, redirect, slots, with_slot};
+pub use self::slots::{draw_engine_with_slot, redirect, slot_duration, slot_usage};
 use self::{
-    field::{Field, cost},
-    groups::{Groups, arranged},
+    groups::{Groups, order_by_limits},
+    selection::{Selection, read_delay},
 };
 use crate::{load::Total, memory::Share};
 
 /// A prompt that one engine reads in this time is short: it is read whole, and
 /// its engine's other streams hardly notice.
-pub const SHORT: Duration = Duration::from_millis(120);
+pub const MAX_SHORT_READING: Duration = Duration::from_millis(120);
 
 /// A part that any engine may read: with a pass of its own it stays within the
 /// shortest pauses that streams allow.
@@ -63,7 +63,7 @@
 
 /// The most engines that may read parts of one prompt: the engines' protocol takes
 /// a list of so many, in which the one that answers stands for its memory.
-pub const READERS: usize = 16;
+pub const MAX_READERS: usize = 16;
 
 /// One upstream that could take the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -78,7 +78,7 @@
     /// is left.
     pub suspect: bool,
     /// How it stands with the limit that it names, if it does.
-    pub limited: Limited,
+    pub quota: Quota,
     /// It said just now that it has no memory to set aside.
     pub full: bool,
     /// Its cell. This host's own one is 0.
@@ -97,7 +97,7 @@
 
     /// Whether a request may be sent to it now.
     pub(crate) const fn may_answer(&self) -> bool {
-        !matches!(self.limited, Limited::Spent)
+        !matches!(self.quota, Quota::Exhausted)
     }
 
     /// Whether a request that is sent to it now gets a slot.
@@ -107,20 +107,20 @@
 
     /// Whether it may be sent orders for memory, which its limit would count.
     const fn takes_orders(&self) -> bool {
-        matches!(self.limited, Limited::No)
+        matches!(self.quota, Quota::Unlimited)
     }
 }
 
 /// How an upstream stands with a limit on requests of all hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Limited {
+pub enum Quota {
     /// It names none.
-    No,
+    Unlimited,
     /// There may be room for a request.
-    Open,
+    Available,
     /// There is none now. It may still read parts for others, which are no requests of
     /// hosts.
-    Spent,
+    Exhausted,
 }
 
 /// What a request asks for.
@@ -138,7 +138,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// Who answers.
-    pub first: usize,
+    pub primary: usize,
     /// Who reads parts besides. Empty for a short prompt.
     pub helpers: Vec<usize>,
     /// Memory that has to be set aside before the prompt is sent. Empty for a short
@@ -154,9 +154,9 @@
 }
 
 impl Choice {
-    fn alone(first: usize) -> Choice {
+    fn single(primary: usize) -> Choice {
         Choice {
-            first,
+            primary,
             helpers: Vec::new(),
             shares: Vec::new(),
             expected: Duration::ZERO,
@@ -169,7 +169,7 @@
 /// What is missing for a request to be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-pub enum Lack {
+pub enum Shortage {
     /// No upstream is enrolled that could take it.
     #[error("no instance is enrolled")]
     Upstream,
@@ -186,29 +186,29 @@
 
 /// Chooses among plain services: the one with the fewest requests for its
 /// places.
-pub fn plain<R>(candidates: &[Candidate], rng: &mut R) -> Result<Choice, Lack>
+pub fn choose_plain<R>(candidates: &[Candidate], rng: &mut R) -> Result<Choice, Shortage>
 where
     R: RngCore,
 {
     let open = open(candidates)?;
-    let first = least(candidates, &open, rng, |candidate| {
+    let first = find_cheapest(candidates, &open, rng, |candidate| {
         let requests = f64::from(candidate.total.requests());
         // The request itself takes longer as well where the rate is below 1.
         let own = if candidate.rate < 1.0 { 1.0 } else { 0.0 };
         let requests = (requests + own) / candidate.rate - own;
         requests / f64::from(candidate.slots.max(1))
     });
-    first.map(Choice::alone).ok_or(Lack::Upstream)
+    first.map(Choice::single).ok_or(Shortage::Upstream)
 }
 
 /// Chooses among engines. All entry hosts must list them in the same order:
 /// the sides are counted from its two ends.
-pub fn engine<R>(
+pub fn choose_engine<R>(
     speed: &Speed,
     demand: Demand,
     candidates: &[Candidate],
     rng: &mut R,
-) -> Result<Choice, Lack>
+) -> Result<Choice, Shortage>
 where
     R: RngCore,
 {
@@ -216,9 +216,9 @@
         .filter(|i| !candidates[*i].is_avoided())
         .collect();
     if !healthy.iter().any(|i| candidates[*i].may_answer()) {
-        return suspects(speed, demand, candidates, rng);
+        return choose_suspect(speed, demand, candidates, rng);
     }
-    let field = Field {
+    let field = Selection {
         speed,
         demand,
         candidates,
@@ -228,7 +228,7 @@
         cells.entry(candidates[i].cell).or_default().push(i);
     }
     let mut cells = cells.into_values();
-    let own = cells.next().ok_or(Lack::Upstream)?;
+    let own = cells.next().ok_or(Shortage::Upstream)?;
     let others: Vec<Vec<usize>> = cells.collect();
     let own = field.place(&own, rng);
     let others = cell::drawn(others.len(), rng)
@@ -242,21 +242,21 @@
     }
 }
 
-impl Field<'_> {
+impl Selection<'_> {
     /// Chooses among the engines of one cell.
-    fn place<R>(&self, engines: &[usize], rng: &mut R) -> Result<Choice, Lack>
+    fn place<R>(&self, engines: &[usize], rng: &mut R) -> Result<Choice, Shortage>
     where
         R: RngCore,
     {
         let (speed, prompt) = (self.speed, self.demand.prompt);
-        let engines = &arranged(engines, self.candidates);
-        let groups = Groups::of(speed, engines, self.candidates);
-        let thin = speed.part(prompt, engines.len().min(READERS)) <= SHORT_PART;
-        let is_short = speed.reading(prompt) <= SHORT;
+        let engines = &order_by_limits(engines, self.candidates);
+        let groups = Groups::divide(speed, engines, self.candidates);
+        let thin = speed.part(prompt, engines.len().min(MAX_READERS)) <= SHORT_PART;
+        let is_short = speed.reading(prompt) <= MAX_SHORT_READING;
         let choice = match (is_short, thin && !groups.long.is_empty()) {
-            (true, _) => self.short(&groups, rng).ok_or(Lack::Upstream),
-            (false, true) => self.middling(&groups, rng).ok_or(Lack::Upstream),
-            (false, false) => self.long(&groups, rng),
+            (true, _) => self.choose_short(&groups, rng).ok_or(Shortage::Upstream),
+            (false, true) => self.choose_medium(&groups, rng).ok_or(Shortage::Upstream),
+            (false, false) => self.choose_long(&groups, rng),
         };
         let count = u32::try_from(engines.len()).unwrap_or(1).max(1);
         let backlogs = engines.iter().map(|i| self.candidates[*i].total.backlog());
@@ -265,24 +265,24 @@
     }
 }
 
-fn suspects<R>(
+fn choose_suspect<R>(
     speed: &Speed,
     demand: Demand,
     candidates: &[Candidate],
     rng: &mut R,
-) -> Result<Choice, Lack>
+) -> Result<Choice, Shortage>
 where
     R: RngCore,
 {
     let whole = speed.reading(demand.prompt);
     let open = open(candidates)?;
-    let first = least(candidates, &open, rng, |candidate| {
+    let first = find_cheapest(candidates, &open, rng, |candidate| {
         let full = if candidate.full { f64::MAX } else { 0.0 };
-        cost(speed, candidate) + full
+        read_delay(speed, candidate) + full
     });
-    let first = first.ok_or(Lack::Upstream)?;
+    let first = first.ok_or(Shortage::Upstream)?;
     if candidates[first].full {
-        return Err(Lack::Memory);
+        return Err(Shortage::Memory);
     }
     let expected = whole + speed.writing(1, demand.prompt);
     let rate = match candidates[first].ejected {
@@ -295,23 +295,28 @@
             false => expected,
         },
         part: whole,
-        ..Choice::alone(first)
+        ..Choice::single(first)
     })
 }
 
 /// The candidates that a request may be sent to.
-fn open(candidates: &[Candidate]) -> Result<Vec<usize>, Lack> {
+fn open(candidates: &[Candidate]) -> Result<Vec<usize>, Shortage> {
     let open = (0..candidates.len()).filter(|i| candidates[*i].may_answer());
     let open: Vec<usize> = open.collect();
     match open.is_empty() && !candidates.is_empty() {
-        true => Err(Lack::Limit),
+        true => Err(Shortage::Limit),
         false => Ok(open),
     }
 }
 
 /// The one of these candidates with the least cost, suspects after others and ejected ones
 /// last, equals by lot.
-fn least<R, F>(candidates: &[Candidate], open: &[usize], rng: &mut R, cost: F) -> Option<usize>
+fn find_cheapest<R, F>(
+    candidates: &[Candidate],
+    open: &[usize],
+    rng: &mut R,
+    cost: F,
+) -> Option<usize>
 where
     R: RngCore,
     F: Fn(&Candidate) -> f64,
--- a/almondlock-gateway/src/pick/field.rs
+++ b/almondlock-gateway/src/pick/selection.rs
@@ -5,7 +5,9 @@
 use almondlock_policy::{engine::Speed, fill};
 use rand::{Rng, RngCore};
 
-use super::{Candidate, Choice, Demand, READERS, SHORT, SHORT_PART, groups::Groups};
+use super::{
+    Candidate, Choice, Demand, MAX_READERS, MAX_SHORT_READING, SHORT_PART, groups::Groups,
+};
 use crate::memory;
 
 /// How much sooner an engine of the other side must be done to be taken: several
@@ -36,16 +38,16 @@
 const LOT: f64 = 0.04;
 
 /// One choice among engines.
-pub(super) struct Field<'a> {
+pub(super) struct Selection<'a> {
     pub(super) speed: &'a Speed,
     pub(super) demand: Demand,
     pub(super) candidates: &'a [Candidate],
 }
 
-impl Field<'_> {
+impl Selection<'_> {
     /// A short prompt goes where the least is to be read, of its own side unless
     /// the other is much sooner. An engine that names a limit belongs to both.
-    pub(super) fn short<R>(&self, groups: &Groups<'_>, rng: &mut R) -> Option<Choice>
+    pub(super) fn choose_short<R>(&self, groups: &Groups<'_>, rng: &mut R) -> Option<Choice>
     where
         R: RngCore,
     {
@@ -66,14 +68,14 @@
         Some(Choice {
             expected: self.expected(cost, part),
             part,
-            ..Choice::alone(first)
+            ..Choice::single(first)
         })
     }
 
     /// A prompt whose parts are small enough for every engine is read by as
     /// many as that takes, of both sides, and written on the short side, where
     /// no large part makes its events late.
-    pub(super) fn middling<R>(&self, groups: &Groups<'_>, rng: &mut R) -> Option<Choice>
+    pub(super) fn choose_medium<R>(&self, groups: &Groups<'_>, rng: &mut R) -> Option<Choice>
     where
         R: RngCore,
     {
@@ -83,23 +85,23 @@
             false => groups.all,
         };
         let open = side.iter().filter(|i| self.may_answer(**i));
-        let has_room = |i: &&usize| self.free(**i) >= needed && self.takes_orders(**i);
+        let has_room = |i: &&usize| self.free_memory(**i) >= needed && self.takes_orders(**i);
         let room = open.clone().filter(has_room);
         let mut costs: Vec<(f64, usize)> = room.map(|i| (self.cost(*i), *i)).collect();
         let is_room = !costs.is_empty();
         if !is_room {
             costs.extend(open.map(|i| (self.cost(*i), *i)));
         }
-        let part = self.speed.part(self.demand.prompt, READERS);
+        let part = self.speed.part(self.demand.prompt, MAX_READERS);
         let (_, first) = fill::draw(&costs, self.unseen(groups.short, part), rng)?;
-        let own = memory::own_share(first, self.free(first), needed);
+        let own = memory::own_share(first, self.free_memory(first), needed);
         let others = groups.all.iter().filter(|i| **i != first);
         let mut order: Vec<(f64, usize)> = others
             .map(|i| (self.cost(*i) + rng.random::<f64>() * LOT, *i))
             .collect();
         order.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
         let part = |count: usize| self.speed.part(self.demand.prompt, count);
-        let most = (order.len() + 1).min(READERS);
+        let most = (order.len() + 1).min(MAX_READERS);
         let count = (1..=most)
             .find(|count| part(*count) <= SHORT_PART)
             .unwrap_or(most);
@@ -110,7 +112,7 @@
             shares: own.filter(|_| is_room).into_iter().collect(),
             expected: self.expected(slowest.max(self.cost(first)), part(count)),
             part: part(count),
-            ..Choice::alone(first)
+            ..Choice::single(first)
         })
     }
 
@@ -144,7 +146,7 @@
     }
 
     /// Tokens of memory that can be counted on there.
-    pub(super) fn free(&self, i: usize) -> u64 {
+    pub(super) fn free_memory(&self, i: usize) -> u64 {
         let candidate = &self.candidates[i];
         match candidate.full {
             true => 0,
@@ -155,7 +157,7 @@
     /// Seconds until a new prompt is read there.
     pub(super) fn cost(&self, i: usize) -> f64 {
         let candidate = &self.candidates[i];
-        let cost = cost(self.speed, candidate);
+        let cost = read_delay(self.speed, candidate);
         if candidate.rate >= 1.0 {
             return cost;
         }
@@ -168,16 +170,16 @@
     fn own_work(&self) -> f64 {
         let (speed, prompt) = (self.speed, self.demand.prompt);
         let whole = speed.reading(prompt);
-        let part = match whole <= SHORT {
+        let part = match whole <= MAX_SHORT_READING {
             true => whole,
-            false => speed.part(prompt, READERS),
+            false => speed.part(prompt, MAX_READERS),
         };
         (part + speed.writing(1, prompt)).as_secs_f64()
     }
 
     /// The same where the prompt's memory is needed there too.
     pub(super) fn whole_cost(&self, i: usize) -> f64 {
-        let has_room = self.free(i) >= self.memory_needed();
+        let has_room = self.free_memory(i) >= self.memory_needed();
         let wait = if has_room { Duration::ZERO } else { OVERFLOW };
         self.cost(i) + wait.as_secs_f64()
     }
@@ -189,7 +191,7 @@
 }
 
 /// The least cost, equals by lot.
-pub(super) fn best<I, R>(costs: I, rng: &mut R) -> Option<(f64, usize)>
+pub(super) fn draw_cheapest<I, R>(costs: I, rng: &mut R) -> Option<(f64, usize)>
 where
     I: Iterator<Item = (f64, usize)>,
     R: RngCore,
@@ -200,7 +202,7 @@
 }
 
 /// Seconds until a new prompt is read there.
-pub(super) fn cost(speed: &Speed, candidate: &Candidate) -> f64 {
+pub(super) fn read_delay(speed: &Speed, candidate: &Candidate) -> f64 {
     let total = &candidate.total;
     let mut cost = total.backlog();
     if total.streams > 0 {
--- a/almondlock-gateway/src/pick/slots.rs
+++ b/almondlock-gateway/src/pick/slots.rs
@@ -5,7 +5,7 @@
 use almondlock_policy::{engine::Speed, places};
 use rand::{Rng, RngCore};
 
-use super::{Candidate, Choice, Demand, field::Field};
+use super::{Candidate, Choice, Demand, selection::Selection};
 use crate::{load::Total, memory};
 
 /// The part of its objective for which a short prompt may wait until an engine begins to
@@ -13,7 +13,7 @@
 const BACKLOG_SHARE: f64 = 0.5;
 
 /// The slots of these engines, without those that are suspect, ejected or at a limit.
-pub fn slots(
+pub fn slot_usage(
     candidates: &[Candidate],
     objective: Duration,
 ) -> impl Iterator<Item = places::Engine> + use<'_> {
@@ -36,7 +36,7 @@
 }
 
 /// How long a stream keeps its slot on an engine that writes so many others.
-pub fn hold(speed: &Speed, demand: Demand, streams: u32) -> Duration {
+pub fn slot_duration(speed: &Speed, demand: Demand, streams: u32) -> Duration {
     let pass = speed.writing(streams, demand.prompt * u64::from(streams.max(1)));
     // Outputs are far below the precision of an `f64`.
     let passes = (demand.output as f64 / speed.stride.max(1.0)).ceil();
@@ -50,7 +50,7 @@
 /// **Load pattern.** Many hosts see the same few free slots. Short prompts are packed onto
 /// some of the engines, so the cheapest of these gets more prompts than it has free slots
 /// before hosts hear of each other.
-pub fn with_slot<R>(
+pub fn draw_engine_with_slot<R>(
     speed: &Speed,
     demand: Demand,
     candidates: &[Candidate],
@@ -90,15 +90,15 @@
     choice: &mut Choice,
     place: usize,
 ) {
-    if place == choice.first || place >= candidates.len() {
+    if place == choice.primary || place >= candidates.len() {
         return;
     }
-    let field = Field {
+    let field = Selection {
         speed,
         demand,
         candidates,
     };
-    choice.first = place;
+    choice.primary = place;
     choice.expected = field.expected(field.whole_cost(place), choice.part);
 }
 
--- a/almondlock-gateway/src/placement.rs
+++ b/almondlock-gateway/src/placement.rs
@@ -17,8 +17,8 @@
     held::Held,
     lease::Leases,
     life::{Course, Request, note},
-    pick::{self, Candidate, Choice, Lack},
-    slots::{Grant, Question, Waiter},
+    pick::{self, Candidate, Choice, Shortage},
+    slots::{Admission, Grant, Waiter},
     startup,
     verdict::Failure,
     worker::{Target, Worker},
@@ -128,7 +128,7 @@
         let choice = probe.map_or_else(|| choose(worker, request, &candidates), Ok);
         let mut choice = choice.map_err(|lack| refused_for(worker, request, lack, now))?;
         if is_last {
-            choice.shares.retain(|share| share.place != choice.first);
+            choice.shares.retain(|share| share.place != choice.primary);
         }
         let verdict = match is_probe {
             true => Verdict::Send,
@@ -158,13 +158,13 @@
             worker.note_refused(request, Resource::Reading, now, refused.returns);
             return Err(refused);
         }
-        let first = targets.get(choice.first);
-        let first = first.ok_or_else(|| lacking(Lack::Upstream))?;
+        let first = targets.get(choice.primary);
+        let first = first.ok_or_else(|| lacking(Shortage::Upstream))?;
         if !worker.permit(request, first).await {
             // It is known as spent from now on, so that another one is chosen.
             search.questions += 1;
             if search.questions > targets.len() {
-                return Err(refused_for(worker, request, Lack::Limit, clock::mono()));
+                return Err(refused_for(worker, request, Shortage::Limit, clock::mono()));
             }
             continue;
         }
@@ -180,30 +180,30 @@
             Err(failed) => search.note(worker, request, failed, course.tried.len()),
         }
         if is_last {
-            return Err(lacking(Lack::Memory));
+            return Err(lacking(Shortage::Memory));
         }
     }
 }
 
 /// Refused because something is missing. For a limit it is known when to come back.
-fn refused_for<D>(worker: &Worker<D>, request: &Request, lack: Lack, now: Mono) -> Broken
+fn refused_for<D>(worker: &Worker<D>, request: &Request, lack: Shortage, now: Mono) -> Broken
 where
     D: Dialect,
 {
-    if lack == Lack::Memory {
+    if lack == Shortage::Memory {
         // Memory of engines is held by prompts that are read.
         worker.note_refused(request, Resource::Reading, now, None);
     }
     match lack {
-        Lack::Upstream | Lack::Memory | Lack::Backoff => lacking(lack),
-        Lack::Limit => Broken {
+        Shortage::Upstream | Shortage::Memory | Shortage::Backoff => lacking(lack),
+        Shortage::Limit => Broken {
             returns: Some(worker.limit_returns(request, now)),
             ..Broken::new(Failure::Limited, None, lack)
         },
     }
 }
 
-pub(crate) fn lacking(lack: Lack) -> Broken {
+pub(crate) fn lacking(lack: Shortage) -> Broken {
     Broken::new(Failure::Unsent, None, lack)
 }
 
@@ -261,7 +261,7 @@
 where
     D: Dialect,
 {
-    let is_short = choice.helpers.is_empty() && choice.part <= pick::SHORT;
+    let is_short = choice.helpers.is_empty() && choice.part <= pick::MAX_SHORT_READING;
     if !worker.features.places || !is_short {
         return Verdict::Send;
     }
@@ -271,7 +271,7 @@
     let Some(speed) = service.and_then(|service| service.engine.as_ref()) else {
         return Verdict::Send;
     };
-    let question = Question {
+    let question = Admission {
         request,
         speed,
         targets,
@@ -286,17 +286,17 @@
     worker: &Worker<D>,
     request: &Request,
     candidates: &[Candidate],
-) -> Result<Choice, Lack>
+) -> Result<Choice, Shortage>
 where
     D: Dialect,
 {
     let known = worker.known();
     let rules = known.rules.as_ref();
     let service = rules.and_then(|rules| rules.service(&request.service));
-    let service = service.ok_or(Lack::Upstream)?;
+    let service = service.ok_or(Shortage::Upstream)?;
     let mut rng = worker.rng.borrow_mut();
     match (&service.engine, request.demand) {
-        (Some(speed), Some(demand)) => pick::engine(speed, demand, candidates, &mut *rng),
-        _ => pick::plain(candidates, &mut *rng),
+        (Some(speed), Some(demand)) => pick::choose_engine(speed, demand, candidates, &mut *rng),
+        _ => pick::choose_plain(candidates, &mut *rng),
     }
 }
--- a/almondlock-gateway/src/reading/current.rs
+++ b/almondlock-gateway/src/reading/current.rs
@@ -68,7 +68,7 @@
 
 impl Current {
     /// A document was seen. Keys that it revokes are refused from now on.
-    pub fn see<D>(&mut self, now: Mono, dialect: &D, document: &Document)
+    pub fn observe<D>(&mut self, now: Mono, dialect: &D, document: &Document)
     where
         D: Dialect,
     {
@@ -134,8 +134,13 @@
 
     /// A version was read, or can't be: then the one in force stays, without the keys that
     /// the other one revokes.
-    pub fn end<D>(&mut self, now: Mono, dialect: &D, version: u64, result: Result<Version, Error>)
-    where
+    pub fn apply_result<D>(
+        &mut self,
+        now: Mono,
+        dialect: &D,
+        version: u64,
+        result: Result<Version, Error>,
+    ) where
         D: Dialect,
     {
         let is_newest = |newest: &Newest| newest.document.version == version;
@@ -163,7 +168,7 @@
     }
 
     /// For how long versions have waited, if that is too long.
-    pub fn behind(&self, now: Mono) -> Option<Duration> {
+    pub fn overdue(&self, now: Mono) -> Option<Duration> {
         let waited = now.since(self.waits?);
         (waited > BEHIND).then_some(waited)
     }
--- a/almondlock-gateway/src/reading/mod.rs
+++ b/almondlock-gateway/src/reading/mod.rs
@@ -19,7 +19,7 @@
 use self::comparison::Comparison;
 pub use self::{
     current::{Current, Job},
-    pace::Pace,
+    pace::Pacer,
 };
 use crate::{
     dialect::{Dialect, Outline, Section},
@@ -303,7 +303,7 @@
 pub fn without_revoked(held: &Version, next: &Rules) -> Option<Rules> {
     let is_kept = |key: &str, organisation: &Organisation| {
         let other = next.organisation(key);
-        !next.is_keyed() || other.is_some_and(|other| other.name == organisation.name)
+        !next.has_organisations() || other.is_some_and(|other| other.name == organisation.name)
     };
-    held.rules.keep_keys(is_kept)
+    held.rules.retain_keys(is_kept)
 }
--- a/almondlock-gateway/src/reading/pace.rs
+++ b/almondlock-gateway/src/reading/pace.rs
@@ -21,14 +21,14 @@
 /// that are all read anew take 0.3 s of a host with 0.09 of a core by themselves. Slices of a
 /// fixed millisecond would stretch them to 15 s where requests leave 50 ms between two.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct Pacer {
     began: Option<Mono>,
     ended: Option<Mono>,
     /// How many slices have begun.
     pub slices: u32,
 }
 
-impl Pace {
+impl Pacer {
     /// Begins a slice; gives when it ends.
     pub fn begin(&mut self, now: Mono) -> Mono {
         self.slices += 1;
--- a/almondlock-gateway/src/reply.rs
+++ b/almondlock-gateway/src/reply.rs
@@ -118,7 +118,8 @@
                 }
                 Err(broken) => broken,
             };
-            self.worker.blame(&self.request, &broken, self.first_at);
+            self.worker
+                .report_loss(&self.request, &broken, self.first_at);
             let worker = &self.worker;
             worker.observe_failure(&self.request, &broken, begun);
             self.piece = Piece::default();
--- a/almondlock-gateway/src/rules.rs
+++ b/almondlock-gateway/src/rules.rs
@@ -275,11 +275,11 @@
 
     /// Whether requests on this route need a key.
     pub fn needs_key(&self, route: &Route) -> bool {
-        self.is_keyed() && !route.public
+        self.has_organisations() && !route.public
     }
 
     /// Whether the configuration names organisations.
-    pub fn is_keyed(&self) -> bool {
+    pub fn has_organisations(&self) -> bool {
         self.organisations > 0
     }
 
--- a/almondlock-gateway/src/rules/edit.rs
+++ b/almondlock-gateway/src/rules/edit.rs
@@ -42,7 +42,7 @@
 
     /// These rules without the keys for which `is_kept` is false; None if there are none
     /// such. Keys are still asked for.
-    pub fn keep_keys<F>(&self, is_kept: F) -> Option<Rules>
+    pub fn retain_keys<F>(&self, is_kept: F) -> Option<Rules>
     where
         F: Fn(&str, &Organisation) -> bool,
     {
--- a/almondlock-gateway/src/share/known.rs
+++ b/almondlock-gateway/src/share/findings.rs
@@ -10,7 +10,7 @@
 use almondlock_policy::share::{Capacity, Excess, Ruling};
 
 use crate::{
-    exchange::shares::{FRESH, Tag, Totals},
+    exchange::shares::{MAX_AGE, Tag, Totals},
     load::Key,
 };
 
@@ -19,7 +19,7 @@
 
 /// What relays told last.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct Findings {
     heard: HashMap<SocketAddr, Heard>,
 }
 
@@ -44,9 +44,9 @@
     pub place: usize,
 }
 
-impl Known {
+impl Findings {
     /// A relay told the sums. `capacity` gives that of a service's engines.
-    pub fn hear<F>(&mut self, now: Mono, relay: SocketAddr, totals: &Totals, capacity: F)
+    pub fn receive<F>(&mut self, now: Mono, relay: SocketAddr, totals: &Totals, capacity: F)
     where
         F: Fn(Key) -> Capacity,
     {
@@ -63,7 +63,7 @@
             largest: counts.listed.iter().map(|(tag, _)| *tag).collect(),
         };
         self.heard.insert(relay, heard);
-        self.heard.retain(|_, heard| now.since(heard.at) < FRESH);
+        self.heard.retain(|_, heard| now.since(heard.at) < MAX_AGE);
     }
 
     /// Whether an organisation is over its share, by what this relay told. None: it is
@@ -72,7 +72,7 @@
         let heard = self.heard.get(&relay)?;
         let since = now.since(heard.at);
         let age = heard.age + since;
-        if since >= FRESH || age >= OUTDATED {
+        if since >= MAX_AGE || age >= OUTDATED {
             return None;
         }
         let ruling = heard.rulings.get(&tag.service)?;
--- a/almondlock-gateway/src/share/ledger.rs
+++ b/almondlock-gateway/src/share/ledger.rs
@@ -39,7 +39,7 @@
 
 impl Ledger {
     /// A request was sent to an engine. Its prompt takes `reading` of all engines together.
-    pub fn send(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
+    pub fn claim_sent(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
         let count = Count {
             slots: 1,
             unread: 1,
@@ -50,7 +50,7 @@
     }
 
     /// A request waits for a slot at this host, or will return to one.
-    pub fn wait_slot(&self, service: &str, organisation: &Arc<str>) -> Claim {
+    pub fn claim_slot_wait(&self, service: &str, organisation: &Arc<str>) -> Claim {
         let count = Count {
             queued: 1,
             ..Count::default()
@@ -59,7 +59,12 @@
     }
 
     /// The same of a prompt that waits until engines have the time to read it.
-    pub fn wait_reading(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
+    pub fn claim_reading_wait(
+        &self,
+        service: &str,
+        organisation: &Arc<str>,
+        reading: Duration,
+    ) -> Claim {
         let count = Count {
             queued_reading: millis(reading),
             ..Count::default()
@@ -96,7 +101,7 @@
 
 impl Claim {
     /// The first event has come.
-    pub fn read(&self) {
+    pub fn finish_reading(&self) {
         let count = self.count.get();
         self.set(Count {
             slots: count.slots,
--- a/almondlock-gateway/src/share/mod.rs
+++ b/almondlock-gateway/src/share/mod.rs
@@ -1,12 +1,12 @@
 //! What organisations have in flight at engines: this host's part ([`Ledger`]), and what
 //! relays tell of all hosts ([`Known`]).
 
-mod known;
+mod findings;
 mod ledger;
 mod notice;
 
 pub use self::{
-    known::{Finding, Known},
+    findings::{Finding, Findings},
     ledger::{Claim, Ledger},
     notice::{Notices, OTHERS},
 };
--- a/almondlock-gateway/src/share/notice.rs
+++ b/almondlock-gateway/src/share/notice.rs
@@ -26,7 +26,7 @@
 
 impl Notices {
     /// Whether a line is logged now: if it is, how many weren't since the last one.
-    pub fn pass(&mut self, now: Mono) -> Option<u64> {
+    pub fn allow_line(&mut self, now: Mono) -> Option<u64> {
         if now.since(self.since) >= Duration::from_secs(1) {
             (self.since, self.lines) = (now, 0);
         }
@@ -39,7 +39,7 @@
     }
 
     /// What metrics call an organisation, given how many have more in flight.
-    pub fn name<'a>(&mut self, name: &'a Arc<str>, place: usize) -> &'a str {
+    pub fn label<'a>(&mut self, name: &'a Arc<str>, place: usize) -> &'a str {
         if place >= LARGEST {
             return OTHERS;
         }
--- a/almondlock-gateway/src/slots.rs
+++ b/almondlock-gateway/src/slots.rs
@@ -51,7 +51,7 @@
 
 /// The waiting prompts of one service.
 #[derive(Debug, Default)]
-struct Line {
+struct Queue {
     desk: Desk,
     waiters: BTreeMap<Ticket, oneshot::Sender<Grant>>,
     looked: Mono,
@@ -59,7 +59,7 @@
     objective: Duration,
 }
 
-impl Line {
+impl Queue {
     fn wake(&mut self, ticket: Ticket, grant: Grant) {
         if let Some(waiter) = self.waiters.remove(&ticket) {
             // Whoever waited may be leaving: it passes the slot on.
@@ -76,12 +76,12 @@
 
 /// Those of all services.
 #[derive(Debug, Default)]
-pub(crate) struct Lines(RefCell<HashMap<Service, Line>>);
+pub(crate) struct Queues(RefCell<HashMap<Service, Queue>>);
 
-impl Lines {
+impl Queues {
     fn with<T, F>(&self, service: &Service, act: F) -> T
     where
-        F: FnOnce(&mut Line) -> T,
+        F: FnOnce(&mut Queue) -> T,
     {
         let mut lines = self.0.borrow_mut();
         match lines.get_mut(service) {
@@ -100,7 +100,7 @@
 }
 
 /// What a decision is made with.
-pub(crate) struct Question<'a> {
+pub(crate) struct Admission<'a> {
     pub(crate) request: &'a Request,
     pub(crate) speed: &'a Speed,
     pub(crate) targets: &'a [Target],
@@ -149,7 +149,7 @@
             tokio::select! {
                 biased;
                 grant = &mut self.granted => break grant.unwrap_or_default(),
-                () = sleep(LOOK) => self.worker.look(&self.service, request.route.objective),
+                () = sleep(LOOK) => self.worker.check_slots(&self.service, request.route.objective),
             }
         };
         tracing::info!(
@@ -185,8 +185,13 @@
     D: Dialect,
 {
     /// Decides whether a short prompt is sent now, and to which engine.
-    pub(crate) fn admit(&self, question: &Question<'_>, choice: &mut Choice, now: Mono) -> Verdict {
-        let &Question {
+    pub(crate) fn admit(
+        &self,
+        question: &Admission<'_>,
+        choice: &mut Choice,
+        now: Mono,
+    ) -> Verdict {
+        let &Admission {
             request,
             speed,
             candidates,
@@ -198,25 +203,30 @@
         let may_wait = question.may_wait && question.grant.is_none();
         let (is_informed, hosts, age) = {
             let load = self.load.borrow();
-            (load.is_informed(now), load.hosts(now), load.age(now))
+            (
+                load.is_informed(now),
+                load.other_hosts(now),
+                load.sum_age(now),
+            )
         };
-        let hold = pick::hold(speed, demand, speed.slots);
+        let hold = pick::slot_duration(speed, demand, speed.slots);
         let is_scarce = self.lines.with(&request.service, |line| {
-            let rows = pick::slots(candidates, request.route.objective);
+            let rows = pick::slot_usage(candidates, request.route.objective);
             line.desk.see(now, rows, hold, hosts);
             line.objective = request.route.objective;
             line.desk.is_scarce()
         });
         if !is_informed || self.shared.is_stopping() {
-            self.release(&request.service);
+            self.release_all(&request.service);
             return Verdict::Send;
         }
         let has_slot = |place: usize| candidates.get(place).is_some_and(Candidate::has_slot);
-        match self.handed_over(question) {
+        match self.granted_place(question) {
             Some(place) => pick::redirect(speed, demand, candidates, choice, place),
-            None if is_scarce || !has_slot(choice.first) => {
+            None if is_scarce || !has_slot(choice.primary) => {
                 let rng = &mut *self.rng.borrow_mut();
-                let place = pick::with_slot(speed, demand, candidates, choice.first, rng);
+                let place =
+                    pick::draw_engine_with_slot(speed, demand, candidates, choice.primary, rng);
                 pick::redirect(speed, demand, candidates, choice, place);
             }
             None => {}
@@ -233,7 +243,7 @@
             priority: request.priority(),
             standing: self.standing(now, request),
         };
-        let first = has_slot(choice.first);
+        let first = has_slot(choice.primary);
         let rng = &mut *self.rng.borrow_mut();
         self.lines.with(&request.service, |line| {
             let verdict = line.desk.ask(now, &case, first, rng);
@@ -263,7 +273,7 @@
     }
 
     /// The engine whose slot the prompt was granted, if that is still free.
-    fn handed_over(&self, question: &Question<'_>) -> Option<usize> {
+    fn granted_place(&self, question: &Admission<'_>) -> Option<usize> {
         let upstream = question.grant?.upstream.as_ref()?;
         let mut targets = question.targets.iter();
         let place = targets.position(|target| target.name == *upstream)?;
@@ -280,7 +290,7 @@
         let known = self.known();
         let service = known.rules.as_ref()?.service(&request.service)?;
         let speed = service.engine.as_ref()?;
-        let hold = pick::hold(speed, request.demand?, speed.slots);
+        let hold = pick::slot_duration(speed, request.demand?, speed.slots);
         let service = request.service.clone();
         let commitment = self
             .lines
@@ -296,7 +306,8 @@
     pub(crate) fn leave_slot(&self, slot: &Slot, upstream: &Upstream) {
         let now = clock::mono();
         let total = self.load.borrow().total(now, upstream);
-        let is_avoided = self.is_suspect(now, upstream) || self.pacing.standing(upstream).1;
+        let is_avoided =
+            self.is_suspect(now, upstream) || self.pacing.rate_and_ejection(upstream).1;
         let is_closed = is_avoided || self.backoff(now, upstream).is_some();
         let is_open = total.requests() < slot.slots && !is_closed;
         self.lines.with(&slot.service, |line| {
@@ -310,7 +321,7 @@
 
     /// Wakes the prompts for which slots are seen free, or that have waited for as long as
     /// they may.
-    fn look(&self, service: &Service, objective: Duration) {
+    fn check_slots(&self, service: &Service, objective: Duration) {
         let now = clock::mono();
         let is_due = self.lines.with(service, |line| {
             let is_due = now.since(line.looked) >= LOOK;
@@ -321,7 +332,7 @@
             return;
         }
         if self.shared.is_stopping() || !self.load.borrow().is_informed(now) {
-            return self.release(service);
+            return self.release_all(service);
         }
         let account = self.lines.with(service, |line| *line.desk.account());
         if now.since(account.at) >= REFRESH {
@@ -331,7 +342,7 @@
             let candidates: Vec<Candidate> = open
                 .map(|target| self.candidate(now, target, &[], &[]))
                 .collect();
-            let rows = pick::slots(&candidates, objective);
+            let rows = pick::slot_usage(&candidates, objective);
             self.lines.with(service, |line| {
                 line.desk.see(now, rows, account.hold, account.hosts);
             });
@@ -344,7 +355,7 @@
     }
 
     /// Wakes all that wait.
-    fn release(&self, service: &Service) {
+    fn release_all(&self, service: &Service) {
         self.lines.with(service, |line| {
             let all = line.desk.release();
             line.wake_all(all);
--- a/almondlock-gateway/src/standing.rs
+++ b/almondlock-gateway/src/standing.rs
@@ -17,7 +17,7 @@
     life::{LAST, Request},
     load::Key,
     rules::Organisation,
-    share::{Claim, Finding, Known, Ledger, Notices, OTHERS},
+    share::{Claim, Finding, Findings, Ledger, Notices, OTHERS},
     worker::Worker,
 };
 
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
     ledger: Ledger,
-    known: RefCell<Known>,
+    known: RefCell<Findings>,
     /// When each claim of a refused request ends.
     refused: RefCell<VecDeque<(Mono, Claim)>>,
     /// The ranks of the kinds of requests that came, a bit each, by service.
@@ -56,7 +56,7 @@
     /// share, never level with a less urgent kind.
     pub(crate) fn priority(&self, request: &Request, now: Mono) -> u32 {
         let own = request.priority();
-        if self.sharer(request).is_none() {
+        if self.accounted_organisation(request).is_none() {
             return own;
         }
         let kind = request.kind_rank();
@@ -78,22 +78,22 @@
 
     /// Counts a request that is sent to engines, until the claim is dropped.
     pub(crate) fn claim_sent(&self, request: &Request) -> Option<Claim> {
-        let organisation = self.sharer(request)?;
+        let organisation = self.accounted_organisation(request)?;
         let reading = self.reading(request)?;
         let ledger = &self.shares.ledger;
-        Some(ledger.send(request.service.as_str(), &organisation.name, reading))
+        Some(ledger.claim_sent(request.service.as_str(), &organisation.name, reading))
     }
 
     /// Counts a request as waiting for a resource, until the claim is dropped.
     pub(crate) fn claim_waiting(&self, request: &Request, resource: Resource) -> Option<Claim> {
-        let organisation = self.sharer(request)?;
+        let organisation = self.accounted_organisation(request)?;
         let (service, name) = (request.service.as_str(), &organisation.name);
         let ledger = &self.shares.ledger;
         match resource {
-            Resource::Slots => Some(ledger.wait_slot(service, name)),
+            Resource::Slots => Some(ledger.claim_slot_wait(service, name)),
             Resource::Reading => {
                 let reading = self.reading(request)?;
-                Some(ledger.wait_reading(service, name, reading))
+                Some(ledger.claim_reading_wait(service, name, reading))
             }
         }
     }
@@ -128,15 +128,15 @@
     /// Logs and counts a request that others are served before, since its organisation is
     /// over its share. `action` tells what was done.
     pub(crate) fn note_deprioritised(&self, request: &Request, now: Mono, action: &str) {
-        let organisation = self.sharer(request);
+        let organisation = self.accounted_organisation(request);
         let Some((organisation, finding)) = organisation.zip(self.finding(now, request)) else {
             return;
         };
         let mut notices = self.shares.notices.borrow_mut();
-        let label = notices.name(&organisation.name, finding.place);
+        let label = notices.label(&organisation.name, finding.place);
         let label = format!("organisation=\"{label}\"");
         self.shared.metrics.count("deprioritised", &label);
-        let Some(suppressed) = notices.pass(now) else {
+        let Some(suppressed) = notices.allow_line(now) else {
             return;
         };
         let excess = &finding.excess;
@@ -149,7 +149,7 @@
     }
 
     /// What this host tells relays of its organisations, if it is time to.
-    pub(crate) fn share_report(&self, now: Mono) -> Option<Envelope> {
+    pub(crate) fn due_share_report(&self, now: Mono) -> Option<Envelope> {
         let (at, number, was_empty) = self.shares.reported.get();
         if !self.are_shares_in_force() || now.since(at) < PERIOD {
             return None;
@@ -168,22 +168,22 @@
         };
         // An empty one is told once.
         (!is_empty || !was_empty && number > 1)
-            .then(|| Envelope::of(&report))
+            .then(|| Envelope::encode(&report))
             .flatten()
     }
 
     /// A relay told the sums of all hosts.
-    pub(crate) fn hear_totals(&self, now: Mono, relay: SocketAddr, envelope: &Envelope) {
+    pub(crate) fn receive_totals(&self, now: Mono, relay: SocketAddr, envelope: &Envelope) {
         if !self.are_shares_in_force() {
             return;
         }
-        let Some(totals) = envelope.open(relay) else {
+        let Some(totals) = envelope.decode(relay) else {
             return;
         };
         let known = self.known();
         let capacity = |service: Key| {
             let mut services = known.instances.iter();
-            let found = services.find(|(name, _)| Key::named(name.as_str()) == service);
+            let found = services.find(|(name, _)| Key::of_name(name.as_str()) == service);
             let targets = found.map_or(&[][..], |(_, targets)| targets);
             Capacity {
                 engines: u32::try_from(targets.len()).unwrap_or(u32::MAX),
@@ -191,7 +191,7 @@
             }
         };
         let mut heard = self.shares.known.borrow_mut();
-        heard.hear(now, relay, &totals, capacity);
+        heard.receive(now, relay, &totals, capacity);
     }
 
     /// Whether shares are computed: the settings ask for it, and there are organisations to
@@ -206,15 +206,15 @@
     }
 
     /// The organisation that a request for an engine counts for.
-    fn sharer<'a>(&self, request: &'a Request) -> Option<&'a Arc<Organisation>> {
+    fn accounted_organisation<'a>(&self, request: &'a Request) -> Option<&'a Arc<Organisation>> {
         let organisation = request.organisation.as_ref()?;
         let counts = request.demand.is_some() && self.are_shares_in_force();
         counts.then_some(organisation)
     }
 
     fn finding(&self, now: Mono, request: &Request) -> Option<Finding> {
-        let organisation = self.sharer(request)?;
-        let relay = self.load.borrow().relay(now)?;
+        let organisation = self.accounted_organisation(request)?;
+        let relay = self.load.borrow().current_relay(now)?;
         let tag = Tag::of(request.service.as_str(), &organisation.name);
         self.shares.known.borrow().excess(now, relay, tag)
     }
--- a/almondlock-gateway/src/startup.rs
+++ b/almondlock-gateway/src/startup.rs
@@ -31,7 +31,7 @@
             .time("settled", "phase=\"start\"", waited);
         tracing::info!(
             request = %request.id, waited_ms = waited.as_millis(),
-            age_ms = worker.shared.age(now).as_millis(), hosts = worker.load.borrow().hosts(now),
+            age_ms = worker.shared.age(now).as_millis(), hosts = worker.load.borrow().other_hosts(now),
             "waited after the start"
         );
     }
@@ -53,7 +53,7 @@
         spent: now.since(request.arrived),
         objective: request.route.objective,
         reading: speed.reading(demand.prompt),
-        knows_loads: worker.load.borrow().hosts(now) > 0,
+        knows_loads: worker.load.borrow().other_hosts(now) > 0,
     };
     hold(settling, &case)
 }
--- a/almondlock-gateway/src/suspicion.rs
+++ b/almondlock-gateway/src/suspicion.rs
@@ -47,7 +47,7 @@
 
 impl Suspicion {
     /// A relay told how requests stand.
-    pub(crate) fn hear(&self, now: Mono, suspects: &[Suspect]) {
+    pub(crate) fn receive(&self, now: Mono, suspects: &[Suspect]) {
         let (mut refused, mut watched) = (self.refused.borrow_mut(), self.watched.borrow_mut());
         refused.retain(|_, until| now < *until);
         for suspect in suspects {
@@ -131,7 +131,7 @@
 
     /// An attempt failed: if its upstream was lost with it, the relays are told.
     /// `since` is when it was begun.
-    pub(crate) fn blame(&self, request: &Request, broken: &Broken, since: Mono) {
+    pub(crate) fn report_loss(&self, request: &Request, broken: &Broken, since: Mono) {
         let (true, Some(upstream)) = (broken.cut, &broken.upstream) else {
             return;
         };
--- a/almondlock-gateway/src/worker.rs
+++ b/almondlock-gateway/src/worker.rs
@@ -43,7 +43,7 @@
     reading::Current,
     rules::Rules,
     shared::Shared,
-    slots::Lines,
+    slots::Queues,
     standing::Shares,
     suspicion::Suspicion,
 };
@@ -103,7 +103,7 @@
     pub(crate) limits: RefCell<throttle::Limits<Key>>,
     pub(crate) permits: Permits,
     /// Prompts that wait for a free slot.
-    pub(crate) lines: Lines,
+    pub(crate) lines: Queues,
     /// Requests that upstreams were lost with.
     pub(crate) suspicion: Suspicion,
     /// What organisations have in flight, here and at all hosts.
@@ -175,7 +175,7 @@
             backoffs: RefCell::default(),
             limits: RefCell::default(),
             permits: Permits::default(),
-            lines: Lines::default(),
+            lines: Queues::default(),
             suspicion: Suspicion::default(),
             shares: Shares::default(),
             pacing: Pacing::default(),
@@ -316,13 +316,13 @@
         full: &[Upstream],
     ) -> Candidate {
         let suspect = tried.contains(&target.name) || self.is_suspect(now, &target.name);
-        let (rate, ejected) = self.pacing.standing(&target.name);
+        let (rate, ejected) = self.pacing.rate_and_ejection(&target.name);
         Candidate {
             total: self.load.borrow().total(now, &target.name),
             slots: target.slots,
             near: target.near,
             suspect,
-            limited: self.limited(now, target),
+            quota: self.limited(now, target),
             full: full.contains(&target.name),
             cell: target.cell,
             rate,
--- a/almondlock-gateway/tests/burst/mod.rs
+++ b/almondlock-gateway/tests/burst/mod.rs
@@ -8,7 +8,7 @@
 use almondlock_base::time::Mono;
 use almondlock_gateway::{
     load::Total,
-    pick::{self, Candidate, Demand, Limited},
+    pick::{self, Candidate, Demand, Quota},
 };
 use almondlock_policy::{
     engine::Speed,
@@ -271,7 +271,7 @@
     fn see(&mut self, host: usize, candidates: &[Candidate]) {
         let objective = Duration::from_millis(OBJECTIVE);
         let hold = Duration::from_millis(HOLD);
-        let rows = pick::slots(candidates, objective);
+        let rows = pick::slot_usage(candidates, objective);
         let hosts = self.desks.len() - 1;
         self.desks[host].see(Mono::from_millis(self.now), rows, hold, hosts);
     }
@@ -303,7 +303,7 @@
                 ejected: false,
                 rate: 1.0,
                 suspect: false,
-                limited: Limited::No,
+                quota: Quota::Unlimited,
                 full: false,
                 cell: 0,
             }
@@ -321,13 +321,19 @@
             output: 1_700,
             objective,
         };
-        let choice = pick::engine(&self.speed, demand, &candidates, &mut self.rng).unwrap();
-        let mut first = choice.first;
+        let choice = pick::choose_engine(&self.speed, demand, &candidates, &mut self.rng).unwrap();
+        let mut first = choice.primary;
         let has_slot = |e: usize| candidates[e].total.requests() < SLOTS;
         if self.places {
             self.see(host, &candidates);
             if self.desks[host].is_scarce() || !has_slot(first) {
-                first = pick::with_slot(&self.speed, demand, &candidates, first, &mut self.rng);
+                first = pick::draw_engine_with_slot(
+                    &self.speed,
+                    demand,
+                    &candidates,
+                    first,
+                    &mut self.rng,
+                );
             }
             match freed {
                 Some(Some(e)) if has_slot(e) => first = e,
--- a/almondlock-gateway/tests/changed_rules.rs
+++ b/almondlock-gateway/tests/changed_rules.rs
@@ -135,25 +135,25 @@
     let dialect = Lines::new();
     let mut current = Current::default();
     let at = Mono::from_micros;
-    current.see(at(0), &dialect, &document(1, &FIRST));
+    current.observe(at(0), &dialect, &document(1, &FIRST));
     let mut job = current.job().unwrap();
     let read = job.reader.finish(&dialect);
-    current.end(at(10), &dialect, 1, read);
-    assert!(current.job().is_none() && current.behind(at(9_000_000)).is_none());
-    current.see(at(10), &dialect, &document(2, &FIRST[..6]));
+    current.apply_result(at(10), &dialect, 1, read);
+    assert!(current.job().is_none() && current.overdue(at(9_000_000)).is_none());
+    current.observe(at(10), &dialect, &document(2, &FIRST[..6]));
     let mut job = current.job().unwrap();
     assert!(current.rules().unwrap().organisation("key-2").is_none());
     // The third one has the key again, and lacks the other.
     let third = ["s one", "r a one 0", "k other key-2"];
-    current.see(at(20), &dialect, &document(3, &third));
+    current.observe(at(20), &dialect, &document(3, &third));
     let rules = current.rules().unwrap();
     assert!(rules.organisation("key-2").is_some() && rules.organisation("key-1").is_none());
     let read = job.reader.finish(&dialect);
-    current.end(at(30), &dialect, 2, read);
+    current.apply_result(at(30), &dialect, 2, read);
     let rules = current.rules().unwrap();
     assert_eq!(rules.version, 2);
     assert!(rules.organisation("key-1").is_none());
-    assert!(current.behind(at(1_500_000)).is_some());
+    assert!(current.overdue(at(1_500_000)).is_some());
     let job = current.job().unwrap();
     assert_eq!(job.reader.version(), 3);
 }
--- a/almondlock-gateway/tests/ejected_engines.rs
+++ b/almondlock-gateway/tests/ejected_engines.rs
@@ -43,10 +43,10 @@
         ..engine(Total::default())
     });
     for _ in 0..200 {
-        let choice = pick::engine(&speed(), demand(prompt), &candidates, &mut rng).unwrap();
-        assert!(choice.first != 0 && !choice.helpers.contains(&0));
-        let choice = pick::plain(&candidates, &mut rng).unwrap();
-        assert_ne!(choice.first, 0);
+        let choice = pick::choose_engine(&speed(), demand(prompt), &candidates, &mut rng).unwrap();
+        assert!(choice.primary != 0 && !choice.helpers.contains(&0));
+        let choice = pick::choose_plain(&candidates, &mut rng).unwrap();
+        assert_ne!(choice.primary, 0);
     }
 }
 
@@ -63,12 +63,12 @@
         suspect: true,
         ..engine(Total::default())
     };
-    let choice = pick::engine(&speed(), demand(5_000), &[gone], &mut rng).unwrap();
-    assert_eq!(choice.first, 0);
+    let choice = pick::choose_engine(&speed(), demand(5_000), &[gone], &mut rng).unwrap();
+    assert_eq!(choice.primary, 0);
     let both = [gone, failed];
-    let choice = pick::engine(&speed(), demand(5_000), &both, &mut rng).unwrap();
-    assert_eq!(choice.first, 1);
-    assert_eq!(pick::plain(&both, &mut rng).unwrap().first, 1);
+    let choice = pick::choose_engine(&speed(), demand(5_000), &both, &mut rng).unwrap();
+    assert_eq!(choice.primary, 1);
+    assert_eq!(pick::choose_plain(&both, &mut rng).unwrap().primary, 1);
 }
 
 /// Guards against an idle slow engine that gets as many prompts as others, and against first
@@ -82,13 +82,13 @@
     };
     let all = candidates(slow);
     let places = (0..300).map(|_| {
-        let choice = pick::engine(&speed(), demand(5_000), &all, &mut rng).unwrap();
-        choice.first
+        let choice = pick::choose_engine(&speed(), demand(5_000), &all, &mut rng).unwrap();
+        choice.primary
     });
     assert_eq!(places.filter(|place| *place == 0).count(), 0);
     let usual = engine(Total::default());
     let mut expected = |only| {
-        let choice = pick::engine(&speed(), demand(5_000), &[only], &mut rng).unwrap();
+        let choice = pick::choose_engine(&speed(), demand(5_000), &[only], &mut rng).unwrap();
         choice.expected.as_secs_f64()
     };
     let times = expected(slow) / expected(usual);
@@ -105,13 +105,13 @@
         ..engine(Total::default())
     };
     let all = candidates(slow);
-    let chosen = pick::engine(&speed(), demand(5_000), &all, &mut rng).unwrap();
-    assert_ne!(chosen.first, 0);
+    let chosen = pick::choose_engine(&speed(), demand(5_000), &all, &mut rng).unwrap();
+    assert_ne!(chosen.primary, 0);
     let mut moved = chosen.clone();
     pick::redirect(&speed(), demand(5_000), &all, &mut moved, 0);
-    let alone = pick::engine(&speed(), demand(5_000), &[slow], &mut rng).unwrap();
+    let alone = pick::choose_engine(&speed(), demand(5_000), &[slow], &mut rng).unwrap();
     let times = moved.expected.as_secs_f64() / alone.expected.as_secs_f64();
-    assert_eq!(moved.first, 0);
+    assert_eq!(moved.primary, 0);
     assert!((0.9..1.1).contains(&times), "{times}");
 }
 
@@ -125,7 +125,8 @@
         ..engine(Total::default())
     };
     let all = candidates(slow);
-    let drawn = (0..1_200).map(|_| pick::with_slot(&speed(), demand(5_000), &all, 1, &mut rng));
+    let drawn =
+        (0..1_200).map(|_| pick::draw_engine_with_slot(&speed(), demand(5_000), &all, 1, &mut rng));
     // 100 if all were alike, 27 by their rates.
     let count = drawn.filter(|place| *place == 0).count();
     assert!((10..50).contains(&count), "{count}");
--- a/almondlock-gateway/tests/engine_choice.rs
+++ b/almondlock-gateway/tests/engine_choice.rs
@@ -7,7 +7,7 @@
 
 use almondlock_gateway::{
     load::Total,
-    pick::{self, Candidate, Choice, Demand, Lack, READERS},
+    pick::{self, Candidate, Choice, Demand, MAX_READERS, Shortage},
 };
 use engines::{engine, speed};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -39,12 +39,12 @@
 
 fn choose(prompt: u64, candidates: &[Candidate]) -> Choice {
     let mut rng = SmallRng::seed_from_u64(1);
-    pick::engine(&speed(), demand(prompt), candidates, &mut rng).unwrap()
+    pick::choose_engine(&speed(), demand(prompt), candidates, &mut rng).unwrap()
 }
 
 fn members(choice: &Choice) -> Vec<usize> {
     let mut all = choice.helpers.clone();
-    all.push(choice.first);
+    all.push(choice.primary);
     all.sort_unstable();
     all
 }
@@ -65,7 +65,7 @@
     let candidates = writing(2, 9);
     for _ in 0..20 {
         let choice = choose(4_000, &candidates);
-        assert!(choice.first < 2 && choice.helpers.is_empty());
+        assert!(choice.primary < 2 && choice.helpers.is_empty());
     }
 }
 
@@ -75,8 +75,8 @@
     let candidates = writing(3, 16);
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let choice = pick::engine(&speed(), demand(4_000), &candidates, &mut rng).unwrap();
-        assert!(choice.first >= 3, "{choice:?}");
+        let choice = pick::choose_engine(&speed(), demand(4_000), &candidates, &mut rng).unwrap();
+        assert!(choice.primary >= 3, "{choice:?}");
     }
 }
 
@@ -128,7 +128,7 @@
     }
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let choice = pick::engine(&speed(), demand(210_000), &candidates, &mut rng).unwrap();
+        let choice = pick::choose_engine(&speed(), demand(210_000), &candidates, &mut rng).unwrap();
         let all = members(&choice);
         assert!(!all.iter().any(|i| *i < 7), "{choice:?}");
         assert!(choice.expected < Duration::from_millis(1_500), "{choice:?}");
@@ -163,7 +163,7 @@
     let mut candidates = writing(2, 10);
     candidates[13].total.streams = 2;
     let usual = choose(210_000, &candidates);
-    assert_eq!(usual.first, 12);
+    assert_eq!(usual.primary, 12);
     assert!(
         usual.helpers.iter().all(|i| (2..12).contains(i)),
         "{usual:?}"
@@ -210,7 +210,7 @@
 fn middling_on_short_side() {
     let candidates = writing(3, 8);
     let choice = choose(45_000, &candidates);
-    assert!(choice.first < 3);
+    assert!(choice.primary < 3);
     assert!(choice.part <= Duration::from_millis(35));
 }
 
@@ -225,8 +225,8 @@
     let (mut first, mut readers) = (BTreeSet::new(), BTreeSet::new());
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let choice = pick::engine(&speed(), demand(210_000), &candidates, &mut rng).unwrap();
-        first.insert(choice.first);
+        let choice = pick::choose_engine(&speed(), demand(210_000), &candidates, &mut rng).unwrap();
+        first.insert(choice.primary);
         readers.extend(choice.helpers);
     }
     assert!(first.len() >= 4, "{first:?}");
@@ -238,11 +238,11 @@
     let mut candidates = idle();
     candidates.iter_mut().for_each(|c| c.suspect = true);
     candidates[5].suspect = false;
-    assert_eq!(choose(4_000, &candidates).first, 5);
+    assert_eq!(choose(4_000, &candidates).primary, 5);
     assert_eq!(members(&choose(210_000, &candidates)), [5]);
     candidates[5].suspect = true;
     candidates[5].total.waiting = 30;
-    assert_ne!(choose(4_000, &candidates).first, 5);
+    assert_ne!(choose(4_000, &candidates).primary, 5);
 }
 
 #[test]
@@ -250,17 +250,17 @@
     let candidates = vec![idle()[0]; 60];
     for prompt in [30_000, 100_000, 300_000, 1_000_000] {
         let choice = choose(prompt, &candidates);
-        assert!(choice.helpers.len() < READERS);
-        assert!(!choice.helpers.contains(&choice.first));
+        assert!(choice.helpers.len() < MAX_READERS);
+        assert!(!choice.helpers.contains(&choice.primary));
     }
 }
 
 #[test]
 fn nobody_enrolled() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let chosen = pick::engine(&speed(), demand(5_000), &[], &mut rng);
-    assert_eq!(chosen, Err(Lack::Upstream));
-    assert_eq!(pick::plain(&[], &mut rng), Err(Lack::Upstream));
+    let chosen = pick::choose_engine(&speed(), demand(5_000), &[], &mut rng);
+    assert_eq!(chosen, Err(Shortage::Upstream));
+    assert_eq!(pick::choose_plain(&[], &mut rng), Err(Shortage::Upstream));
 }
 
 #[test]
@@ -269,5 +269,8 @@
     candidates.iter_mut().for_each(|c| c.total.streams = 3);
     candidates[4].total.streams = 1;
     let mut rng = SmallRng::seed_from_u64(1);
-    assert_eq!(pick::plain(&candidates, &mut rng).unwrap().first, 4);
+    assert_eq!(
+        pick::choose_plain(&candidates, &mut rng).unwrap().primary,
+        4
+    );
 }
--- a/almondlock-gateway/tests/engines/mod.rs
+++ b/almondlock-gateway/tests/engines/mod.rs
@@ -2,7 +2,7 @@
 
 use almondlock_gateway::{
     load::Total,
-    pick::{Candidate, Limited},
+    pick::{Candidate, Quota},
 };
 use almondlock_policy::engine::Speed;
 
@@ -28,7 +28,7 @@
         slots: 16,
         near: true,
         suspect: false,
-        limited: Limited::No,
+        quota: Quota::Unlimited,
         full: false,
         cell: 0,
         rate: 1.0,
--- a/almondlock-gateway/tests/fleet/mod.rs
+++ b/almondlock-gateway/tests/fleet/mod.rs
@@ -16,7 +16,7 @@
 
 use almondlock_base::{id::Upstream, time::Mono};
 use almondlock_gateway::{
-    exchange::{Observed, Pace, Paces},
+    exchange::{Observation, Pace, Paces},
     load::Key,
 };
 use almondlock_policy::pace::{Change, Sample, Table};
@@ -352,15 +352,15 @@
             if self.setup.liar == Some(host) {
                 paces = (0..self.setup.upstreams).map(lie).collect();
             }
-            let report = Observed {
+            let report = Observation {
                 host: host as u64,
                 number: self.number,
                 follows: true,
                 paces,
             };
-            self.relay.hear(mono(now), address(host), report);
+            self.relay.receive(mono(now), address(host), report);
         }
-        if let Some((_, paces)) = self.relay.take(mono(now)) {
+        if let Some((_, paces)) = self.relay.take_updates(mono(now)) {
             self.told.push((now + WAY, paces));
         }
     }
--- a/almondlock-gateway/tests/gateway/mod.rs
+++ b/almondlock-gateway/tests/gateway/mod.rs
@@ -243,7 +243,7 @@
         system.block_on(async move {
             let socket = tokio::net::UdpSocket::from_std(socket).unwrap();
             let domain = Domain::new("d").unwrap();
-            exchange::relay(socket, domain, || 2).await.unwrap();
+            exchange::run_relay(socket, domain, || 2).await.unwrap();
         });
     });
     address
--- a/almondlock-gateway/tests/greedy_long.rs
+++ b/almondlock-gateway/tests/greedy_long.rs
@@ -117,8 +117,10 @@
             let usual = refusal_of(&speed, &case, Standing::Within, part + pass);
             self.refused_early += u32::from(usual.is_none());
             let until = now + returns.min(Duration::from_secs(1));
-            self.claims
-                .push((until, host.ledger.wait_reading(SERVICE, name, reading)));
+            self.claims.push((
+                until,
+                host.ledger.claim_reading_wait(SERVICE, name, reading),
+            ));
             return Some(returns);
         }
         for engine in readers {
@@ -126,7 +128,7 @@
         }
         let ends = now + case.expected;
         self.claims
-            .push((ends, host.ledger.send(SERVICE, name, reading)));
+            .push((ends, host.ledger.claim_sent(SERVICE, name, reading)));
         let outcome = &mut self.outcomes[attempt.organisation];
         match ends.since(attempt.arrived) <= OBJECTIVE {
             true => outcome.in_time += 1,
--- a/almondlock-gateway/tests/greedy_organisation.rs
+++ b/almondlock-gateway/tests/greedy_organisation.rs
@@ -96,7 +96,7 @@
             organisation,
             arrived: now,
             rank,
-            claim: host.ledger.send(SERVICE, name, READING),
+            claim: host.ledger.claim_sent(SERVICE, name, READING),
         });
     }
 
@@ -107,7 +107,7 @@
             engine.streams.retain(|stream| now < stream.ends);
             for stream in &engine.streams {
                 if stream.begins <= now {
-                    stream.claim.read();
+                    stream.claim.finish_reading();
                 }
             }
             engine.queue.retain(|prompt| {
--- a/almondlock-gateway/tests/known_loads.rs
+++ b/almondlock-gateway/tests/known_loads.rs
@@ -31,7 +31,7 @@
     let total = table.total(at(0), &name());
     assert_eq!((total.waiting, total.streams, total.short), (1, 0, 1));
     assert_eq!((total.reading, total.memory), (80.0, 100));
-    table.read(&name(), ticket);
+    table.finish_reading(&name(), ticket);
     let total = table.total(at(0), &name());
     assert_eq!((total.waiting, total.streams, total.short), (0, 1, 1));
     assert_eq!(total.reading, 0.0);
@@ -46,7 +46,7 @@
     let mut table = Table::default();
     let first = table.begin(at(0), &name(), work(400, 0));
     table.begin(at(10), &name(), work(400, 400));
-    table.read(&name(), first);
+    table.finish_reading(&name(), first);
     assert_eq!(table.total(at(400), &name()).reading, 400.0);
     assert_eq!(table.total(at(610), &name()).reading, 200.0);
 }
@@ -70,11 +70,11 @@
         short: 3,
         memory: 192,
     };
-    table.tell(at(0), 77, vec![(Key::of(&name()), Load::from(&told))]);
+    table.receive_report(at(0), 77, vec![(Key::of(&name()), Load::from(&told))]);
     assert_eq!(table.total(at(100), &name()), told);
-    assert_eq!(table.hosts(at(100)), 1);
+    assert_eq!(table.other_hosts(at(100)), 1);
     assert_eq!(table.total(at(1_100), &name()), Total::default());
-    assert_eq!(table.hosts(at(1_100)), 0);
+    assert_eq!(table.other_hosts(at(1_100)), 0);
 }
 
 /// After a loss of power an engine still works for callers that are gone.
@@ -82,11 +82,11 @@
 fn reported_beyond_known() {
     let mut table = Table::default();
     table.begin(at(0), &name(), work(10, 0));
-    table.report(at(0), &name(), 12);
+    table.record_reported(at(0), &name(), 12);
     assert_eq!(table.total(at(0), &name()).requests(), 12);
-    table.report(at(100), &name(), 1);
+    table.record_reported(at(100), &name(), 1);
     assert_eq!(table.total(at(100), &name()).requests(), 1);
-    table.report(at(200), &name(), 9);
+    table.record_reported(at(200), &name(), 9);
     assert_eq!(table.total(at(1_800), &name()).requests(), 1);
 }
 
@@ -97,11 +97,11 @@
 fn started_again() {
     let mut table = Table::default();
     let old = table.begin(at(0), &name(), work(400, 0));
-    table.report(at(0), &name(), 5);
+    table.record_reported(at(0), &name(), 5);
     table.forget(&name());
     assert_eq!(table.total(at(1), &name()), Total::default());
     table.begin(at(2), &name(), work(80, 0));
-    table.read(&name(), old);
+    table.finish_reading(&name(), old);
     table.end(&name(), old);
     assert_eq!(table.total(at(2), &name()).reading, 80.0);
 }
--- a/almondlock-gateway/tests/limited_engines.rs
+++ b/almondlock-gateway/tests/limited_engines.rs
@@ -8,7 +8,7 @@
 
 use almondlock_gateway::{
     load::Total,
-    pick::{self, Candidate, Demand, Lack, Limited},
+    pick::{self, Candidate, Demand, Quota, Shortage},
 };
 use engines::{engine, speed};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -20,22 +20,22 @@
 const HUGE: u64 = 700_000;
 
 /// Idle engines, of which the first ones stand with their limits like this.
-fn engines(limited: &[Limited]) -> Vec<Candidate> {
+fn engines(limited: &[Quota]) -> Vec<Candidate> {
     let mut engines = vec![engine(Total::default()); 18];
     for (engine, limited) in engines.iter_mut().zip(limited) {
-        engine.limited = *limited;
+        engine.quota = *limited;
     }
     engines
 }
 
-fn choose(prompt: u64, candidates: &[Candidate], seed: u64) -> Result<pick::Choice, Lack> {
+fn choose(prompt: u64, candidates: &[Candidate], seed: u64) -> Result<pick::Choice, Shortage> {
     let demand = Demand {
         prompt,
         output: 500,
         objective: Duration::from_secs(3),
     };
     let mut rng = SmallRng::seed_from_u64(seed);
-    pick::engine(&speed(), demand, candidates, &mut rng)
+    pick::choose_engine(&speed(), demand, candidates, &mut rng)
 }
 
 /// Guards against requests to engines at their limits, and orders to any that name one.
@@ -46,13 +46,13 @@
     huge = { HUGE },
 )]
 fn spared(prompt: u64) {
-    let limited = [[Limited::Spent; 5], [Limited::Open; 5]].concat();
+    let limited = [[Quota::Exhausted; 5], [Quota::Available; 5]].concat();
     let candidates = engines(&limited);
     for seed in 0..50 {
         let choice = choose(prompt, &candidates, seed).unwrap();
-        assert_ne!(candidates[choice.first].limited, Limited::Spent);
+        assert_ne!(candidates[choice.primary].quota, Quota::Exhausted);
         let mut holders = choice.shares.iter().map(|share| share.place);
-        assert!(holders.all(|place| candidates[place].limited == Limited::No));
+        assert!(holders.all(|place| candidates[place].quota == Quota::Unlimited));
     }
 }
 
@@ -64,10 +64,12 @@
     last = { 13 },
 )]
 fn packed_beside(from: usize) {
-    let mut limited = [Limited::No; 18];
-    limited[from..from + 5].fill(Limited::Spent);
+    let mut limited = [Quota::Unlimited; 18];
+    limited[from..from + 5].fill(Quota::Exhausted);
     let mut candidates = engines(&limited);
-    let mut free: Vec<usize> = (0..18).filter(|i| limited[*i] == Limited::No).collect();
+    let mut free: Vec<usize> = (0..18)
+        .filter(|i| limited[*i] == Quota::Unlimited)
+        .collect();
     for place in &free[..4] {
         candidates[*place].total.streams = 10;
         candidates[*place].total.short = 10;
@@ -75,7 +77,7 @@
     free.truncate(5);
     for seed in 0..50 {
         let choice = choose(SHORT, &candidates, seed).unwrap();
-        assert!(free.contains(&choice.first), "engine {}", choice.first);
+        assert!(free.contains(&choice.primary), "engine {}", choice.primary);
     }
 }
 
@@ -83,23 +85,23 @@
 /// name limits.
 #[test]
 fn writers_beside() {
-    let mut limited = [Limited::No; 18];
-    limited[12..].fill(Limited::Open);
+    let mut limited = [Quota::Unlimited; 18];
+    limited[12..].fill(Quota::Available);
     let candidates = engines(&limited);
     for seed in 0..50 {
         let choice = choose(LONG, &candidates, seed).unwrap();
         assert!(choice.helpers.len() > 4, "{choice:?}");
-        assert_eq!(candidates[choice.first].limited, Limited::No);
+        assert_eq!(candidates[choice.primary].quota, Quota::Unlimited);
     }
 }
 
 /// Parts that are read for another engine are no requests of hosts.
 #[test]
 fn still_read() {
-    let candidates = engines(&[Limited::Spent; 10]);
+    let candidates = engines(&[Quota::Exhausted; 10]);
     let choice = choose(LONG, &candidates, 1).unwrap();
     let mut helpers = choice.helpers.iter();
-    assert!(helpers.any(|place| candidates[*place].limited == Limited::Spent));
+    assert!(helpers.any(|place| candidates[*place].quota == Quota::Exhausted));
 }
 
 /// Where every engine is at its limit the request is refused and not sent all the same.
@@ -109,8 +111,8 @@
     long = { LONG },
 )]
 fn refused(prompt: u64) {
-    let candidates = engines(&[Limited::Spent; 18]);
-    assert_eq!(choose(prompt, &candidates, 1), Err(Lack::Limit));
+    let candidates = engines(&[Quota::Exhausted; 18]);
+    assert_eq!(choose(prompt, &candidates, 1), Err(Shortage::Limit));
 }
 
 /// A prompt that fits into one engine is served where all of them name limits.
@@ -120,31 +122,34 @@
     long = { LONG },
 )]
 fn all_limited(prompt: u64) {
-    let mut limited = [Limited::Spent; 18];
-    limited[7] = Limited::Open;
+    let mut limited = [Quota::Exhausted; 18];
+    limited[7] = Quota::Available;
     let candidates = engines(&limited);
     let choice = choose(prompt, &candidates, 1).unwrap();
-    assert_eq!(choice.first, 7);
+    assert_eq!(choice.primary, 7);
     assert!(choice.shares.is_empty());
 }
 
 /// An engine that failed lately is taken before one at its limit.
 #[test]
 fn suspect_first() {
-    let mut candidates = engines(&[Limited::Spent; 18]);
-    candidates[3].limited = Limited::No;
+    let mut candidates = engines(&[Quota::Exhausted; 18]);
+    candidates[3].quota = Quota::Unlimited;
     candidates[3].suspect = true;
-    assert_eq!(choose(SHORT, &candidates, 1).unwrap().first, 3);
+    assert_eq!(choose(SHORT, &candidates, 1).unwrap().primary, 3);
 }
 
 /// Plain upstreams at their limits are passed over as well.
 #[test]
 fn plain_spared() {
-    let mut candidates = engines(&[Limited::Spent; 17]);
+    let mut candidates = engines(&[Quota::Exhausted; 17]);
     candidates[17].total.streams = 15;
     let mut rng = SmallRng::seed_from_u64(1);
-    let choice = pick::plain(&candidates, &mut rng).unwrap();
-    assert_eq!(choice.first, 17);
-    candidates[17].limited = Limited::Spent;
-    assert_eq!(pick::plain(&candidates, &mut rng), Err(Lack::Limit));
+    let choice = pick::choose_plain(&candidates, &mut rng).unwrap();
+    assert_eq!(choice.primary, 17);
+    candidates[17].quota = Quota::Exhausted;
+    assert_eq!(
+        pick::choose_plain(&candidates, &mut rng),
+        Err(Shortage::Limit)
+    );
 }
--- a/almondlock-gateway/tests/many_hosts.rs
+++ b/almondlock-gateway/tests/many_hosts.rs
@@ -97,8 +97,8 @@
             if rng.random::<f64>() < PER_MILLISECOND {
                 let host = rng.random_range(0..HOSTS);
                 let candidates = self.candidates(now, host);
-                let choice = pick::engine(&speed, demand, &candidates, rng).unwrap();
-                self.sent.push((now, host, choice.first));
+                let choice = pick::choose_engine(&speed, demand, &candidates, rng).unwrap();
+                self.sent.push((now, host, choice.primary));
             }
         }
     }
--- a/almondlock-gateway/tests/organisations/mod.rs
+++ b/almondlock-gateway/tests/organisations/mod.rs
@@ -8,7 +8,7 @@
 use almondlock_base::time::Mono;
 use almondlock_gateway::{
     exchange::shares::{Envelope, PERIOD, Report, Tag, Tally, Totals},
-    share::{Finding, Known, Ledger},
+    share::{Finding, Findings, Ledger},
 };
 use almondlock_policy::share::Capacity;
 
@@ -78,7 +78,7 @@
 
 pub struct Host {
     pub ledger: Ledger,
-    known: Known,
+    known: Findings,
     number: u32,
 }
 
@@ -105,7 +105,7 @@
     pub fn new(capacity: Capacity) -> Fleet {
         let host = |_| Host {
             ledger: Ledger::default(),
-            known: Known::default(),
+            known: Findings::default(),
             number: 0,
         };
         Fleet {
@@ -125,16 +125,16 @@
         if now.since(self.reported) >= PERIOD {
             self.reported = now;
             self.report(now);
-            let sent = self.relay.take(now);
+            let sent = self.relay.take_updates(now);
             let sent = sent.map(|(envelope, _)| (now + PERIOD / 2, envelope));
             self.under_way.extend(sent);
         }
         while self.under_way.front().is_some_and(|(at, _)| *at <= now) {
             let (_, envelope) = self.under_way.pop_front().unwrap();
-            let totals: Totals = envelope.open(address(99)).unwrap();
+            let totals: Totals = envelope.decode(address(99)).unwrap();
             for host in &mut self.hosts {
                 let known = &mut host.known;
-                known.hear(now, address(99), &totals, |_| self.capacity);
+                known.receive(now, address(99), &totals, |_| self.capacity);
             }
         }
     }
@@ -147,8 +147,8 @@
                 number: host.number,
                 counts: host.ledger.counts(),
             };
-            let envelope = Envelope::of(&report).unwrap();
-            self.relay.hear(now, address(n as u16), &envelope);
+            let envelope = Envelope::encode(&report).unwrap();
+            self.relay.receive(now, address(n as u16), &envelope);
         }
     }
 }
--- a/almondlock-gateway/tests/permit_parts.rs
+++ b/almondlock-gateway/tests/permit_parts.rs
@@ -7,7 +7,7 @@
 
 use almondlock_base::{id::Upstream, time::Mono};
 use almondlock_gateway::{
-    exchange::{Ask, Limit, Ration},
+    exchange::{Limit, Limiter, Query},
     load::Key,
 };
 use almondlock_policy::throttle::{Limits, Notice, Rate, Waits};
@@ -38,7 +38,7 @@
 
 struct Fleet {
     hosts: Vec<Host>,
-    relays: Vec<Ration>,
+    relays: Vec<Limiter>,
     /// Limits on their way to a host, with their arrival.
     told: VecDeque<(u64, usize, Vec<Limit>)>,
     rng: SmallRng,
@@ -66,7 +66,7 @@
     fn new(hosts: usize, relays: usize, seed: u64) -> Fleet {
         Fleet {
             hosts: (0..hosts).map(|_| Host::new(relays)).collect(),
-            relays: (0..relays).map(|_| Ration::default()).collect(),
+            relays: (0..relays).map(|_| Limiter::default()).collect(),
             told: VecDeque::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -84,7 +84,7 @@
         let relay = self.rng.random_range(0..relays);
         match self.rng.random_range(0..2_000) {
             0 => self.hosts[host] = Host::new(relays),
-            1 => self.relays[relay] = Ration::default(),
+            1 => self.relays[relay] = Limiter::default(),
             2 => self.hosts[host].cut = vec![at + 3_000; relays],
             3..6 => self.hosts[host].cut[relay] = at + 2_000,
             _ => {}
@@ -94,7 +94,7 @@
     /// Relays tell hosts what has changed.
     fn round(&mut self, at: u64) {
         for relay in 0..self.relays.len() {
-            let limits = self.relays[relay].take(moment(at));
+            let limits = self.relays[relay].take_updates(moment(at));
             for host in 0..self.hosts.len() {
                 if !limits.is_empty() && self.passes(at, host, relay) {
                     self.told.push_back((at + WAY, host, limits.clone()));
@@ -125,14 +125,14 @@
             let Some(relay) = self.hosts[host].waits.next(now, &key(), &order) else {
                 return false;
             };
-            let ask = Ask {
+            let ask = Query {
                 number: 1,
                 limit: Limit::of(now, key(), &notice),
                 cold: None,
             };
             let parts = self.relays.len() as u32;
             let arrives = self.passes(at, host, relay);
-            let permit = arrives.then(|| self.relays[relay].ask(now, &ask, parts));
+            let permit = arrives.then(|| self.relays[relay].request_permit(now, &ask, parts));
             let permit = permit.filter(|_| self.passes(at, host, relay));
             let waits = &mut self.hosts[host].waits;
             match permit.map(|permit| permit.wait_ms) {
@@ -155,7 +155,7 @@
         }
         for relay in 0..self.relays.len() {
             if self.passes(at, host, relay) {
-                self.relays[relay].hear(now, &[Limit::of(now, key(), &notice)]);
+                self.relays[relay].receive(now, &[Limit::of(now, key(), &notice)]);
             }
         }
     }
--- a/almondlock-gateway/tests/reading_pace.rs
+++ b/almondlock-gateway/tests/reading_pace.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use almondlock_base::time::Mono;
-use almondlock_gateway::reading::Pace;
+use almondlock_gateway::reading::Pacer;
 use yare::parameterized;
 
 /// Load pattern: a burst in which requests take the host for so long between two slices.
@@ -18,7 +18,7 @@
     stalled = { 200, 2_000 },
 )]
 fn in_force_in_time(others: u64, within: u64) {
-    let mut pace = Pace::default();
+    let mut pace = Pacer::default();
     let mut now = Mono::from_micros(0);
     let mut left = Duration::from_millis(300);
     while !left.is_zero() {
--- a/almondlock-gateway/tests/restart_burst.rs
+++ b/almondlock-gateway/tests/restart_burst.rs
@@ -45,8 +45,9 @@
 /// How many of a hundred choices fall on other engines than the first two.
 fn elsewhere(known: &[Candidate]) -> usize {
     let mut rng = SmallRng::seed_from_u64(1);
-    let choices = (0..100).map(|_| pick::engine(&speed(), demand(), known, &mut rng).unwrap());
-    choices.filter(|choice| choice.first >= 2).count()
+    let choices =
+        (0..100).map(|_| pick::choose_engine(&speed(), demand(), known, &mut rng).unwrap());
+    choices.filter(|choice| choice.primary >= 2).count()
 }
 
 /// Others join when there is much to read, and only those that have less.
--- a/almondlock-gateway/tests/share_counts.rs
+++ b/almondlock-gateway/tests/share_counts.rs
@@ -13,11 +13,13 @@
 use almondlock_gateway::{
     exchange::{
         Message, Sum,
-        shares::{Counts, Envelope, FORMAT, FRESH, LISTED, PERIOD, Report, Tag, Tally, Totals},
+        shares::{
+            Counts, Envelope, FORMAT, MAX_AGE, MAX_LISTED, PERIOD, Report, Tag, Tally, Totals,
+        },
     },
     load::{Key, Table},
     rules::{Limits, Organisation, Rules},
-    share::{Known, Ledger, Notices, OTHERS},
+    share::{Findings, Ledger, Notices, OTHERS},
 };
 use almondlock_policy::share::{Capacity, Count, Rest, rank};
 use yare::parameterized;
@@ -55,7 +57,7 @@
 }
 
 fn report(host: u64, number: u32, counts: Counts) -> Envelope {
-    Envelope::of(&Report {
+    Envelope::encode(&Report {
         host,
         number,
         counts,
@@ -64,21 +66,21 @@
 }
 
 fn totals(envelope: &Envelope) -> Totals {
-    envelope.open(address(99)).unwrap()
+    envelope.decode(address(99)).unwrap()
 }
 
 fn taken(tally: &mut Tally, now: Mono) -> Totals {
-    totals(&tally.take(now).unwrap().0)
+    totals(&tally.take_updates(now).unwrap().0)
 }
 
-fn is_over(known: &Known, now: Mono, relay: u8, name: &str) -> bool {
+fn is_over(known: &Findings, now: Mono, relay: u8, name: &str) -> bool {
     known
         .excess(now, address(relay), Tag::of("e", name))
         .is_some()
 }
 
-fn hear(known: &mut Known, now: Mono, relay: u8, totals: &Totals) {
-    known.hear(now, address(relay), totals, |_| CAPACITY);
+fn hear(known: &mut Findings, now: Mono, relay: u8, totals: &Totals) {
+    known.receive(now, address(relay), totals, |_| CAPACITY);
 }
 
 /// Sums of two hosts make an organisation over that isn't at either.
@@ -86,13 +88,13 @@
 fn sums_over_hosts() {
     let mut tally = Tally::default();
     let half = counts(&[("large", 9, 1), ("small", 3, 1)]);
-    tally.hear(START, address(1), &report(1, 1, half.clone()));
-    tally.hear(START, address(2), &report(2, 1, half));
-    let (envelope, hosts) = tally.take(START).unwrap();
+    tally.receive(START, address(1), &report(1, 1, half.clone()));
+    tally.receive(START, address(2), &report(2, 1, half));
+    let (envelope, hosts) = tally.take_updates(START).unwrap();
     assert_eq!(hosts.len(), 2);
     let totals = totals(&envelope);
     assert_eq!(totals.counts, contended());
-    let mut known = Known::default();
+    let mut known = Findings::default();
     hear(&mut known, START, 50, &totals);
     assert!(is_over(&known, START, 50, "large"));
     assert!(!is_over(&known, START, 50, "small"));
@@ -103,14 +105,14 @@
 /// organisations are within.
 #[test]
 fn relays_unavailable() {
-    let mut known = Known::default();
+    let mut known = Findings::default();
     let totals = Totals {
         age_ms: 0,
         counts: contended(),
     };
     hear(&mut known, START, 50, &totals);
     assert!(is_over(&known, after(499), 50, "large"));
-    assert!(!is_over(&known, START + FRESH, 50, "large"));
+    assert!(!is_over(&known, START + MAX_AGE, 50, "large"));
 }
 
 /// Counts that are a second old on arrival are not acted on.
@@ -119,7 +121,7 @@
     stale = { 1_000, false },
 )]
 fn old_counts(age_ms: u32, over: bool) {
-    let mut known = Known::default();
+    let mut known = Findings::default();
     let totals = Totals {
         age_ms,
         counts: contended(),
@@ -134,18 +136,18 @@
 fn lost_host() {
     let mut tally = Tally::default();
     let small = counts(&[("small", 6, 2)]);
-    tally.hear(
+    tally.receive(
         START,
         address(1),
         &report(1, 1, counts(&[("large", 18, 2)])),
     );
-    tally.hear(after(400), address(2), &report(2, 1, small.clone()));
+    tally.receive(after(400), address(2), &report(2, 1, small.clone()));
     let last = taken(&mut tally, after(499));
     assert_eq!((last.age_ms, &last.counts), (499, &contended()));
-    tally.hear(after(600), address(2), &report(2, 2, small.clone()));
+    tally.receive(after(600), address(2), &report(2, 2, small.clone()));
     let next = taken(&mut tally, after(499) + PERIOD);
     assert_eq!(next.counts, small);
-    let mut known = Known::default();
+    let mut known = Findings::default();
     hear(&mut known, after(499), 50, &last);
     assert!(is_over(&known, after(998), 50, "large"));
     assert!(!is_over(&known, after(1_000), 50, "large"));
@@ -155,22 +157,22 @@
 #[test]
 fn two_relays() {
     let mut table = Table::default();
-    let mut known = Known::default();
+    let mut known = Findings::default();
     let told = |counts| Totals { age_ms: 0, counts };
     hear(&mut known, START, 50, &told(contended()));
     hear(&mut known, START, 51, &told(counts(&[("small", 6, 2)])));
-    assert_eq!(table.relay(START), None);
+    assert_eq!(table.current_relay(START), None);
     let sum = |hosts| Sum {
         hosts,
         ..Sum::default()
     };
-    table.hear(START, address(51), sum(5), &[]);
-    let relay = table.relay(START).unwrap();
+    table.receive_sum(START, address(51), sum(5), &[]);
+    let relay = table.current_relay(START).unwrap();
     assert!(known.excess(START, relay, Tag::of("e", "large")).is_none());
-    table.hear(START, address(50), sum(9), &[]);
-    let relay = table.relay(START).unwrap();
+    table.receive_sum(START, address(50), sum(9), &[]);
+    let relay = table.current_relay(START).unwrap();
     assert!(known.excess(START, relay, Tag::of("e", "large")).is_some());
-    assert_eq!(table.relay(after(1_000)), None);
+    assert_eq!(table.current_relay(after(1_000)), None);
 }
 
 /// A message of another version is ignored, and what was told before stands.
@@ -178,17 +180,17 @@
 fn other_version() {
     let mut tally = Tally::default();
     let known = report(1, 1, contended());
-    tally.hear(START, address(1), &known);
+    tally.receive(START, address(1), &known);
     let newer = Envelope {
         format: FORMAT + 1,
         ..report(1, 2, Counts::default())
     };
-    tally.hear(START, address(1), &newer);
+    tally.receive(START, address(1), &newer);
     let unreadable = Envelope {
         format: FORMAT,
         body: vec![255; 3],
     };
-    tally.hear(START, address(1), &unreadable);
+    tally.receive(START, address(1), &unreadable);
     assert_eq!(taken(&mut tally, START).counts, contended());
 }
 
@@ -211,17 +213,17 @@
 #[test]
 fn overtaken_report() {
     let mut tally = Tally::default();
-    tally.hear(START, address(1), &report(1, 2, contended()));
-    tally.hear(START, address(1), &report(1, 1, Counts::default()));
+    tally.receive(START, address(1), &report(1, 2, contended()));
+    tally.receive(START, address(1), &report(1, 1, Counts::default()));
     assert_eq!(taken(&mut tally, START).counts, contended());
-    tally.hear(after(200), address(1), &report(7, 1, Counts::default()));
+    tally.receive(after(200), address(1), &report(7, 1, Counts::default()));
     assert!(taken(&mut tally, after(200)).counts.is_empty());
 }
 
 /// Without reports a relay tells nothing: with the setting off nothing changes on the wire.
 #[test]
 fn silent_without_reports() {
-    assert!(Tally::default().take(START).is_none());
+    assert!(Tally::default().take_updates(START).is_none());
 }
 
 /// 1,500 organisations at each of 31 hosts: datagrams of hosts and relays stay bounded, and
@@ -246,15 +248,15 @@
         let envelope = report(host.into(), 1, many(host.into()));
         let size = postcard_of(&Message::Shares(envelope.clone())).len();
         assert!(size < 1_472, "{size}");
-        tally.hear(START, address(host), &envelope);
+        tally.receive(START, address(host), &envelope);
     }
-    let (envelope, _) = tally.take(START).unwrap();
+    let (envelope, _) = tally.take_updates(START).unwrap();
     let size = postcard_of(&Message::ShareTotals(envelope.clone())).len();
     println!("totals take {size} bytes");
     assert!(size < 1_472, "{size}");
     let counts = totals(&envelope).counts;
-    assert_eq!(counts.listed.len(), LISTED);
-    let (listed, rest) = counts.at(Key::named("some-service"));
+    assert_eq!(counts.listed.len(), MAX_LISTED);
+    let (listed, rest) = counts.at(Key::of_name("some-service"));
     assert!(listed.iter().all(|(_, count)| count.slots >= 280 * 31));
     assert!(rest.organisations >= 1_436);
 }
@@ -266,10 +268,10 @@
     let ledger = Ledger::default();
     let name: Arc<str> = "large".into();
     let tag = Tag::of("e", "large");
-    let sent = ledger.send("e", &name, READING);
+    let sent = ledger.claim_sent("e", &name, READING);
     let queued = [
-        ledger.wait_slot("e", &name),
-        ledger.wait_reading("e", &name, READING),
+        ledger.claim_slot_wait("e", &name),
+        ledger.claim_reading_wait("e", &name, READING),
     ];
     let (slots, unread, reading, waiting, queued_reading) = (1, 1, 30, 1, 30);
     let all = Count {
@@ -280,7 +282,7 @@
         queued_reading,
     };
     assert_eq!(ledger.counts().listed, [(tag, all)]);
-    sent.read();
+    sent.finish_reading();
     drop(queued);
     let writing = Count {
         slots: 1,
@@ -304,11 +306,11 @@
         },
     };
     for host in 1..=2 {
-        let rests = BTreeMap::from([(Key::named("e"), rest)]);
+        let rests = BTreeMap::from([(Key::of_name("e"), rest)]);
         let counts = Counts::new(BTreeMap::new(), rests);
-        tally.hear(START, address(host), &report(host.into(), 1, counts));
+        tally.receive(START, address(host), &report(host.into(), 1, counts));
     }
-    let (_, sum) = taken(&mut tally, START).counts.at(Key::named("e"));
+    let (_, sum) = taken(&mut tally, START).counts.at(Key::of_name("e"));
     assert_eq!((sum.organisations, sum.count.slots), (40, 100));
 }
 
@@ -335,12 +337,12 @@
     let mut lines = 0;
     for n in 0..1_500_usize {
         let name: Arc<str> = format!("organisation-{n}").into();
-        names.insert(notices.name(&name, n % 20).to_owned());
-        lines += u32::from(notices.pass(START).is_some());
+        names.insert(notices.label(&name, n % 20).to_owned());
+        lines += u32::from(notices.allow_line(START).is_some());
     }
     assert_eq!((lines, names.len()), (5, 65));
     assert!(names.contains(OTHERS));
-    assert_eq!(notices.pass(after(1_000)), Some(1_495));
+    assert_eq!(notices.allow_line(after(1_000)), Some(1_495));
 }
 
 /// Without keys, or with keys of one organisation only, there is nobody to share with.
@@ -373,8 +375,8 @@
 fn relay_knows_a_part() {
     let mut tally = Tally::default();
     let half = counts(&[("large", 9, 1), ("small", 3, 1)]);
-    tally.hear(START, address(1), &report(1, 1, half));
-    let mut known = Known::default();
+    tally.receive(START, address(1), &report(1, 1, half));
+    let mut known = Findings::default();
     hear(&mut known, START, 50, &taken(&mut tally, START));
     assert!(!is_over(&known, START, 50, "large"));
 }
--- a/almondlock-gateway/tests/spread_memory.rs
+++ b/almondlock-gateway/tests/spread_memory.rs
@@ -9,7 +9,7 @@
 use almondlock_gateway::{
     load::Total,
     memory::{self, Outcome, Share},
-    pick::{self, Candidate, Choice, Demand, Lack, READERS},
+    pick::{self, Candidate, Choice, Demand, MAX_READERS, Shortage},
 };
 use engines::{engine, speed};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -26,14 +26,14 @@
     used.iter().map(candidate).collect()
 }
 
-fn choose(prompt: u64, candidates: &[Candidate]) -> Result<Choice, Lack> {
+fn choose(prompt: u64, candidates: &[Candidate]) -> Result<Choice, Shortage> {
     let demand = Demand {
         prompt,
         output: 2_000,
         objective: Duration::from_secs(3),
     };
     let mut rng = SmallRng::seed_from_u64(1);
-    pick::engine(&speed(), demand, candidates, &mut rng)
+    pick::choose_engine(&speed(), demand, candidates, &mut rng)
 }
 
 /// The place of the engine that answers.
@@ -106,10 +106,10 @@
     let choice = choose(700_000, &engines(&[0; 14])).unwrap();
     let holders: Vec<usize> = choice.shares.iter().map(|share| share.place).collect();
     assert!(holders.len() > 1);
-    assert_eq!(holders[0], choice.first);
+    assert_eq!(holders[0], choice.primary);
     assert!(holders[1..].iter().all(|i| choice.helpers.contains(i)));
-    assert!(!choice.helpers.contains(&choice.first));
-    assert!(choice.helpers.len() < READERS);
+    assert!(!choice.helpers.contains(&choice.primary));
+    assert!(choice.helpers.len() < MAX_READERS);
 }
 
 /// Streams of middling prompts gather on engines for short ones until their memory is
@@ -130,7 +130,7 @@
         };
     }
     let choice = choose(prompt, &candidates).unwrap();
-    assert_eq!(choice.first, 1, "{choice:?}");
+    assert_eq!(choice.primary, 1, "{choice:?}");
     assert_eq!(choice.shares.len(), 1);
     assert_eq!(choice.shares[0].place, 1);
 }
@@ -142,16 +142,16 @@
     used[9..].fill(0);
     let choice = choose(700_000, &engines(&used)).unwrap();
     let holders = choice.shares.iter().map(|share| share.place);
-    assert!(holders.chain([choice.first]).all(|place| place >= 9));
+    assert!(holders.chain([choice.primary]).all(|place| place >= 9));
 }
 
 #[test]
 fn no_room() {
     let full = engines(&[400_000; 14]);
-    assert_eq!(choose(900_000, &full), Err(Lack::Memory));
+    assert_eq!(choose(900_000, &full), Err(Shortage::Memory));
     let mut said = engines(&[0; 14]);
     said.iter_mut().for_each(|candidate| candidate.full = true);
-    assert_eq!(choose(300_000, &said), Err(Lack::Memory));
+    assert_eq!(choose(300_000, &said), Err(Shortage::Memory));
 }
 
 /// Without an answer nobody knows: the order may be carried out later.
--- a/almondlock-gateway/tests/told_loads.rs
+++ b/almondlock-gateway/tests/told_loads.rs
@@ -10,7 +10,10 @@
     time::Mono,
 };
 use almondlock_gateway::{
-    exchange::{Digest, Gather, Introduction, Listen, PEERS, Relays, Round, SILENCE, Sum},
+    exchange::{
+        Aggregator, Digest, Introduction, MAX_PEERS, RELAY_TIMEOUT, Relays, Round, Subscription,
+        Sum,
+    },
     load::{Key, Load, Table},
 };
 
@@ -50,20 +53,20 @@
     Digest {
         host,
         number,
-        listens: Listen::Closely,
+        listens: Subscription::Closely,
         loads: loads(streams),
     }
 }
 
-fn take(gather: &mut Gather, now: Mono) -> Round {
-    gather.take(now, &domain("d"))
+fn take(gather: &mut Aggregator, now: Mono) -> Round {
+    gather.next_round(now, &domain("d"))
 }
 
 /// What a host knows of the others that listens to one relay, and has told it
 /// `own`.
 fn heard(sum: Sum, own: &[(Key, Load)]) -> Table {
     let mut table = Table::default();
-    table.hear(START, host(99), sum, own);
+    table.receive_sum(START, host(99), sum, own);
     table
 }
 
@@ -75,16 +78,16 @@
 /// the relay had then, which may not be its last.
 #[test]
 fn sum_of_others() {
-    let mut gather = Gather::default();
-    gather.tell(START, host(1), digest(1, 7, &[(1, 2), (2, 7)]));
-    gather.tell(START, host(2), digest(2, 1, &[(1, 3)]));
-    gather.tell(START, host(3), digest(3, 1, &[(1, 4)]));
+    let mut gather = Aggregator::default();
+    gather.receive_report(START, host(1), digest(1, 7, &[(1, 2), (2, 7)]));
+    gather.receive_report(START, host(2), digest(2, 1, &[(1, 3)]));
+    gather.receive_report(START, host(3), digest(3, 1, &[(1, 4)]));
     let round = take(&mut gather, START);
     let sum = round.whole.unwrap();
-    assert!(round.others.contains(&(host(1), 7)));
+    assert!(round.newcomers.contains(&(host(1), 7)));
     let one = heard(sum.clone(), &loads(&[(1, 2), (2, 7)]));
     assert_eq!(
-        (one.hosts(START), streams(&one, 1), streams(&one, 2)),
+        (one.other_hosts(START), streams(&one, 1), streams(&one, 2)),
         (2, 7, 0)
     );
     let total = one.total(START, &engine(1));
@@ -97,20 +100,20 @@
 /// datagram may be lost. What has ended is told as nothing.
 #[test]
 fn only_changes() {
-    let mut gather = Gather::default();
+    let mut gather = Aggregator::default();
     let many: Vec<(u8, u16)> = (0..100).map(|n| (n, 3)).collect();
-    gather.tell(START, host(1), digest(1, 1, &many));
+    gather.receive_report(START, host(1), digest(1, 1, &many));
     assert_eq!(take(&mut gather, START).whole.unwrap().loads.len(), 100);
-    gather.tell(START, host(1), digest(1, 2, &many));
+    gather.receive_report(START, host(1), digest(1, 2, &many));
     let mut told = 0;
     for _ in 0..REPEAT {
         let round = take(&mut gather, START);
         assert!(round.changes.loads.len() <= 2 && round.whole.is_none());
-        assert_eq!(round.close, [(host(1), 2)]);
+        assert_eq!(round.followers, [(host(1), 2)]);
         told += round.changes.loads.len();
     }
     assert_eq!(told, 100);
-    gather.tell(START, host(1), digest(1, 3, &[(5, 9)]));
+    gather.receive_report(START, host(1), digest(1, 3, &[(5, 9)]));
     let changes = take(&mut gather, START).changes.loads;
     assert!(changes.contains(&(Key::of(&engine(5)), load(9))));
     assert!(changes.contains(&(Key::of(&engine(6)), Load::default())));
@@ -121,10 +124,10 @@
 #[test]
 fn quiet_rounds() {
     let most = |hosts: u8| {
-        let mut gather = Gather::default();
-        let tell = |gather: &mut Gather, number| {
+        let mut gather = Aggregator::default();
+        let tell = |gather: &mut Aggregator, number| {
             for n in 0..hosts {
-                gather.tell(START, host(n), digest(n.into(), number, &[]));
+                gather.receive_report(START, host(n), digest(n.into(), number, &[]));
             }
         };
         tell(&mut gather, 1);
@@ -133,7 +136,7 @@
         let (mut pause, mut longest) = (Duration::ZERO, Duration::ZERO);
         for _ in 0..60 {
             pause += gather.period();
-            if !take(&mut gather, START).close.is_empty() {
+            if !take(&mut gather, START).followers.is_empty() {
                 longest = longest.max(std::mem::take(&mut pause));
             }
         }
@@ -141,22 +144,26 @@
     };
     assert_eq!(most(1), Duration::from_millis(60));
     for hosts in [20, 41, 100, 255] {
-        assert!(most(hosts) <= SILENCE / 2, "{hosts}: {:?}", most(hosts));
+        assert!(
+            most(hosts) <= RELAY_TIMEOUT / 2,
+            "{hosts}: {:?}",
+            most(hosts)
+        );
     }
 }
 
 /// A datagram that was overtaken by a later one of the same host is no news.
 #[test]
 fn overtaken_digest() {
-    let mut gather = Gather::default();
-    gather.tell(START, host(1), digest(1, 5, &[(1, 2)]));
-    gather.tell(START, host(1), digest(1, 4, &[(1, 9)]));
+    let mut gather = Aggregator::default();
+    gather.receive_report(START, host(1), digest(1, 5, &[(1, 2)]));
+    gather.receive_report(START, host(1), digest(1, 4, &[(1, 9)]));
     assert_eq!(
         take(&mut gather, START).whole.unwrap().loads[0].1.streams,
         2
     );
     // Started again it counts anew.
-    gather.tell(START, host(1), digest(2, 1, &[(1, 1)]));
+    gather.receive_report(START, host(1), digest(2, 1, &[(1, 1)]));
     assert_eq!(
         take(&mut gather, START).whole.unwrap().loads[0].1.streams,
         1
@@ -167,22 +174,22 @@
 /// told counts until it has been silent for a second.
 #[test]
 fn silent_host() {
-    let mut gather = Gather::default();
-    gather.tell(START, host(1), digest(1, 1, &[(1, 2)]));
+    let mut gather = Aggregator::default();
+    gather.receive_report(START, host(1), digest(1, 1, &[(1, 2)]));
     let deaf = Digest {
-        listens: Listen::No,
+        listens: Subscription::No,
         ..digest(2, 1, &[(1, 3)])
     };
-    gather.tell(START, host(2), deaf);
+    gather.receive_report(START, host(2), deaf);
     let later = START + Duration::from_millis(900);
-    gather.tell(later, host(1), digest(1, 2, &[]));
+    gather.receive_report(later, host(1), digest(1, 2, &[]));
     let round = take(&mut gather, later);
-    assert_eq!((round.others.len(), round.close.len()), (1, 0));
+    assert_eq!((round.newcomers.len(), round.followers.len()), (1, 0));
     assert_eq!(round.whole.unwrap().loads[0].1.streams, 3);
     let round = take(&mut gather, later + Duration::from_millis(200));
     assert_eq!(round.changes.loads[0].1, Load::default());
     let round = take(&mut gather, later + Duration::from_secs(2));
-    assert!(round.others.is_empty() && round.close.is_empty() && round.changes.hosts == 0);
+    assert!(round.newcomers.is_empty() && round.followers.is_empty() && round.changes.hosts == 0);
 }
 
 /// One of two relays falls silent: another takes its place.
@@ -190,19 +197,19 @@
 fn silent_relay() {
     let all = [host(1), host(2), host(3)];
     let mut relays = Relays::default();
-    let first = relays.listen(START, &all, 7);
-    let paces: Vec<Listen> = first.iter().map(|(_, pace)| *pace).collect();
-    assert_eq!(paces, [Listen::Closely, Listen::Seldom]);
+    let first = relays.choose_relays(START, &all, 7);
+    let paces: Vec<Subscription> = first.iter().map(|(_, pace)| *pace).collect();
+    assert_eq!(paces, [Subscription::Closely, Subscription::Seldom]);
     let later = START + Duration::from_millis(200);
-    relays.hear(later, first[1].0, 3);
-    let next = relays.listen(later, &all, 7);
+    relays.receive(later, first[1].0, 3);
+    let next = relays.choose_relays(later, &all, 7);
     // The one that still answers is followed closely from now on.
-    assert_eq!(next[0], (first[1].0, Listen::Closely));
+    assert_eq!(next[0], (first[1].0, Subscription::Closely));
     assert!(next.len() == 2 && next[1].0 != first[0].0);
     // Its host comes back with another address, which the others tell.
     let moved = [next[0].0, host(9)];
     let addresses: Vec<SocketAddr> = relays
-        .listen(later, &moved, 7)
+        .choose_relays(later, &moved, 7)
         .iter()
         .map(|l| l.0)
         .collect();
@@ -215,27 +222,27 @@
 fn near_relay() {
     let all = [host(1), host(2), host(3), host(4), host(5)];
     let mut relays = Relays::default();
-    relays.listen(START, &all, 0);
+    relays.choose_relays(START, &all, 0);
     let own = domain("here");
     let told = Introduction {
         domain: own.clone(),
         peers: Vec::new(),
     };
-    relays.meet(START, host(4), &own, &told);
-    let listened = relays.listen(START, &all, 0);
-    assert_eq!(listened[0], (host(4), Listen::Closely));
+    relays.receive_introduction(START, host(4), &own, &told);
+    let listened = relays.choose_relays(START, &all, 0);
+    assert_eq!(listened[0], (host(4), Subscription::Closely));
     for millis in [200, 240, 400, 440] {
         let now = START + Duration::from_millis(millis);
         listened[1..]
             .iter()
-            .for_each(|(relay, _)| relays.hear(now, *relay, 3));
-        let closely = relays.listen(now, &all, 0)[0].0;
-        relays.hear(now, closely, 3);
+            .for_each(|(relay, _)| relays.receive(now, *relay, 3));
+        let closely = relays.choose_relays(now, &all, 0)[0].0;
+        relays.receive(now, closely, 3);
         assert_ne!(closely, host(4));
     }
     let back = START + Duration::from_millis(500);
-    relays.meet(back, host(4), &own, &told);
-    assert_eq!(relays.listen(back, &all, 0)[0].0, host(4));
+    relays.receive_introduction(back, host(4), &own, &told);
+    assert_eq!(relays.choose_relays(back, &all, 0)[0].0, host(4));
 }
 
 /// Guards against a host that goes on following a relay which is cut off from most others.
@@ -243,38 +250,38 @@
 fn cut_off_relay() {
     let all = [host(1), host(2)];
     let mut relays = Relays::default();
-    let first = relays.listen(START, &all, 0);
-    relays.hear(START, first[0].0, 10);
-    relays.hear(START, first[1].0, 11);
+    let first = relays.choose_relays(START, &all, 0);
+    relays.receive(START, first[0].0, 10);
+    relays.receive(START, first[1].0, 11);
     assert_eq!(
-        relays.listen(START, &all, 0),
+        relays.choose_relays(START, &all, 0),
         first,
         "one more is no matter"
     );
-    relays.hear(START, first[1].0, 30);
-    let next = relays.listen(START, &all, 0);
-    assert_eq!(next[0], (first[1].0, Listen::Closely));
-    assert_eq!(next[1], (first[0].0, Listen::Seldom));
+    relays.receive(START, first[1].0, 30);
+    let next = relays.choose_relays(START, &all, 0);
+    assert_eq!(next[0], (first[1].0, Subscription::Closely));
+    assert_eq!(next[1], (first[0].0, Subscription::Seldom));
 }
 
 /// Guards against bytes between failure domains that grow with hosts times upstreams, or
 /// with hosts times hosts: who listens seldom gets no sums, and nobody is told of all hosts.
 #[test]
 fn bounded_rounds() {
-    let mut gather = Gather::default();
+    let mut gather = Aggregator::default();
     let address = |n: u16| SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8], 9));
     for n in 0..500 {
         let seldom = Digest {
-            listens: Listen::Seldom,
+            listens: Subscription::Seldom,
             ..digest(n.into(), 1, &[(1, 1), (2, 1)])
         };
-        gather.tell(START, address(n), seldom);
+        gather.receive_report(START, address(n), seldom);
     }
     let rounds: Vec<Round> = (0..REPEAT).map(|_| take(&mut gather, START)).collect();
     assert!(
         rounds
             .iter()
-            .all(|round| round.whole.is_none() && round.others.is_empty())
+            .all(|round| round.whole.is_none() && round.newcomers.is_empty())
     );
     let beacons = rounds
         .iter()
@@ -284,12 +291,12 @@
     let told = rounds.iter().flat_map(|round| &round.introductions);
     let mut heard = std::collections::HashMap::<SocketAddr, usize>::new();
     for (to, introduction) in told {
-        assert!(introduction.peers.len() == PEERS && !introduction.peers.contains(to));
+        assert!(introduction.peers.len() == MAX_PEERS && !introduction.peers.contains(to));
         for peer in &introduction.peers {
             *heard.entry(*peer).or_default() += 1;
         }
     }
-    assert!(heard.len() == 500 && heard.values().all(|count| *count == PEERS));
+    assert!(heard.len() == 500 && heard.values().all(|count| *count == MAX_PEERS));
 }
 
 /// Guards against a sum that is too large for a datagram, so that no host is told anything.
@@ -314,9 +321,9 @@
         .map(|part| postcard::to_stdvec(part).unwrap().len());
     assert!(sizes.max().unwrap() < 60_000);
     let mut table = Table::default();
-    table.hear(START, host(1), parts[1].clone(), &[]);
+    table.receive_sum(START, host(1), parts[1].clone(), &[]);
     for part in parts {
-        table.hear(START, host(1), part, &[]);
+        table.receive_sum(START, host(1), part, &[]);
     }
     let known = (0..10_000).filter(|n| table.total(START, &name(*n)).streams == 3);
     assert!(known.count() > 9_990, "but for names with the same key");
@@ -329,19 +336,23 @@
 #[test]
 fn direct_without_relays() {
     let mut relays = Relays::default();
-    assert!(relays.alone(START).is_empty());
+    assert!(relays.direct_peers(START).is_empty());
     let told = Introduction {
         domain: domain("there"),
         peers: vec![host(7), host(8)],
     };
-    relays.meet(START, host(1), &domain("here"), &told);
-    assert!(relays.alone(START + Duration::from_millis(100)).is_empty());
+    relays.receive_introduction(START, host(1), &domain("here"), &told);
+    assert!(
+        relays
+            .direct_peers(START + Duration::from_millis(100))
+            .is_empty()
+    );
     let alone = START + Duration::from_millis(200);
-    let mut peers = relays.alone(alone);
+    let mut peers = relays.direct_peers(alone);
     peers.sort_unstable();
     assert_eq!(peers, [host(7), host(8)]);
-    relays.hear(alone, host(2), 3);
-    assert!(relays.alone(alone).is_empty());
+    relays.receive(alone, host(2), 3);
+    assert!(relays.direct_peers(alone).is_empty());
 }
 
 /// Of two relays the one that hears far more hosts counts; what hosts tell directly
@@ -355,13 +366,13 @@
         loads: loads(&[(1, streams)]),
     };
     let known = |table: &Table, at| table.total(at, &engine(1)).streams;
-    table.hear(START, host(1), sum(5, 9), &[]);
-    table.hear(START + Duration::from_millis(20), host(2), sum(2, 3), &[]);
-    assert_eq!((known(&table, START), table.hosts(START)), (9, 4));
-    table.tell(START, 77, loads(&[(1, 5)]));
+    table.receive_sum(START, host(1), sum(5, 9), &[]);
+    table.receive_sum(START + Duration::from_millis(20), host(2), sum(2, 3), &[]);
+    assert_eq!((known(&table, START), table.other_hosts(START)), (9, 4));
+    table.receive_report(START, 77, loads(&[(1, 5)]));
     assert_eq!(known(&table, START), 9);
     let later = START + Duration::from_millis(300);
-    assert_eq!((known(&table, later), table.hosts(later)), (5, 1));
+    assert_eq!((known(&table, later), table.other_hosts(later)), (5, 1));
     assert_eq!(known(&table, START + Duration::from_secs(2)), 0);
 }
 
@@ -375,8 +386,8 @@
         is_whole: true,
         loads: loads(&[(1, streams)]),
     };
-    table.hear(START, host(1), sum(101, 9), &[]);
-    table.hear(START + Duration::from_millis(20), host(2), sum(100, 3), &[]);
+    table.receive_sum(START, host(1), sum(101, 9), &[]);
+    table.receive_sum(START + Duration::from_millis(20), host(2), sum(100, 3), &[]);
     let now = START + Duration::from_millis(20);
     assert_eq!(table.total(now, &engine(1)).streams, 3);
 }
@@ -391,9 +402,9 @@
         is_whole: false,
         loads: loads(streams),
     };
-    table.hear(START, host(1), sum(&[(1, 4), (2, 4)]), &[]);
+    table.receive_sum(START, host(1), sum(&[(1, 4), (2, 4)]), &[]);
     let later = START + Duration::from_millis(4_100);
-    table.hear(later, host(1), sum(&[(2, 4)]), &[]);
+    table.receive_sum(later, host(1), sum(&[(2, 4)]), &[]);
     let known = |n| table.total(later, &engine(n)).streams;
     assert_eq!((known(1), known(2)), (0, 4));
 }
--- a/almondlock-gateway/tests/told_paces.rs
+++ b/almondlock-gateway/tests/told_paces.rs
@@ -5,7 +5,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use almondlock_base::time::Mono;
-use almondlock_gateway::exchange::{Message, Observed, PACES, Pace, Paces};
+use almondlock_gateway::exchange::{MAX_PACES, Message, Observation, Pace, Paces};
 use almondlock_policy::pace::Account;
 use almondlock_state::instance::Birth;
 use fleet::{address, key, lie};
@@ -28,8 +28,8 @@
     }
 }
 
-fn report(number: u32, follows: bool, paces: Vec<Pace>) -> Observed {
-    Observed {
+fn report(number: u32, follows: bool, paces: Vec<Pace>) -> Observation {
+    Observation {
         host: 1,
         number,
         follows,
@@ -39,7 +39,7 @@
 
 /// The failures that are told of upstream 0 after these hosts reported some.
 fn failures(paces: &mut Paces, now: Mono) -> Option<u8> {
-    let (_, told) = paces.take(now)?;
+    let (_, told) = paces.take_updates(now)?;
     told.iter()
         .find(|pace| pace.key == key(0))
         .map(|p| p.failures)
@@ -55,7 +55,7 @@
 fn pooled(hosts: &[u8], told: u8) {
     let mut paces = Paces::default();
     for (host, failures) in hosts.iter().enumerate() {
-        paces.hear(
+        paces.receive(
             START,
             address(host),
             report(1, true, vec![pace(0, *failures)]),
@@ -70,11 +70,11 @@
 fn replaced_and_old() {
     let mut paces = Paces::default();
     for host in 0..3 {
-        paces.hear(START, address(host), report(2, true, vec![pace(0, 2)]));
-        paces.hear(after(1), address(host), report(1, true, vec![pace(0, 9)]));
+        paces.receive(START, address(host), report(2, true, vec![pace(0, 2)]));
+        paces.receive(after(1), address(host), report(1, true, vec![pace(0, 9)]));
     }
     assert_eq!(failures(&mut paces, after(10)), Some(6));
-    paces.hear(after(300), address(0), report(3, true, Vec::new()));
+    paces.receive(after(300), address(0), report(3, true, Vec::new()));
     assert_eq!(failures(&mut paces, after(400)), Some(4));
     assert_eq!(failures(&mut paces, after(3_002)), None);
 }
@@ -88,11 +88,11 @@
         birth: Birth(birth),
         ..pace(0, failures)
     };
-    paces.hear(START, address(0), report(1, true, vec![of(1, 3)]));
-    paces.hear(START, address(1), report(1, true, vec![of(2, 0)]));
-    paces.hear(START, address(2), report(1, true, vec![of(2, 0)]));
-    paces.hear(START, address(3), report(1, true, vec![of(9, 5)]));
-    let (_, told) = paces.take(START).unwrap();
+    paces.receive(START, address(0), report(1, true, vec![of(1, 3)]));
+    paces.receive(START, address(1), report(1, true, vec![of(2, 0)]));
+    paces.receive(START, address(2), report(1, true, vec![of(2, 0)]));
+    paces.receive(START, address(3), report(1, true, vec![of(9, 5)]));
+    let (_, told) = paces.take_updates(START).unwrap();
     assert_eq!(told.len(), 1);
     assert_eq!((told[0].birth, told[0].failures), (Birth(2), 0));
 }
@@ -101,12 +101,15 @@
 #[test]
 fn followers() {
     let mut paces = Paces::default();
-    assert!(paces.take(START).is_none());
-    paces.hear(START, address(0), report(1, true, Vec::new()));
-    paces.hear(START, address(1), report(1, false, Vec::new()));
-    let (hosts, _) = paces.take(START).unwrap();
+    assert!(paces.take_updates(START).is_none());
+    paces.receive(START, address(0), report(1, true, Vec::new()));
+    paces.receive(START, address(1), report(1, false, Vec::new()));
+    let (hosts, _) = paces.take_updates(START).unwrap();
     assert_eq!(hosts, [address(0)] as [SocketAddr; 1]);
-    assert!(paces.take(after(100)).is_none(), "not sooner than 200 ms");
+    assert!(
+        paces.take_updates(after(100)).is_none(),
+        "not sooner than 200 ms"
+    );
 }
 
 /// Guards against datagrams that are too large, and links that are filled: at 31 hosts and 880
@@ -118,7 +121,7 @@
 fn sizes(hosts: usize, upstreams: usize) {
     let mut paces = Paces::default();
     let paces_of = |birth| {
-        (0..upstreams.min(PACES)).map(move |i| Pace {
+        (0..upstreams.min(MAX_PACES)).map(move |i| Pace {
             birth: Birth(birth),
             age_ms: 2_000,
             ..lie(i)
@@ -131,13 +134,13 @@
         .unwrap()
         .len();
     for host in 0..hosts {
-        paces.hear(START, address(host), one.clone());
+        paces.receive(START, address(host), one.clone());
     }
-    let (_, told) = paces.take(START).unwrap();
+    let (_, told) = paces.take_updates(START).unwrap();
     let sum = postcard::to_stdvec(&Message::Paces(told)).unwrap().len();
     println!("report {size}, sum {sum} bytes");
     assert!(size < 60_000 && sum < 60_000);
-    let mut soonest = (1..2_000).filter(|millis| paces.take(after(*millis)).is_some());
+    let mut soonest = (1..2_000).filter(|millis| paces.take_updates(after(*millis)).is_some());
     let pause = soonest.next().unwrap();
     assert!(
         sum as u64 * 1_000 / pause < 60_000,
