--- a/almondlock-entry/src/gang.rs
+++ b/almondlock-entry/src/gang.rs
@@ -99,9 +99,9 @@
     let members = names.into_iter().filter_map(|upstream| {
         let capacity = view.upstreams.get(&upstream)?.capacity;
         let known = worker.shared.with_pool(pool, |table| {
-            let free = table.free(&upstream).unwrap_or(capacity);
+            let free = table.free_memory(&upstream).unwrap_or(capacity);
             let avoided = table.is_avoided(&upstream, now);
-            table.takes_work(&upstream).then_some((free, avoided))
+            table.may_take_work(&upstream).then_some((free, avoided))
         });
         let (free, avoided) = known.flatten()?;
         if view.is_drained(&upstream) {
@@ -109,9 +109,9 @@
         }
         Some(Member {
             upstream,
-            room: room_of(capacity),
-            free,
-            avoided,
+            max_tokens: room_of(capacity),
+            free_tokens: free,
+            failed_recently: avoided,
         })
     });
     members.collect()
@@ -121,23 +121,23 @@
     /// Reserves and processes all parts of a prompt but the last.
     pub async fn gather(&self, pool: &Pool, request: &Request) -> Result<Held, Failure> {
         let need = request.prompt + request.output;
-        let parts = gang::parts(&members(self, pool), need);
+        let parts = gang::plan_reservations(&members(self, pool), need);
         let parts = parts.ok_or_else(|| self.too_long(pool, need))?;
         let now = clock::mono();
         let mut gang = Gang::new(parts, now + request.left(now));
         let mut held = self.empty(&gang, request);
-        let rest = gang.parts().len().saturating_sub(1);
+        let rest = gang.reservations().len().saturating_sub(1);
         loop {
             match gang.step(clock::mono()) {
-                Step::Reserve(index) if index == rest => gang.granted(index),
+                Step::Reserve(index) if index == rest => gang.note_grant(index),
                 Step::Reserve(index) => {
-                    let share = gang.parts()[index].clone();
-                    let text = text_of(request, index, gang.parts().len());
+                    let share = gang.reservations()[index].clone();
+                    let text = text_of(request, index, gang.reservations().len());
                     if let Err(failure) = self.reserve(request, &share, text, &mut held).await {
                         self.passed_over(pool, &share.upstream);
                         return Err(failure);
                     }
-                    gang.granted(index);
+                    gang.note_grant(index);
                 }
                 Step::Run => break,
                 Step::Wait | Step::Release(_) | Step::Done => {
@@ -169,13 +169,13 @@
         let now = clock::mono();
         self.shared.with_pool(pool, |table| {
             if let Some(index) = table.find(upstream) {
-                table.failed(index, now);
+                table.record_failure(index, now);
             }
         });
     }
 
     fn empty(&self, gang: &Gang, request: &Request) -> Held {
-        let shares = gang.parts();
+        let shares = gang.reservations();
         let others: Tokens = shares.iter().rev().skip(1).map(|part| part.tokens).sum();
         let last = shares.last().map(|part| part.upstream.clone());
         Held {
@@ -191,7 +191,7 @@
     async fn reserve(
         &self,
         request: &Request,
-        share: &gang::Part,
+        share: &gang::Reservation,
         text: (u64, u64),
         held: &mut Held,
     ) -> Result<(), Failure> {
--- a/almondlock-gateway/src/backoff.rs
+++ b/almondlock-gateway/src/backoff.rs
@@ -3,12 +3,12 @@
 
 use almondlock_base::{id::Upstream, time::Mono};
 use almondlock_node::clock;
-use almondlock_policy::backoff::{Reason, delay};
+use almondlock_policy::backoff::{Reason, parse_delay};
 
 use crate::{
     dialect::Dialect,
-    life::{Course, Request},
     pick::Shortage,
+    request::{History, Request},
     upstream::Head,
     worker::{Target, Worker},
 };
@@ -18,14 +18,14 @@
     D: Dialect,
 {
     /// Takes in what an upstream asks with an answer.
-    pub(crate) fn hear_backoff(&self, upstream: &Upstream, head: &Head) {
+    pub(crate) fn apply_backoff_headers(&self, upstream: &Upstream, head: &Head) {
         let names = self.dialect.names();
         // Another instance answers, and speaks for itself.
         if head.status == 421 {
             return;
         }
         let leaves = head.text(names.leaving.as_str()) == Some("1");
-        if leaves && self.backoffs.borrow_mut().leave(upstream) {
+        if leaves && self.backoffs.borrow_mut().mark_leaving(upstream) {
             self.shared.metrics.count("backoffs", "leaving");
             tracing::info!(%upstream, source = "answer", "upstream leaves");
         }
@@ -33,12 +33,12 @@
         let Some(text) = asked.filter(|_| head.status == 503) else {
             return;
         };
-        let Some(pause) = delay(text) else {
+        let Some(pause) = parse_delay(text) else {
             tracing::warn!(%upstream, pause = text, "unreadable pause");
             return;
         };
         let until = clock::mono() + pause;
-        if self.backoffs.borrow_mut().back_off(upstream, until) {
+        if self.backoffs.borrow_mut().pause(upstream, until) {
             self.shared.metrics.count("backoffs", "pause");
             tracing::info!(%upstream, for_ms = pause.as_millis(), "upstream asks for a pause");
         }
@@ -49,13 +49,13 @@
     pub(crate) fn open_targets(
         &self,
         request: &Request,
-        course: &Course,
+        history: &History,
         now: Mono,
     ) -> Result<Vec<Target>, Shortage> {
-        let known = self.known();
+        let known = self.snapshot();
         let targets = known.instances.get(&request.service).into_iter().flatten();
         let targets: Vec<&Target> = targets
-            .filter(|target| !course.refused.contains(&target.name))
+            .filter(|target| !history.refused.contains(&target.name))
             .collect();
         let open = targets.iter();
         let open = open.filter(|target| self.backoff(now, &target.name).is_none());
--- a/almondlock-gateway/src/budget.rs
+++ b/almondlock-gateway/src/budget.rs
@@ -21,7 +21,7 @@
     /// Further attempts for each request of the window.
     pub ratio: f64,
     /// Further attempts in a window in any case.
-    pub free: u32,
+    pub min_retries: u32,
 }
 
 /// The budget of one service at one entry host.
@@ -43,17 +43,17 @@
     }
 
     /// A request came.
-    pub fn request(&mut self, now: Mono) {
-        self.forget(now);
+    pub fn record_request(&mut self, now: Mono) {
+        self.evict_expired(now);
         self.requests.push_back(now);
     }
 
     /// Takes one further attempt, if there is one.
-    pub fn take(&mut self, now: Mono) -> bool {
-        self.forget(now);
+    pub fn try_take(&mut self, now: Mono) -> bool {
+        self.evict_expired(now);
         // Windows hold thousands of requests, which an `f64` counts exactly.
         let earned = self.requests.len() as f64 * self.config.ratio;
-        let allowed = earned + f64::from(self.config.free);
+        let allowed = earned + f64::from(self.config.min_retries);
         let affordable = (self.attempts.len() as f64) + 1.0 <= allowed;
         if affordable {
             self.attempts.push_back(now);
@@ -61,7 +61,7 @@
         affordable
     }
 
-    fn forget(&mut self, now: Mono) {
+    fn evict_expired(&mut self, now: Mono) {
         let old = |at: &Mono| now.since(*at) >= self.config.window;
         while self.requests.pop_front_if(|at| old(at)).is_some() {}
         while self.attempts.pop_front_if(|at| old(at)).is_some() {}
--- a/almondlock-gateway/src/pick/selection.rs
+++ b/almondlock-gateway/src/pick/selection.rs
@@ -63,7 +63,7 @@
         let mut costs: Vec<(f64, usize)> = own.collect();
         let least = costs.iter().map(|(cost, _)| *cost).fold(f64::MAX, f64::min);
         costs.extend(other.filter(|(cost, _)| *cost < least));
-        let part = self.speed.reading(self.demand.prompt);
+        let part = self.speed.reading_time(self.demand.prompt);
         let (cost, first) = fill::draw(&costs, self.unseen(groups.short, part), rng)?;
         Some(Choice {
             expected: self.expected(cost, part),
@@ -79,7 +79,7 @@
     where
         R: RngCore,
     {
-        let needed = memory::reserved(self.memory_needed());
+        let needed = memory::padded(self.memory_needed());
         let side = match groups.short.iter().any(|i| self.may_answer(*i)) {
             true => groups.short,
             false => groups.all,
@@ -92,15 +92,17 @@
         if !is_room {
             costs.extend(open.map(|i| (self.cost(*i), *i)));
         }
-        let part = self.speed.part(self.demand.prompt, MAX_READERS);
+        let part = self
+            .speed
+            .part_reading_time(self.demand.prompt, MAX_READERS);
         let (_, first) = fill::draw(&costs, self.unseen(groups.short, part), rng)?;
-        let own = memory::own_share(first, self.free_memory(first), needed);
+        let own = memory::answering_share(first, self.free_memory(first), needed);
         let others = groups.all.iter().filter(|i| **i != first);
         let mut order: Vec<(f64, usize)> = others
             .map(|i| (self.cost(*i) + rng.random::<f64>() * LOT, *i))
             .collect();
         order.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-        let part = |count: usize| self.speed.part(self.demand.prompt, count);
+        let part = |count: usize| self.speed.part_reading_time(self.demand.prompt, count);
         let most = (order.len() + 1).min(MAX_READERS);
         let count = (1..=most)
             .find(|count| part(*count) <= SHORT_PART)
@@ -122,7 +124,7 @@
     fn unseen(&self, engines: &[usize], part: Duration) -> f64 {
         let waiting = engines.iter().map(|i| self.candidates[*i].total.waiting);
         let waiting: u32 = waiting.sum();
-        let wait = PASSES * self.speed.writing(1, self.demand.prompt).as_secs_f64();
+        let wait = PASSES * self.speed.pass_time(1, self.demand.prompt).as_secs_f64();
         let others = f64::from(waiting) * AGE.as_secs_f64() / wait.max(AGE.as_secs_f64());
         part.as_secs_f64() * (1.0 + others)
     }
@@ -150,7 +152,7 @@
         let candidate = &self.candidates[i];
         match candidate.full {
             true => 0,
-            false => memory::free(self.speed, &candidate.total),
+            false => memory::free_tokens(self.speed, &candidate.total),
         }
     }
 
@@ -169,12 +171,12 @@
     /// well.
     fn own_work(&self) -> f64 {
         let (speed, prompt) = (self.speed, self.demand.prompt);
-        let whole = speed.reading(prompt);
+        let whole = speed.reading_time(prompt);
         let part = match whole <= MAX_SHORT_READING {
             true => whole,
-            false => speed.part(prompt, MAX_READERS),
+            false => speed.part_reading_time(prompt, MAX_READERS),
         };
-        (part + speed.writing(1, prompt)).as_secs_f64()
+        (part + speed.pass_time(1, prompt)).as_secs_f64()
     }
 
     /// The same where the prompt's memory is needed there too.
@@ -185,7 +187,7 @@
     }
 
     pub(super) fn expected(&self, wait: f64, part: Duration) -> Duration {
-        let pass = self.speed.writing(1, self.demand.prompt);
+        let pass = self.speed.pass_time(1, self.demand.prompt);
         Duration::from_secs_f64(wait.max(0.0)) + part + pass
     }
 }
@@ -206,7 +208,7 @@
     let total = &candidate.total;
     let mut cost = total.backlog();
     if total.streams > 0 {
-        cost += speed.writing(total.streams, total.memory) / 2;
+        cost += speed.pass_time(total.streams, total.memory) / 2;
     }
     if total.requests() >= candidate.slots {
         cost += OVERFLOW * (total.requests() - candidate.slots + 1);
--- a/almondlock-gateway/src/placement.rs
+++ b/almondlock-gateway/src/placement.rs
@@ -7,39 +7,39 @@
 use almondlock_node::clock;
 use almondlock_policy::{
     admission,
-    places::Verdict,
     share::{Resource, Standing},
+    slots::Verdict,
 };
 
 use crate::{
-    attempt::Broken,
+    attempt::Fault,
     dialect::Dialect,
-    held::Held,
+    failure::Failure,
     lease::Leases,
-    life::{Course, Request, note},
     pick::{self, Candidate, Choice, Shortage},
+    request::{History, Request, record_failure},
+    resources::Resources,
     slots::{Admission, Grant, Waiter},
     startup,
-    verdict::Failure,
     worker::{Target, Worker},
 };
 
 /// How often others are chosen for engines that have no memory to give. Each time takes
 /// a way there and back.
-const PLACEMENTS: usize = 4;
+const MAX_PLACEMENTS: usize = 4;
 /// The part of its objective within which a request asks for memory on the engine that
 /// answers. Engines that leave orders unanswered take most of that.
-const ASKING_SHARE: f64 = 0.25;
+const RESERVATION_FRACTION: f64 = 0.25;
 
 /// How a placement ends that doesn't fail.
-pub(crate) enum Placed<D>
+pub(crate) enum Placement<D>
 where
     D: Dialect,
 {
     /// The attempt is sent.
-    Sent(Choice, Box<Held<D>>),
+    Send(Choice, Box<Resources<D>>),
     /// It waits for a slot, and is then placed anew.
-    Waits(Waiter<D>),
+    Wait(Waiter<D>),
 }
 
 /// What was found out while an attempt is placed.
@@ -52,7 +52,7 @@
     /// How often memory was asked for in vain.
     placements: usize,
     /// How often leave to send was asked for in vain.
-    questions: usize,
+    permit_requests: usize,
 }
 
 impl Search {
@@ -60,26 +60,26 @@
     /// prompt when a stream of its own has ended.
     fn is_last(&self, request: &Request, now: Mono) -> bool {
         let spent = now.since(request.arrived);
-        let is_over = spent > request.route.objective.mul_f64(ASKING_SHARE);
-        self.placements == PLACEMENTS || self.placements > 0 && is_over
+        let is_over = spent > request.route.objective.mul_f64(RESERVATION_FRACTION);
+        self.placements == MAX_PLACEMENTS || self.placements > 0 && is_over
     }
 
     /// Some had no memory to give.
-    fn note<D>(
+    fn record_refusals<D>(
         &mut self,
         worker: &Worker<D>,
         request: &Request,
-        failed: Vec<Broken>,
+        failed: Vec<Fault>,
         attempt: usize,
     ) where
         D: Dialect,
     {
-        for broken in failed {
-            note(worker, request, &broken, attempt);
-            if broken.failure == Failure::Unsent {
-                self.silent.extend(broken.upstream.clone());
+        for fault in failed {
+            record_failure(worker, request, &fault, attempt);
+            if fault.failure == Failure::Unsent {
+                self.silent.extend(fault.upstream.clone());
             }
-            self.full.extend(broken.upstream);
+            self.full.extend(fault.upstream);
         }
         self.placements += 1;
     }
@@ -96,16 +96,16 @@
 pub(crate) async fn place<D>(
     worker: &Rc<Worker<D>>,
     request: &Request,
-    course: &Course,
+    history: &History,
     targets: &[Target],
     (after, grant): (Option<u64>, Option<&Grant>),
-) -> Result<Placed<D>, Broken>
+) -> Result<Placement<D>, Fault>
 where
     D: Dialect,
 {
-    let is_new = course.tried.is_empty() && after.is_none();
+    let is_new = history.tried.is_empty() && after.is_none();
     if is_new {
-        startup::settle(worker, request).await;
+        startup::wait_after_start(worker, request).await;
     }
     let mut search = Search::default();
     loop {
@@ -118,21 +118,21 @@
         worker.review_pace(now, &request.service);
         let candidates = targets.iter();
         let candidates: Vec<Candidate> = candidates
-            .map(|target| worker.candidate(now, target, &course.tried, &search.full))
+            .map(|target| worker.candidate(now, target, &history.tried, &search.full))
             .collect();
         let probe = worker
-            .may_probe(course)
+            .may_probe(history)
             .then(|| worker.probe(now, request, targets, &candidates))
             .flatten();
         let is_probe = probe.is_some();
         let choice = probe.map_or_else(|| choose(worker, request, &candidates), Ok);
-        let mut choice = choice.map_err(|lack| refused_for(worker, request, lack, now))?;
+        let mut choice = choice.map_err(|lack| refuse(worker, request, lack, now))?;
         if is_last {
             choice.shares.retain(|share| share.place != choice.primary);
         }
         let verdict = match is_probe {
             true => Verdict::Send,
-            false => admit(
+            false => admit_to_slot(
                 worker,
                 request,
                 (targets, &candidates),
@@ -144,49 +144,51 @@
         match verdict {
             Verdict::Send => {}
             Verdict::Wait(ticket) => {
-                return Ok(Placed::Waits(Waiter::new(worker, request, ticket)));
+                return Ok(Placement::Wait(Waiter::new(worker, request, ticket)));
             }
-            Verdict::Refuse { returns } => {
-                return Err(Broken {
-                    returns: Some(returns),
-                    ..Broken::new(Failure::Unsent, None, "too many wait for a slot")
+            Verdict::Refuse {
+                retry_after: returns,
+            } => {
+                return Err(Fault {
+                    retry_after: Some(returns),
+                    ..Fault::new(Failure::Unsent, None, "too many wait for a slot")
                 });
             }
         }
-        let refused = refusal(worker, request, (targets, &choice), now);
+        let refused = admission_fault(worker, request, (targets, &choice), now);
         if let Some(refused) = refused.filter(|_| is_new) {
-            worker.note_refused(request, Resource::Reading, now, refused.returns);
+            worker.note_refused(request, Resource::Reading, now, refused.retry_after);
             return Err(refused);
         }
         let first = targets.get(choice.primary);
-        let first = first.ok_or_else(|| lacking(Shortage::Upstream))?;
-        if !worker.permit(request, first).await {
+        let first = first.ok_or_else(|| lack_fault(Shortage::Upstream))?;
+        if !worker.obtain_permit(request, first).await {
             // It is known as spent from now on, so that another one is chosen.
-            search.questions += 1;
-            if search.questions > targets.len() {
-                return Err(refused_for(worker, request, Shortage::Limit, clock::mono()));
+            search.permit_requests += 1;
+            if search.permit_requests > targets.len() {
+                return Err(refuse(worker, request, Shortage::Limit, clock::mono()));
             }
             continue;
         }
-        let held = Held::new(worker, request, targets, &choice, now);
+        let resources = Resources::new(worker, request, targets, &choice, now);
         if choice.shares.is_empty() {
-            return Ok(Placed::Sent(choice, Box::new(held)));
+            return Ok(Placement::Send(choice, Box::new(resources)));
         }
-        match Leases::take(worker, &request.id, targets, &choice.shares).await {
+        match Leases::acquire(worker, &request.id, targets, &choice.shares).await {
             Ok(leases) => {
-                held.keep(leases);
-                return Ok(Placed::Sent(choice, Box::new(held)));
+                resources.attach_leases(leases);
+                return Ok(Placement::Send(choice, Box::new(resources)));
             }
-            Err(failed) => search.note(worker, request, failed, course.tried.len()),
+            Err(failed) => search.record_refusals(worker, request, failed, history.tried.len()),
         }
         if is_last {
-            return Err(lacking(Shortage::Memory));
+            return Err(lack_fault(Shortage::Memory));
         }
     }
 }
 
 /// Refused because something is missing. For a limit it is known when to come back.
-fn refused_for<D>(worker: &Worker<D>, request: &Request, lack: Shortage, now: Mono) -> Broken
+fn refuse<D>(worker: &Worker<D>, request: &Request, lack: Shortage, now: Mono) -> Fault
 where
     D: Dialect,
 {
@@ -195,62 +197,62 @@
         worker.note_refused(request, Resource::Reading, now, None);
     }
     match lack {
-        Shortage::Upstream | Shortage::Memory | Shortage::Backoff => lacking(lack),
-        Shortage::Limit => Broken {
-            returns: Some(worker.limit_returns(request, now)),
-            ..Broken::new(Failure::Limited, None, lack)
+        Shortage::Upstream | Shortage::Memory | Shortage::Backoff => lack_fault(lack),
+        Shortage::Limit => Fault {
+            retry_after: Some(worker.limit_retry_after(request, now)),
+            ..Fault::new(Failure::Limited, None, lack)
         },
     }
 }
 
-pub(crate) fn lacking(lack: Shortage) -> Broken {
-    Broken::new(Failure::Unsent, None, lack)
+pub(crate) fn lack_fault(lack: Shortage) -> Fault {
+    Fault::new(Failure::Unsent, None, lack)
 }
 
 /// Whether a prompt would be late, or the engines' time does more for others.
-fn refusal<D>(
+fn admission_fault<D>(
     worker: &Worker<D>,
     request: &Request,
     (targets, choice): (&[Target], &Choice),
     now: Mono,
-) -> Option<Broken>
+) -> Option<Fault>
 where
     D: Dialect,
 {
-    let known = worker.known();
+    let known = worker.snapshot();
     let service = known
         .rules
         .as_ref()
         .and_then(|rules| rules.service(&request.service));
     let engine = service.and_then(|service| service.engine.as_ref());
     let (speed, demand) = (engine?, request.demand?);
-    let backlog = worker.backlog(now, &request.service, choice);
-    let case = admission::Case {
+    let backlog = worker.mean_backlog(now, &request.service, choice);
+    let case = admission::Candidate {
         prompt: demand.prompt,
         objective: request.route.objective,
-        spent: now.since(request.arrived),
-        expected: choice.expected,
+        elapsed: now.since(request.arrived),
+        expected_delay: choice.expected,
         backlog,
         // Counts of engines are far below the precision of an `f64`.
-        taken: (choice.helpers.len() + 1) as f64 / targets.len().max(1) as f64,
+        engine_ratio: (choice.helpers.len() + 1) as f64 / targets.len().max(1) as f64,
     };
     let standing = worker.standing(now, request);
-    let alone = choice.part + speed.writing(1, demand.prompt);
-    let returns = admission::refusal_of(speed, &case, standing, alone)?;
-    if standing != Standing::Within && admission::refusal(speed, &case).is_none() {
+    let alone = choice.part + speed.pass_time(1, demand.prompt);
+    let returns = admission::check_with_share(speed, &case, standing, alone)?;
+    if standing != Standing::Within && admission::check(speed, &case).is_none() {
         worker.note_deprioritised(request, now, "refused");
     }
     let (expected, backlog) = (choice.expected.as_millis(), backlog.as_millis());
     let reason =
         format!("first event expected in {expected} ms, mean backlog over a second {backlog} ms");
-    Some(Broken {
-        returns: Some(returns),
-        ..Broken::new(Failure::Unsent, None, reason)
+    Some(Fault {
+        retry_after: Some(returns),
+        ..Fault::new(Failure::Unsent, None, reason)
     })
 }
 
 /// Whether a short prompt gets a slot now.
-fn admit<D>(
+fn admit_to_slot<D>(
     worker: &Worker<D>,
     request: &Request,
     (targets, candidates): (&[Target], &[Candidate]),
@@ -262,10 +264,10 @@
     D: Dialect,
 {
     let is_short = choice.helpers.is_empty() && choice.part <= pick::MAX_SHORT_READING;
-    if !worker.features.places || !is_short {
+    if !worker.features.slot_admission || !is_short {
         return Verdict::Send;
     }
-    let known = worker.known();
+    let known = worker.snapshot();
     let rules = known.rules.as_ref();
     let service = rules.and_then(|rules| rules.service(&request.service));
     let Some(speed) = service.and_then(|service| service.engine.as_ref()) else {
@@ -290,7 +292,7 @@
 where
     D: Dialect,
 {
-    let known = worker.known();
+    let known = worker.snapshot();
     let rules = known.rules.as_ref();
     let service = rules.and_then(|rules| rules.service(&request.service));
     let service = service.ok_or(Shortage::Upstream)?;
--- a/almondlock-policy/src/deadline.rs
+++ b/almondlock-policy/src/deadline.rs
@@ -11,7 +11,7 @@
 //! use almondlock_base::{Code, unit::Tokens};
 //! use almondlock_policy::deadline::{Bounds, Forecast, Work};
 //!
-//! let bounds = Bounds { default: 30_000, limit: 600_000 };
+//! let bounds = Bounds { default_ms: 30_000, limit_ms: 600_000 };
 //! assert_eq!(bounds.parse(Some("1500")), Ok(Duration::from_millis(1500)));
 //! assert_eq!(bounds.parse(Some("0")), Err(Code::BadDeadline));
 //!
@@ -29,9 +29,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// What a request gets that names no deadline.
-    pub default: u64,
+    pub default_ms: u64,
     /// The longest one.
-    pub limit: u64,
+    pub limit_ms: u64,
 }
 
 impl Bounds {
@@ -47,14 +47,16 @@
     /// to the limit.
     pub fn parse(&self, text: Option<&str>) -> Result<Duration, Code> {
         let Some(text) = text else {
-            return Ok(Duration::from_millis(self.default.min(self.limit).max(1)));
+            return Ok(Duration::from_millis(
+                self.default_ms.min(self.limit_ms).max(1),
+            ));
         };
         // `u64::from_str` takes a leading plus sign; a header should not.
         let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
         let millis = text
             .parse()
             .ok()
-            .filter(|millis| digits && (1..=self.limit).contains(millis));
+            .filter(|millis| digits && (1..=self.limit_ms).contains(millis));
         millis.map(Duration::from_millis).ok_or(Code::BadDeadline)
     }
 }
@@ -67,9 +69,9 @@
     /// Of that, what is likely cached.
     pub cached: Tokens,
     /// Most tokens of the answer.
-    pub output: Tokens,
+    pub max_output: Tokens,
     /// How long it would wait at the upstream that it would go to.
-    pub wait: Duration,
+    pub queue_wait: Duration,
 }
 
 /// Why a request is refused, with when to come back. It has not run.
@@ -111,7 +113,7 @@
 impl Forecast {
     /// How long the work takes, the wait included.
     pub fn estimate(&self, work: &Work) -> Duration {
-        work.wait + self.service(work)
+        work.queue_wait + self.service_time(work)
     }
 
     /// Whether the work can end within the time left.
@@ -120,8 +122,8 @@
     ///
     /// Refused when it can't, with when to come back.
     pub fn check(&self, work: &Work, left: Duration) -> Result<Duration, Refusal> {
-        let service = self.service(work);
-        let estimate = work.wait + service;
+        let service = self.service_time(work);
+        let estimate = work.queue_wait + service;
         if estimate <= left {
             return Ok(estimate);
         }
@@ -150,9 +152,9 @@
         }
     }
 
-    fn service(&self, work: &Work) -> Duration {
+    fn service_time(&self, work: &Work) -> Duration {
         let prefill = work.prompt.saturating_sub(work.cached).0 as f64 / self.prefill;
-        let decode = work.output.0 as f64 * self.used / self.decode;
+        let decode = work.max_output.0 as f64 * self.used / self.decode;
         Duration::from_secs_f64((prefill + decode).min(1e9))
     }
 }
--- a/almondlock-policy/tests/gang_deadlock.rs
+++ b/almondlock-policy/tests/gang_deadlock.rs
@@ -14,7 +14,7 @@
     unit::Tokens,
 };
 use almondlock_policy::{
-    gang::{Desk, Gang, Part, Step},
+    gang::{Gang, Reservation, Step, Waitlist},
     length::Class,
     queue::{self, Job, Queue, Room},
 };
@@ -30,7 +30,7 @@
 /// One engine with its queue and its desk.
 struct Engine {
     queue: Queue<u64>,
-    desk: Desk<usize>,
+    desk: Waitlist<usize>,
     running: Vec<(u64, u64, Tokens)>,
     reserved: Vec<usize>,
     longest_short: Duration,
@@ -40,7 +40,7 @@
     fn new() -> Engine {
         Engine {
             queue: Queue::new(queue::Config::short()),
-            desk: Desk::new(Default::default()),
+            desk: Waitlist::new(Default::default()),
             running: Vec::new(),
             reserved: Vec::new(),
             longest_short: Duration::ZERO,
@@ -52,8 +52,8 @@
         let reserved = Tokens(PART.0 * self.reserved.len() as u64);
         assert!(used + reserved <= CAPACITY, "memory is given out twice");
         Room {
-            free: CAPACITY.saturating_sub(used + reserved),
-            slots: 64 - self.running.len() as u32,
+            free_memory: CAPACITY.saturating_sub(used + reserved),
+            free_slots: 64 - self.running.len() as u32,
             ..Room::idle(CAPACITY, 64)
         }
     }
@@ -64,7 +64,7 @@
             weight: 1,
             prompt: Tokens(prompt),
             cached: Tokens::ZERO,
-            output: Tokens(1_000),
+            max_output: Tokens(1_000),
             deadline: now + Duration::from_secs(600),
             suspect: false,
         };
@@ -84,13 +84,13 @@
         });
         let mut granted = Vec::new();
         let reserve = self.queue.reserve_left(&self.room());
-        while let Some(gang) = self.desk.grant(self.room().free, reserve) {
+        while let Some(gang) = self.desk.grant(self.room().free_memory, reserve) {
             self.reserved.push(gang);
             granted.push(gang);
         }
         self.queue.set_hold(self.desk.is_collecting(now));
         while let Some(grant) = self.queue.grant(now, &self.room()) {
-            self.queue.prefilled(&grant.id, now);
+            self.queue.end_prefill(&grant.id, now);
             let prompt = if grant.class == Class::Short {
                 3_000
             } else {
@@ -116,10 +116,12 @@
 }
 
 fn gang(rng: &mut SmallRng) -> Gang {
-    let parts = index::sample(rng, MEMBERS, 3).into_iter().map(|i| Part {
-        upstream: name(i),
-        tokens: PART,
-    });
+    let parts = index::sample(rng, MEMBERS, 3)
+        .into_iter()
+        .map(|i| Reservation {
+            upstream: name(i),
+            tokens: PART,
+        });
     Gang::new(parts.collect(), Mono::from_millis(STEPS * 1_000))
 }
 
@@ -147,7 +149,7 @@
     }
 
     fn member(&self, gang: usize, part: usize) -> usize {
-        let upstream = &self.gangs[gang].parts()[part].upstream;
+        let upstream = &self.gangs[gang].reservations()[part].upstream;
         (0..MEMBERS).find(|i| name(*i) == *upstream).unwrap()
     }
 
@@ -195,7 +197,9 @@
             let member = self.member(id, part);
             let most = Tokens(85_000);
             let deadline = Mono::from_millis(STEPS * 1_000);
-            let asked = self.engines[member].desk.ask(id, PART, most, deadline, now);
+            let asked = self.engines[member]
+                .desk
+                .push(id, PART, most, deadline, now);
             asked.unwrap();
         }
     }
@@ -204,11 +208,11 @@
         self.engines[member] = Engine::new();
         for id in 0..GANGS {
             let upstream = name(member);
-            let parts = self.gangs[id].parts();
+            let parts = self.gangs[id].reservations();
             if let Some(part) = parts.iter().position(|part| part.upstream == upstream)
                 && !self.finished[id]
             {
-                self.gangs[id].lost(part);
+                self.gangs[id].note_loss(part);
             }
         }
     }
@@ -224,9 +228,9 @@
             for member in 0..MEMBERS {
                 for id in self.engines[member].step(step, now) {
                     let upstream = name(member);
-                    let parts = self.gangs[id].parts();
+                    let parts = self.gangs[id].reservations();
                     let part = parts.iter().position(|part| part.upstream == upstream);
-                    self.gangs[id].granted(part.unwrap());
+                    self.gangs[id].note_grant(part.unwrap());
                 }
             }
             for id in 0..GANGS {
--- a/almondlock-policy/tests/late_copy.rs
+++ b/almondlock-policy/tests/late_copy.rs
@@ -13,7 +13,7 @@
     id::{Attempt, Host, Incarnation},
     time::Mono,
 };
-use almondlock_policy::gate::{Action, Config, Gate, Refusal, Settled};
+use almondlock_policy::gate::{Action, Config, Gate, Refusal, Settlement};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 const LIFE: Incarnation = Incarnation(9);
@@ -36,7 +36,7 @@
     let settled = gate.settle(&attempt(1), LIFE, at(1));
     assert_eq!(
         settled,
-        Settled {
+        Settlement {
             ran: Ran::No,
             action: Action::None
         }
@@ -60,7 +60,7 @@
     let queued = gate.settle(&attempt(1), LIFE, at(2));
     assert_eq!(
         queued,
-        Settled {
+        Settlement {
             ran: Ran::No,
             action: Action::Dequeue
         }
@@ -69,7 +69,7 @@
     let running = gate.settle(&attempt(2), LIFE, at(2));
     assert_eq!(
         running,
-        Settled {
+        Settlement {
             ran: Ran::Yes,
             action: Action::Cancel
         }
@@ -79,7 +79,7 @@
 #[test]
 fn copy_after_the_tombstone_is_forgotten() {
     let config = Config {
-        keep: Duration::from_secs(10),
+        retention: Duration::from_secs(10),
         ..Config::default()
     };
     let mut gate = Gate::new(config, LIFE);
@@ -95,7 +95,7 @@
 #[test]
 fn settling_what_ran_and_was_forgotten_is_unknown() {
     let config = Config {
-        keep: Duration::from_secs(10),
+        retention: Duration::from_secs(10),
         ..Config::default()
     };
     let mut gate = Gate::new(config, LIFE);
@@ -110,7 +110,7 @@
 #[test]
 fn records_are_bounded() {
     let config = Config {
-        records: 100,
+        max_records: 100,
         ..Config::default()
     };
     let mut gate = Gate::new(config, LIFE);
@@ -134,8 +134,8 @@
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let config = Config {
-            records: 4,
-            keep: Duration::from_secs(5),
+            max_records: 4,
+            retention: Duration::from_secs(5),
             ..Config::default()
         };
         let mut gate = Gate::new(config, LIFE);
--- a/almondlock-policy/tests/long_stretch.rs
+++ b/almondlock-policy/tests/long_stretch.rs
@@ -8,7 +8,7 @@
 
 use almondlock_base::time::Mono;
 use almondlock_policy::{
-    admission::{Backlog, Case, refusal},
+    admission::{Backlog, Candidate, check},
     engine::Speed,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -24,13 +24,13 @@
     Speed {
         slots: 16,
         memory: 405_000,
-        step: 1.31,
-        step_per_stream: 0.000917,
-        step_per_context: 0.00213,
-        read: 154.0,
-        pairs: 0.162,
-        chunk: 2048.0,
-        stride: 34.0,
+        step_ms: 1.31,
+        step_ms_per_stream: 0.000917,
+        step_ms_per_context: 0.00213,
+        tokens_per_ms: 154.0,
+        ms_per_megapair: 0.162,
+        chunk_tokens: 2048.0,
+        steps_per_pass: 34.0,
     }
 }
 
@@ -60,19 +60,19 @@
         let bell: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         let prompt = (155_000.0 * f64::exp(0.55 * bell)).min(900_000.0) as u64;
         free.sort_unstable_by(f64::total_cmp);
-        let part = speed.part(prompt, PARTS).as_secs_f64();
+        let part = speed.part_reading_time(prompt, PARTS).as_secs_f64();
         let end = (free[PARTS - 1] - now).max(0.0) + part;
         let left: f64 = free.iter().map(|free| (free - now).max(0.0)).sum();
         let at = Mono::from_millis((now * 1e3) as u64);
-        let mean = backlog.tell(at, Duration::from_secs_f64(left / ENGINES as f64));
-        let case = Case {
+        let mean = backlog.observe(at, Duration::from_secs_f64(left / ENGINES as f64));
+        let case = Candidate {
             prompt,
             objective: OBJECTIVE,
-            spent: Duration::ZERO,
-            expected: Duration::from_secs_f64(end),
+            elapsed: Duration::ZERO,
+            expected_delay: Duration::from_secs_f64(end),
             // Without a price, as if the engines were always idle.
             backlog: if price { mean } else { Duration::ZERO },
-            taken: if price {
+            engine_ratio: if price {
                 PARTS as f64 / ENGINES as f64
             } else {
                 1.0
@@ -81,14 +81,14 @@
         let large = f64::from(u8::from(prompt >= LARGE));
         outcome.asked += 1.0;
         outcome.large_asked += large;
-        if refusal(&speed, &case).is_none() {
+        if check(&speed, &case).is_none() {
             for engine in &mut free[..PARTS] {
                 *engine = engine.max(now) + part;
             }
             outcome.taken += 1.0;
             outcome.large_taken += large;
             outcome.tokens += prompt as f64;
-            outcome.time += speed.reading(prompt).as_secs_f64();
+            outcome.time += speed.reading_time(prompt).as_secs_f64();
         }
     }
     outcome
