--- a/almondlock-policy/src/outlier/detector.rs
+++ b/almondlock-policy/src/outlier/detector.rs
@@ -1,4 +1,4 @@
-//! Who is ejected, probed and reinstated, as one host decides.
+//! Decides for one host which upstreams are ejected, probed and reinstated.
 
 use std::{collections::HashMap, hash::Hash, time::Duration};
 
@@ -10,64 +10,71 @@
     stall::drop_untrusted,
 };
 
-/// Of a service's upstreams at most one in so many is ejected.
-const EJECTED: usize = 3;
-/// Between the probes that all hosts together send to an ejected upstream that hasn't answered
-/// since. An engine gets 1.2 short prompts a second otherwise: a probe each second fails as
-/// many requests as no ejection at all.
-const PROBE: Duration = Duration::from_millis(2_000);
-/// The same once it answers: it is to be back soon if it is well.
-const PROBE_ANSWERING: Duration = Duration::from_millis(400);
-/// Probes that one host must see answered in a row to reinstate an upstream. Of one that fails
-/// 45 requests in 100 nine in 100 pass.
-const PASSED: u32 = 4;
-/// The same over all hosts, within a window without a failure. All hosts know the same then,
-/// and reinstate it together.
-const PASSED_POOLED: u32 = 3;
-/// An upstream that no request could probe for this long is reinstated: its service has none
-/// that may be repeated, or dozens of hosts share the probes and don't hear of their outcome.
-const EXPIRES: Duration = Duration::from_secs(10);
+/// At most one in this many upstreams of a service is ejected.
+const UPSTREAMS_PER_EJECTION: usize = 3;
+/// Mean interval between the probes of all hosts together to an ejected upstream that has not
+/// answered since. Without ejection an engine gets 1.2 short prompts a second, so that probing it
+/// every second would fail nearly as many requests as no ejection.
+const PROBE_INTERVAL: Duration = Duration::from_millis(2_000);
+/// Mean interval between probes once the upstream answers. It is short, so that a healthy upstream
+/// is reinstated soon.
+const ANSWERING_PROBE_INTERVAL: Duration = Duration::from_millis(400);
+/// Number of this host's probes that must succeed in a row to reinstate an upstream. An upstream
+/// that fails 45 % of its requests passes that in 9 % of the cases.
+const MIN_OWN_PASSES: u32 = 4;
+/// Number of answers to all hosts' probes, within a window without a failure, that reinstate an
+/// upstream. All hosts have the same reports and reinstate it together.
+const MIN_POOLED_PASSES: u32 = 3;
+/// Time without a probe after which an upstream is reinstated. Its service may have no requests
+/// that can be repeated, or dozens of hosts share the probes without reports of the outcome.
+const EJECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How an upstream stands that is not as it should be.
+/// State of an upstream that is slower than others or ejected.
 #[derive(Clone, Copy, Debug)]
-struct Standing {
+struct Status {
+    /// Work that the upstream does per time, as a part of what it should do.
     rate: f64,
     ejection: Option<Ejection>,
 }
 
+/// State of an ejected upstream.
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
     since: Mono,
-    /// When it was last probed by this host, or ejected.
-    probed: Mono,
-    /// The pause from then until this host's next probe, as a multiple of the usual one.
+    /// Time of this host's last probe, or of the ejection.
+    last_probe: Mono,
+    /// The start of the pause before this host's next probe, and its length as a multiple of the
+    /// mean interval.
     pause: (Mono, f64),
-    /// Probes of this host answered in a row.
-    passed: u32,
-    /// Answers to probes and no failures are known within the window.
+    /// Number of this host's probes answered in a row.
+    passes: u32,
+    /// Whether answers to probes and no failures are known within the window.
     is_answering: bool,
 }
 
-/// A change of what the host believes.
+/// An ejection or a reinstatement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change<K> {
-    /// The upstream.
+    /// The upstream concerned.
     pub key: K,
-    /// Whether it is ejected now.
+    /// Whether the upstream is ejected now. It is reinstated otherwise.
     pub is_ejected: bool,
-    /// What that rests on.
+    /// The finding behind the change.
     pub finding: Finding,
 }
 
-/// What a host knows of the upstreams' pace.
+/// Outlier detector of one host for all its upstreams.
 #[derive(Debug)]
 pub struct Detector<K> {
+    /// This host's own observations.
     windows: HashMap<K, Window>,
+    /// Pooled observations of all hosts, as last reported by a relay.
     reported: HashMap<K, Summary>,
-    heard: Option<Mono>,
-    /// Those that are slower than others or ejected.
-    standings: HashMap<K, Standing>,
-    /// The host's own delays.
+    /// Time of the last report.
+    reported_at: Option<Mono>,
+    /// State of the upstreams that are slower than others or ejected.
+    statuses: HashMap<K, Status>,
+    /// Delays of the host itself.
     pub stall: Stall,
 }
 
@@ -76,8 +83,8 @@
         Detector {
             windows: HashMap::new(),
             reported: HashMap::new(),
-            heard: None,
-            standings: HashMap::new(),
+            reported_at: None,
+            statuses: HashMap::new(),
             stall: Stall::default(),
         }
     }
@@ -87,7 +94,7 @@
 where
     K: Clone + Eq + Hash,
 {
-    /// Takes in what this host observed. Times don't count while its timers are late.
+    /// Records an observation of this host. Times are ignored while the host is stalled.
     pub fn observe(&mut self, now: Mono, key: &K, sample: Sample) {
         if matches!(sample, Sample::Time(_)) && self.stall.is_stalled(now) {
             return;
@@ -102,114 +109,115 @@
         }
     }
 
-    /// A relay told what all hosts observed; that replaces what was told before.
-    pub fn replace_reported(&mut self, now: Mono, accounts: HashMap<K, Summary>) {
-        self.heard = Some(now);
-        self.reported = accounts;
+    /// Replaces the pooled observations of all hosts with new ones from a relay.
+    pub fn replace_reported(&mut self, now: Mono, summaries: HashMap<K, Summary>) {
+        self.reported_at = Some(now);
+        self.reported = summaries;
     }
 
-    /// Another life of an upstream has begun.
+    /// Forgets an upstream, since it has been restarted.
     pub fn forget(&mut self, key: &K) {
         self.windows.remove(key);
         self.reported.remove(key);
-        self.standings.remove(key);
+        self.statuses.remove(key);
     }
 
-    /// Forgets upstreams that are gone.
+    /// Forgets the upstreams that aren't known any more.
     pub fn retain<F>(&mut self, is_known: F)
     where
         F: Fn(&K) -> bool,
     {
         self.windows.retain(|key, _| is_known(key));
         self.reported.retain(|key, _| is_known(key));
-        self.standings.retain(|key, _| is_known(key));
+        self.statuses.retain(|key, _| is_known(key));
     }
 
-    /// What this host has to report: its accounts as far as it trusts itself.
+    /// Returns the summaries that this host reports to relays, without those that it doesn't
+    /// trust.
     pub fn report(&mut self, now: Mono) -> Vec<(K, Summary)> {
         self.windows.retain(|_, window| !window.is_expired(now));
         let entries = self.windows.iter();
-        let (keys, mut accounts): (Vec<&K>, Vec<Summary>) = entries
+        let (keys, mut summaries): (Vec<&K>, Vec<Summary>) = entries
             .map(|(key, window)| (key, window.summarise(now)))
             .unzip();
-        drop_untrusted(&mut accounts);
-        let entries = keys.into_iter().cloned().zip(accounts);
+        drop_untrusted(&mut summaries);
+        let entries = keys.into_iter().cloned().zip(summaries);
         entries
-            .filter(|(_, account)| account.requests() + account.time_weight > 0)
+            .filter(|(_, summary)| summary.requests() + summary.time_weight > 0)
             .collect()
     }
 
-    /// Work that an upstream does in a time, against what it should.
+    /// Returns the work that an upstream does per time, as a part of what it should do.
     pub fn rate(&self, key: &K) -> f64 {
-        self.standings
-            .get(key)
-            .map_or(1.0, |standing| standing.rate)
+        self.statuses.get(key).map_or(1.0, |status| status.rate)
     }
 
     /// Whether an upstream is ejected.
     pub fn is_ejected(&self, key: &K) -> bool {
-        let standing = self.standings.get(key);
-        standing.is_some_and(|standing| standing.ejection.is_some())
+        let status = self.statuses.get(key);
+        status.is_some_and(|status| status.ejection.is_some())
     }
 
     /// Whether any upstream is ejected.
     pub fn has_ejected(&self) -> bool {
-        self.standings.values().any(|s| s.ejection.is_some())
+        self.statuses.values().any(|s| s.ejection.is_some())
     }
 
-    /// Takes the right to probe an ejected upstream with a request, if its turn has come.
-    /// `hosts` counts all hosts, this one included.
+    /// Returns whether a request should be sent to an ejected upstream as a probe now, and
+    /// schedules the next probe if so. `hosts` is the number of all hosts, with this one.
     pub fn try_probe<R>(&mut self, now: Mono, key: &K, hosts: usize, rng: &mut R) -> bool
     where
         R: RngCore,
     {
-        let is_heard = self.is_heard(now);
-        let standing = self.standings.get_mut(key);
-        let ejection = standing.and_then(|standing| standing.ejection.as_mut());
+        let has_fresh_reports = self.has_fresh_reports(now);
+        let status = self.statuses.get_mut(key);
+        let ejection = status.and_then(|status| status.ejection.as_mut());
         let is_due = |ejection: &&mut Ejection| {
-            let usual = probe_pause(is_heard, ejection.is_answering, hosts);
+            let usual = probe_interval(has_fresh_reports, ejection.is_answering, hosts);
             let (from, multiple) = ejection.pause;
             now >= from + usual.mul_f64(multiple)
         };
         let Some(ejection) = ejection.filter(is_due) else {
             return false;
         };
-        ejection.pause = (now, drawn(rng));
-        ejection.probed = now;
+        ejection.pause = (now, draw_multiple(rng));
+        ejection.last_probe = now;
         true
     }
 
-    /// A request ended. Gives whether it was a probe: it was sent at a time when the
-    /// upstream was ejected.
+    /// Records the outcome of a request, and returns whether it was a probe: it was sent after
+    /// the upstream was ejected.
     pub fn record_probe(&mut self, key: &K, sent: Mono, is_passed: bool) -> bool {
-        let standing = self.standings.get_mut(key);
-        let ejection = standing.and_then(|standing| standing.ejection.as_mut());
+        let status = self.statuses.get_mut(key);
+        let ejection = status.and_then(|status| status.ejection.as_mut());
         let Some(ejection) = ejection.filter(|ejection| sent >= ejection.since) else {
             return false;
         };
-        ejection.passed = if is_passed { ejection.passed + 1 } else { 0 };
+        ejection.passes = if is_passed { ejection.passes + 1 } else { 0 };
         true
     }
 
-    fn is_heard(&self, now: Mono) -> bool {
-        self.heard.is_some_and(|at| now.since(at) < WINDOW)
+    /// Whether a relay has reported within the window.
+    fn has_fresh_reports(&self, now: Mono) -> bool {
+        self.reported_at.is_some_and(|at| now.since(at) < WINDOW)
     }
 
-    /// Judges the upstreams of a service anew, and gives what has changed.
+    /// Evaluates the upstreams of a service anew, ejects and reinstates them, and returns the
+    /// changes.
     pub fn review<R>(&mut self, now: Mono, members: &[K], rng: &mut R) -> Vec<Change<K>>
     where
         R: RngCore,
     {
-        let found = self.find(now, members);
+        let found = self.evaluate(now, members);
         let mut changes = Vec::new();
-        // Without those that are reinstated: what they did before counts no more.
+        // Reinstated upstreams are left out, since their earlier observations don't count.
         let mut others: Vec<(&K, &Finding)> = Vec::new();
         for (key, finding) in members.iter().zip(&found) {
-            self.note_answers(now, key, finding, rng);
-            if !self.is_reinstated(now, key, finding) {
+            self.update_answering(now, key, finding, rng);
+            if !self.may_reinstate(now, key, finding) {
                 others.push((key, finding));
             } else {
-                self.standings.remove(key);
+                self.statuses.remove(key);
                 self.windows.remove(key);
                 changes.push(Change {
                     key: key.clone(),
@@ -219,30 +227,30 @@
             }
         }
         for (key, finding) in others.iter().copied() {
-            match self.standings.get_mut(key) {
-                Some(standing) => standing.rate = finding.rate,
+            match self.statuses.get_mut(key) {
+                Some(status) => status.rate = finding.rate,
                 None if finding.rate < 1.0 => {
                     let (rate, ejection) = (finding.rate, None);
-                    self.standings
-                        .insert(key.clone(), Standing { rate, ejection });
+                    self.statuses.insert(key.clone(), Status { rate, ejection });
                 }
                 None => {}
             }
         }
-        let room = members.len() / EJECTED;
+        let room = members.len() / UPSTREAMS_PER_EJECTION;
         changes.extend(self.eject(now, room, others, rng));
-        self.standings
+        self.statuses
             .retain(|_, s| s.ejection.is_some() || s.rate < 1.0);
         changes
     }
 
-    /// What own observations and reported ones say, the worse of both.
-    fn find(&self, now: Mono, members: &[K]) -> Vec<Finding> {
+    /// Returns a finding for each upstream, the worse one of this host's own observations and of
+    /// the reported ones.
+    fn evaluate(&self, now: Mono, members: &[K]) -> Vec<Finding> {
         let own = members.iter().map(|key| self.windows.get(key));
         let own = own.map(|window| window.map(|w| w.summarise(now)).unwrap_or_default());
         let mut own: Vec<Summary> = own.collect();
         drop_untrusted(&mut own);
-        let reported = members.iter().map(|key| self.reported_account(now, key));
+        let reported = members.iter().map(|key| self.reported_summary(now, key));
         let reported: Vec<Summary> = reported.collect();
         let all = [&own[..], &reported[..]];
         let own_found = find_outliers(&own, Source::Own, all);
@@ -260,57 +268,63 @@
             .collect()
     }
 
-    /// What was reported of an upstream, if it is fresh and several hosts observed it.
-    fn reported_account(&self, now: Mono, key: &K) -> Summary {
-        let account = self.fresh_report(now, key);
-        Some(account).filter(|a| a.hosts >= 2).unwrap_or_default()
+    /// Returns the reported summary of an upstream if it is fresh and from several hosts, and an
+    /// empty one otherwise.
+    fn reported_summary(&self, now: Mono, key: &K) -> Summary {
+        let summary = self.fresh_report(now, key);
+        Some(summary).filter(|a| a.hosts >= 2).unwrap_or_default()
     }
 
+    /// Returns the reported summary of an upstream if it is fresh, and an empty one otherwise.
     fn fresh_report(&self, now: Mono, key: &K) -> Summary {
-        let account = self.reported.get(key).copied();
-        let fresh = account.filter(|account| now.since(account.newest) < WINDOW);
+        let summary = self.reported.get(key).copied();
+        let fresh = summary.filter(|summary| now.since(summary.newest) < WINDOW);
         fresh.unwrap_or_default()
     }
 
-    /// Notes whether an ejected upstream answers the probes of all hosts.
-    fn note_answers<R>(&mut self, now: Mono, key: &K, finding: &Finding, rng: &mut R)
+    /// Records whether an ejected upstream answers the probes of all hosts.
+    fn update_answering<R>(&mut self, now: Mono, key: &K, finding: &Finding, rng: &mut R)
     where
         R: RngCore,
     {
-        // One host's word is enough here: it makes the others probe sooner.
-        let account = self.fresh_report(now, key);
-        let standing = self.standings.get_mut(key);
-        if let Some(ejection) = standing.and_then(|standing| standing.ejection.as_mut()) {
-            // What was observed before the ejection is too old by now.
+        // The report of one host is enough here: it only makes the others probe sooner.
+        let summary = self.fresh_report(now, key);
+        let status = self.statuses.get_mut(key);
+        if let Some(ejection) = status.and_then(|status| status.ejection.as_mut()) {
+            // Observations from before the ejection are older than the window.
             let is_over = now.since(ejection.since) >= WINDOW;
-            let is_well = account.capped_failures == 0 && !finding.is_outlier;
-            let is_answering = is_over && is_well && account.answers > 0;
+            let is_well = summary.capped_failures == 0 && !finding.is_outlier;
+            let is_answering = is_over && is_well && summary.answers > 0;
             if is_answering != ejection.is_answering {
                 ejection.is_answering = is_answering;
-                // Drawn anew: hosts that have not probed yet are those with long pauses.
-                ejection.pause = (now, drawn(rng));
+                // The pause is drawn anew, since the hosts that have not probed yet are those
+                // with long pauses.
+                ejection.pause = (now, draw_multiple(rng));
             }
         }
     }
 
-    fn is_reinstated(&self, now: Mono, key: &K, finding: &Finding) -> bool {
-        let standing = self.standings.get(key);
-        let Some(ejection) = standing.and_then(|standing| standing.ejection) else {
+    /// Whether an ejected upstream is to be reinstated.
+    fn may_reinstate(&self, now: Mono, key: &K, finding: &Finding) -> bool {
+        let status = self.statuses.get(key);
+        let Some(ejection) = status.and_then(|status| status.ejection) else {
             return false;
         };
-        // What was observed before the ejection is too old by now.
+        // Observations from before the ejection are older than the window.
         let is_over = now.since(ejection.since) >= WINDOW;
-        let account = self.reported_account(now, key);
-        let passed = account.answers >= PASSED_POOLED && account.capped_failures == 0;
+        let summary = self.reported_summary(now, key);
+        let passed = summary.answers >= MIN_POOLED_PASSES && summary.capped_failures == 0;
         let is_unknown = self.fresh_report(now, key).requests() == 0 && !finding.is_outlier;
-        let is_expired = now.since(ejection.probed) >= EXPIRES && is_unknown;
+        let is_expired = now.since(ejection.last_probe) >= EJECTION_TIMEOUT && is_unknown;
         let is_well = finding.rate >= 1.0;
         let is_contradicted = finding.is_outlier && finding.source == Source::Reported;
-        ejection.passed >= PASSED && !is_contradicted || is_over && passed && is_well || is_expired
+        ejection.passes >= MIN_OWN_PASSES && !is_contradicted
+            || is_over && passed && is_well
+            || is_expired
     }
 
-    /// Ejects the worst outliers, at most `most` in all, and reinstates the best of those beyond
-    /// that.
+    /// Ejects the worst outliers, up to `most` ejected upstreams in all. If more are ejected, the
+    /// best of them are reinstated.
     fn eject<R>(
         &mut self,
         now: Mono,
@@ -329,11 +343,11 @@
         outliers.sort_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
         outliers.truncate(room);
         let mut changes = Vec::new();
-        // More than that are left ejected once others leave or are evacuated.
+        // More than `most` may be ejected, since other upstreams have left or are evacuated.
         ejected.sort_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
         for (key, finding) in ejected.into_iter().skip(most) {
-            if let Some(standing) = self.standings.get_mut(key) {
-                standing.ejection = None;
+            if let Some(status) = self.statuses.get_mut(key) {
+                status.ejection = None;
             }
             changes.push(Change {
                 key: key.clone(),
@@ -344,16 +358,16 @@
         for (key, finding) in outliers {
             let ejection = Ejection {
                 since: now,
-                probed: now,
-                pause: (now, drawn(rng)),
-                passed: 0,
+                last_probe: now,
+                pause: (now, draw_multiple(rng)),
+                passes: 0,
                 is_answering: false,
             };
-            let standing = Standing {
+            let status = Status {
                 rate: finding.rate,
                 ejection: Some(ejection),
             };
-            self.standings.insert(key.clone(), standing);
+            self.statuses.insert(key.clone(), status);
             changes.push(Change {
                 key: key.clone(),
                 is_ejected: true,
@@ -364,20 +378,21 @@
     }
 }
 
-/// Between two probes of one host, of so many.
-fn probe_pause(is_heard: bool, is_answering: bool, hosts: usize) -> Duration {
+/// Returns the mean interval between two probes of one host, out of `hosts`.
+fn probe_interval(has_fresh_reports: bool, is_answering: bool, hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts.max(1)).unwrap_or(u32::MAX);
-    // Without reports the others wouldn't know that it answers.
-    let pause = match is_heard && is_answering {
-        true => PROBE_ANSWERING,
-        false => PROBE,
+    // Without reports the other hosts don't know that the upstream answers.
+    let pause = match has_fresh_reports && is_answering {
+        true => ANSWERING_PROBE_INTERVAL,
+        false => PROBE_INTERVAL,
     };
     pause.saturating_mul(hosts)
 }
 
-/// A multiple of a pause, exponentially distributed: the probes of all hosts together come at
-/// the intended rate from the start, also when the usual pause changes.
-fn drawn<R>(rng: &mut R) -> f64
+/// Draws the length of a pause as a multiple of the mean interval. The multiple is exponentially
+/// distributed, so that all hosts together probe at the intended rate from the start, and also
+/// after the mean interval changes.
+fn draw_multiple<R>(rng: &mut R) -> f64
 where
     R: RngCore,
 {
--- a/almondlock-policy/src/outlier/summary.rs
+++ b/almondlock-policy/src/outlier/summary.rs
@@ -1,33 +1,34 @@
-//! How several hosts' observations of one upstream count together.
+//! Summaries of the observations of one upstream, and how those of several hosts are pooled.
 //!
-//! **Failure.** A host reports wrong data. What one host reports counts at most as much as what
-//! all others report together, so that its report alone has no weight, and besides one honest
-//! report it has the weight of one.
+//! **Failure.** A host reports wrong data. The report of one host therefore counts at most as
+//! much as all others together: alone it has no weight, and beside a single correct report it
+//! has the same weight as that.
 
 use almondlock_base::time::Mono;
 
-/// A standard normal deviate: the true share of failures is below the lower bound in one case
-/// of ten, and above the upper one.
-const DEVIATE: f64 = 1.28;
+/// Standard normal deviate of the bounds: the true share of failures is below the lower bound in
+/// one case of ten, and above the upper bound in one of ten.
+const NORMAL_DEVIATE: f64 = 1.28;
 
-/// What was observed of an upstream within the window.
+/// Summary of what was observed of an upstream within [`WINDOW`](super::WINDOW).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Summary {
-    /// How many hosts observed it.
+    /// Number of hosts that observed the upstream.
     pub hosts: u32,
-    /// Requests that it answered.
+    /// Number of requests that the upstream answered.
     pub answers: u32,
-    /// Requests that failed by its fault.
+    /// Number of requests that failed through the upstream's fault.
     pub failures: u32,
-    /// The same, at most one of each host: for what a service does as a whole, of which one
-    /// host's wrong report must not count for much.
+    /// Number of failures, with at most one from each host in a pooled summary. It tells whether
+    /// a service fails as a whole, where one host's wrong report must not count for much.
     pub capped_failures: u32,
-    /// The weight of the times that were compared with what was expected: one for each that
-    /// was as expected, more for longer ones.
+    /// Total weight of the observed times: 1 for a time that was as expected, more for longer
+    /// ones.
     pub time_weight: u32,
-    /// Their weighted median, as a multiple of what was expected. 1 without any.
+    /// Weighted median of the observed times, as a multiple of the expected ones. 1 if no time
+    /// was observed.
     pub slowness: f64,
-    /// When the newest observation was made.
+    /// Time of the newest observation.
     pub newest: Mono,
 }
 
@@ -46,20 +47,20 @@
 }
 
 impl Summary {
-    /// Several hosts' accounts as one.
-    pub fn pool(accounts: &[Summary]) -> Summary {
-        let counts = |count: fn(&Summary) -> u32| accounts.iter().map(count).collect::<Vec<_>>();
-        let requests: u32 = accounts.iter().map(Summary::requests).sum();
-        let answers = accounts.iter().map(|account| {
-            // One always counts, and any besides another host's failures.
-            account.answers.min((requests - account.requests()).max(1))
+    /// Pools the summaries of several hosts into one.
+    pub fn pool(summaries: &[Summary]) -> Summary {
+        let counts = |count: fn(&Summary) -> u32| summaries.iter().map(count).collect::<Vec<_>>();
+        let requests: u32 = summaries.iter().map(Summary::requests).sum();
+        let answers = summaries.iter().map(|summary| {
+            // At least one answer counts, and at most as many as other hosts have requests.
+            summary.answers.min((requests - summary.requests()).max(1))
         });
-        let failures = capped(&counts(|account| account.failures));
-        let samples = capped(&counts(|account| account.time_weight));
-        let mut order: Vec<(f64, u32)> = accounts
+        let failures = cap_counts(&counts(|summary| summary.failures));
+        let samples = cap_counts(&counts(|summary| summary.time_weight));
+        let mut order: Vec<(f64, u32)> = summaries
             .iter()
             .zip(&samples)
-            .map(|(account, samples)| (account.slowness, *samples))
+            .map(|(summary, samples)| (summary.slowness, *samples))
             .collect();
         order.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
         let total: u32 = samples.iter().sum();
@@ -69,13 +70,13 @@
             passed * 2 >= total && passed > 0
         });
         Summary {
-            hosts: u32::try_from(accounts.len()).unwrap_or(u32::MAX),
+            hosts: u32::try_from(summaries.len()).unwrap_or(u32::MAX),
             answers: answers.sum(),
             failures: failures.iter().sum(),
-            capped_failures: accounts.iter().map(|a| a.failures.min(1)).sum(),
+            capped_failures: summaries.iter().map(|a| a.failures.min(1)).sum(),
             time_weight: total,
             slowness: median.map_or(1.0, |(slowness, _)| *slowness),
-            newest: accounts
+            newest: summaries
                 .iter()
                 .map(|a| a.newest)
                 .max()
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Requests of which it is known how they ended.
+    /// Returns the number of requests whose outcome is known.
     pub const fn requests(&self) -> u32 {
         self.answers + self.failures
     }
 
-    /// The part of the requests that failed.
+    /// Returns the part of the requests that failed.
     pub fn failure_share(&self) -> f64 {
         match self.requests() {
             0 => 0.0,
@@ -96,28 +97,29 @@
         }
     }
 
-    /// A lower bound of the part that fails in the long run.
+    /// Returns a lower bound of the part of the requests that fails in the long run.
     pub fn failure_share_bound(&self) -> f64 {
-        bounds(self.failures, self.requests()).0
+        failure_bounds(self.failures, self.requests()).0
     }
 }
 
-/// Bounds of the part that fails in the long run (Wilson's score interval).
-pub(super) fn bounds(failures: u32, requests: u32) -> (f64, f64) {
+/// Returns the lower and the upper bound of the part of the requests that fails in the long run
+/// (Wilson score interval).
+pub(super) fn failure_bounds(failures: u32, requests: u32) -> (f64, f64) {
     if requests == 0 {
         return (0.0, 1.0);
     }
     let requests = f64::from(requests);
     let share = f64::from(failures) / requests;
-    let square = DEVIATE * DEVIATE;
+    let square = NORMAL_DEVIATE * NORMAL_DEVIATE;
     let centre = share + square / (2.0 * requests);
     let variance = share * (1.0 - share) / requests + square / (4.0 * requests * requests);
-    let (spread, scale) = (DEVIATE * variance.sqrt(), 1.0 + square / requests);
+    let (spread, scale) = (NORMAL_DEVIATE * variance.sqrt(), 1.0 + square / requests);
     ((centre - spread) / scale, (centre + spread) / scale)
 }
 
-/// Counts of which none is larger than the sum of the others.
-fn capped(counts: &[u32]) -> Vec<u32> {
+/// Reduces each count to at most the sum of the others.
+fn cap_counts(counts: &[u32]) -> Vec<u32> {
     let total: u32 = counts.iter().sum();
     counts
         .iter()
