--- a/almondlock-gateway/src/share/ledger.rs
+++ b/almondlock-gateway/src/share/ledger.rs
@@ -42,8 +42,8 @@
     pub fn claim_sent(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
         let count = Usage {
             slots: 1,
-            unread: 1,
-            reading: millis(reading),
+            unanswered: 1,
+            reading_ms: millis(reading),
             ..Usage::default()
         };
         self.claim(service, organisation, count)
@@ -66,7 +66,7 @@
         reading: Duration,
     ) -> Claim {
         let count = Usage {
-            queued_reading: millis(reading),
+            queued_reading_ms: millis(reading),
             ..Usage::default()
         };
         self.claim(service, organisation, count)
--- a/almondlock-policy/src/limit/lend.rs
+++ b/almondlock-policy/src/limit/lender.rs
@@ -1,4 +1,4 @@
-//! Lending what is over the floors.
+//! Lends the part of each limit that is not given out as floors.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -13,14 +13,13 @@
 /// How a [`Lender`] lends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// How long a part is lent. An unused one is back after that.
+    /// Time for which an allotment is lent. An unused one is free again after that.
     pub lease_time: Duration,
-    /// The share of a limit, in percent, that the entry hosts have as floors.
-    /// The same figure as in their [`Config`](super::Config).
+    /// Percentage of a limit that the entry hosts have as floors. Must be equal to the
+    /// value in their [`Config`](super::Config).
     pub floor_percent: u32,
-    /// How long requests admitted under a lease may outlast it. Tokens lent to a
-    /// host that is not heard of any more count as lent for so long after the
-    /// lease.
+    /// Time by which requests admitted under a lease may outlast it. Tokens lent to a host
+    /// that sends no more messages count as lent for this time after the lease.
     pub linger: Duration,
 }
 
@@ -43,23 +42,23 @@
     pub tokens: Tokens,
 }
 
-/// What one host may hold of a limit.
+/// The part of a limit that one host may use.
 #[derive(Clone, Debug, Default)]
-struct Lent {
-    /// What was lent, with the end of each lease. A smaller part does not end a
-    /// larger one that was lent before: the answer may have been lost.
+struct Holding {
+    /// The allotments that were lent, with the end of each lease. A smaller one does not
+    /// end a larger one that was lent before, since the answer may have been lost.
     leases: Vec<(Allotment, Mono)>,
-    /// The most tokens that it may have in flight over its floor, and until
-    /// when.
+    /// Maximum number of tokens that the host may have in flight over its floor.
     peak: Tokens,
+    /// Time until which `peak` counts.
     peak_until: Mono,
-    /// What it asked for last, so that parts can follow demand.
+    /// What the host asked for last, so that allotments can follow demand.
     wanted: Allotment,
 }
 
-impl Lent {
-    /// The most that it may use now.
-    fn most(&self, now: Mono) -> Allotment {
+impl Holding {
+    /// Returns the most that the host may use now.
+    fn max_usable(&self, now: Mono) -> Allotment {
         let live = self.leases.iter().filter(|(_, until)| now < *until);
         let most = live.fold(Allotment::default(), |most, (part, _)| Allotment {
             rate_thousandths: most.rate_thousandths.max(part.rate_thousandths),
@@ -76,26 +75,26 @@
         }
     }
 
-    /// Takes the host's word for what it has in flight over its floor.
-    fn hear(&mut self, used: Tokens, now: Mono) {
+    /// Records the tokens that the host reports in flight over its floor.
+    fn note_used(&mut self, used: Tokens, now: Mono) {
         self.leases.retain(|(_, until)| now < *until);
         self.peak = used;
         self.peak_until = Mono::from_micros(u64::MAX);
-        self.peak = self.most(now).tokens;
+        self.peak = self.max_usable(now).tokens;
     }
 
-    fn lend(&mut self, part: Allotment, until: Mono, linger: Duration) {
+    fn add_lease(&mut self, part: Allotment, until: Mono, linger: Duration) {
         self.leases.push((part, until));
         self.peak = self.peak.max(part.tokens);
         self.peak_until = until + linger;
     }
 }
 
-/// Lends what the floors leave of each organisation's limit.
+/// Lends to the entry hosts what the floors leave of each organisation's limit.
 ///
-/// There is one per organisation at a time. It keeps nothing on disk: one that
-/// starts lends nothing until its predecessor's leases have ended, and what was
-/// admitted under them: [`Terms::lease`] and [`Terms::linger`].
+/// An organisation has one lender at a time. A lender stores nothing on disk: after its
+/// start it lends nothing until its predecessor's leases have ended, and the requests
+/// admitted under them, which takes [`Terms::lease_time`] and [`Terms::linger`].
 ///
 /// ```
 /// use almondlock_base::{id::{Host, Organisation}, time::Mono, unit::Tokens};
@@ -115,25 +114,27 @@
 #[derive(Debug)]
 pub struct Lender {
     terms: Terms,
-    opens: Mono,
+    /// Time from which on it lends.
+    opens_at: Mono,
     limits: HashMap<Organisation, Limit>,
-    // Invariant: for each organisation, the parts that have not ended add up to
-    // at most what its floors leave.
-    lent: HashMap<Organisation, HashMap<Host, Lent>>,
+    // Invariant: for each organisation, the allotments whose leases have not ended add up
+    // to at most what its floors leave.
+    holdings: HashMap<Organisation, HashMap<Host, Holding>>,
 }
 
 impl Lender {
-    /// A lender that starts now.
+    /// Returns a lender that starts now.
     pub fn new(terms: Terms, now: Mono) -> Lender {
         Lender {
             terms,
-            opens: now + terms.lease_time + terms.linger,
+            opens_at: now + terms.lease_time + terms.linger,
             limits: HashMap::new(),
-            lent: HashMap::new(),
+            holdings: HashMap::new(),
         }
     }
 
-    /// Sets an organisation's limit. What is lent runs out by itself.
+    /// Sets an organisation's limit. Allotments that are lent already last until their
+    /// leases end.
     pub fn set(&mut self, organisation: &Organisation, limit: Limit) {
         self.limits.insert(organisation.clone(), limit);
     }
@@ -141,18 +142,20 @@
     /// Forgets an organisation.
     pub fn remove(&mut self, organisation: &Organisation) {
         self.limits.remove(organisation);
-        self.lent.remove(organisation);
+        self.holdings.remove(organisation);
     }
 
-    /// How long a part is lent. The entry host counts it from before it asked.
+    /// Returns the time for which an allotment is lent. The entry host counts it from
+    /// before it asked.
     pub fn lease_time(&self) -> Duration {
         self.terms.lease_time
     }
 
-    /// Lends a part. `used` is what the host has in flight over its floor.
+    /// Lends an allotment to a host. `used` is the number of tokens that the host has in
+    /// flight over its floor.
     ///
-    /// Where more is wanted than there is, each host gets a part in proportion
-    /// to what it wants, as soon as the others' leases have ended.
+    /// If the hosts want more than there is, each gets a part in proportion to what it
+    /// wants, as soon as the other hosts' leases have ended.
     pub fn allot(
         &mut self,
         host: &Host,
@@ -164,27 +167,27 @@
         let Some(limit) = self.limits.get(organisation).copied() else {
             return Allotment::default();
         };
-        let spare = self.spare(limit);
-        let all = self.lent.entry(organisation.clone()).or_default();
-        all.retain(|name, lent| name == host || lent.most(now) != Allotment::default());
+        let spare = self.lendable(limit);
+        let all = self.holdings.entry(organisation.clone()).or_default();
+        all.retain(|name, holding| name == host || holding.max_usable(now) != Allotment::default());
         let own = all.entry(host.clone()).or_default();
-        own.hear(used, now);
+        own.note_used(used, now);
         own.wanted = Allotment {
             rate_thousandths: demand.requests.saturating_mul(1_000),
             tokens: demand.tokens,
         };
-        if now < self.opens {
+        if now < self.opens_at {
             return Allotment::default();
         }
-        let part = portion(all, host, spare, now);
+        let part = fair_allotment(all, host, spare, now);
         if let Some(own) = all.get_mut(host) {
-            own.lend(part, now + self.terms.lease_time, self.terms.linger);
+            own.add_lease(part, now + self.terms.lease_time, self.terms.linger);
         }
         part
     }
 
-    /// What the floors leave of a limit.
-    fn spare(&self, limit: Limit) -> Allotment {
+    /// Returns what the floors leave of a limit.
+    fn lendable(&self, limit: Limit) -> Allotment {
         let rest = u64::from(100 - self.terms.floor_percent.min(100));
         let tokens = u128::from(limit.tokens.0) * u128::from(rest) / 100;
         Allotment {
@@ -194,20 +197,28 @@
     }
 }
 
-/// A host's fair part of `spare`, and never more than what the others leave.
-fn portion(all: &HashMap<Host, Lent>, host: &Host, spare: Allotment, now: Mono) -> Allotment {
+/// Returns a host's fair part of `spare`, at most what the other hosts leave.
+fn fair_allotment(
+    all: &HashMap<Host, Holding>,
+    host: &Host,
+    spare: Allotment,
+    now: Mono,
+) -> Allotment {
     let others = all.iter().filter(|(name, _)| *name != host);
-    let taken = sum(others.map(|(_, lent)| lent.most(now)));
-    let wanted = all.get(host).map(|lent| lent.wanted).unwrap_or_default();
-    let total = sum(all.values().map(|lent| lent.wanted));
+    let taken = sum_allotments(others.map(|(_, holding)| holding.max_usable(now)));
+    let wanted = all
+        .get(host)
+        .map(|holding| holding.wanted)
+        .unwrap_or_default();
+    let total = sum_allotments(all.values().map(|holding| holding.wanted));
     Allotment {
-        rate_thousandths: fair(
+        rate_thousandths: fair_amount(
             wanted.rate_thousandths,
             total.rate_thousandths,
             spare.rate_thousandths,
             taken.rate_thousandths,
         ),
-        tokens: Tokens(fair(
+        tokens: Tokens(fair_amount(
             wanted.tokens.0,
             total.tokens.0,
             spare.tokens.0,
@@ -216,7 +227,7 @@
     }
 }
 
-fn fair(wanted: u64, total: u64, spare: u64, taken: u64) -> u64 {
+fn fair_amount(wanted: u64, total: u64, spare: u64, taken: u64) -> u64 {
     let part = if total <= spare {
         wanted
     } else {
@@ -226,7 +237,7 @@
     part.min(spare.saturating_sub(taken))
 }
 
-fn sum<S>(parts: S) -> Allotment
+fn sum_allotments<S>(parts: S) -> Allotment
 where
     S: Iterator<Item = Allotment>,
 {
