--- a/almondlock-gateway/src/outgoing.rs
+++ b/almondlock-gateway/src/outgoing.rs
@@ -79,7 +79,7 @@
         &names.deadline,
         &request.time_left(now).as_millis().to_string(),
     );
-    if let Some(target) = destination.targets.get(destination.choice.first) {
+    if let Some(target) = destination.targets.get(destination.choice.primary) {
         set(&names.instance, target.name.as_str());
     }
     if let Some(organisation) = &request.organisation {
--- a/almondlock-gateway/src/placement.rs
+++ b/almondlock-gateway/src/placement.rs
@@ -17,10 +17,10 @@
     dialect::Dialect,
     failure::Failure,
     lease::Leases,
-    pick::{self, Candidate, Choice, Lack},
+    pick::{self, Candidate, Choice, Shortage},
     request::{History, Request, record_failure},
     resources::Resources,
-    slots::{Grant, Question, Waiter},
+    slots::{Admission, Grant, Waiter},
     startup,
     worker::{Target, Worker},
 };
@@ -128,7 +128,7 @@
         let choice = probe.map_or_else(|| choose(worker, request, &candidates), Ok);
         let mut choice = choice.map_err(|lack| refuse(worker, request, lack, now))?;
         if is_last {
-            choice.shares.retain(|share| share.place != choice.first);
+            choice.shares.retain(|share| share.place != choice.primary);
         }
         let verdict = match is_probe {
             true => Verdict::Send,
@@ -160,14 +160,14 @@
             worker.note_refused(request, Resource::Reading, now, refused.retry_after);
             return Err(refused);
         }
-        let first = targets.get(choice.first);
-        let first = first.ok_or_else(|| lack_fault(Lack::Upstream))?;
+        let first = targets.get(choice.primary);
+        let first = first.ok_or_else(|| lack_fault(Shortage::Upstream))?;
         if !worker.obtain_permit(request, first).await {
             // The permit is now known to be unavailable, so the next round chooses another
             // upstream.
             search.refused_permits += 1;
             if search.refused_permits > targets.len() {
-                return Err(refuse(worker, request, Lack::Limit, clock::mono()));
+                return Err(refuse(worker, request, Shortage::Limit, clock::mono()));
             }
             continue;
         }
@@ -183,24 +183,24 @@
             Err(failed) => search.record_refusals(worker, request, failed, history.tried.len()),
         }
         if is_last {
-            return Err(lack_fault(Lack::Memory));
+            return Err(lack_fault(Shortage::Memory));
         }
     }
 }
 
 /// Returns the fault for a request that can't be placed. For a rate limit it is known when
 /// to try again.
-fn refuse<D>(worker: &Worker<D>, request: &Request, lack: Lack, now: Mono) -> Fault
+fn refuse<D>(worker: &Worker<D>, request: &Request, lack: Shortage, now: Mono) -> Fault
 where
     D: Dialect,
 {
-    if lack == Lack::Memory {
+    if lack == Shortage::Memory {
         // Memory of engines is held by prompts that are being read.
         worker.note_refused(request, Resource::Reading, now, None);
     }
     match lack {
-        Lack::Upstream | Lack::Memory | Lack::Backoff => lack_fault(lack),
-        Lack::Limit => Fault {
+        Shortage::Upstream | Shortage::Memory | Shortage::Backoff => lack_fault(lack),
+        Shortage::Limit => Fault {
             retry_after: Some(worker.limit_retry_after(request, now)),
             ..Fault::new(Failure::Limited, None, lack)
         },
@@ -208,7 +208,7 @@
 }
 
 /// Returns the fault for a request that can't be placed, without further effects.
-pub(crate) fn lack_fault(lack: Lack) -> Fault {
+pub(crate) fn lack_fault(lack: Shortage) -> Fault {
     Fault::new(Failure::Unsent, None, lack)
 }
 
@@ -268,7 +268,7 @@
 where
     D: Dialect,
 {
-    let is_short = choice.helpers.is_empty() && choice.part <= pick::SHORT;
+    let is_short = choice.helpers.is_empty() && choice.part <= pick::MAX_SHORT_READING;
     if !worker.features.slot_admission || !is_short {
         return Verdict::Send;
     }
@@ -278,7 +278,7 @@
     let Some(speed) = service.and_then(|service| service.engine.as_ref()) else {
         return Verdict::Send;
     };
-    let question = Question {
+    let question = Admission {
         request,
         speed,
         targets,
@@ -294,17 +294,17 @@
     worker: &Worker<D>,
     request: &Request,
     candidates: &[Candidate],
-) -> Result<Choice, Lack>
+) -> Result<Choice, Shortage>
 where
     D: Dialect,
 {
     let snapshot = worker.snapshot();
     let rules = snapshot.rules.as_ref();
     let service = rules.and_then(|rules| rules.service(&request.service));
-    let service = service.ok_or(Lack::Upstream)?;
+    let service = service.ok_or(Shortage::Upstream)?;
     let mut rng = worker.rng.borrow_mut();
     match (&service.engine, request.demand) {
-        (Some(speed), Some(demand)) => pick::engine(speed, demand, candidates, &mut *rng),
-        _ => pick::plain(candidates, &mut *rng),
+        (Some(speed), Some(demand)) => pick::choose_engine(speed, demand, candidates, &mut *rng),
+        _ => pick::choose_plain(candidates, &mut *rng),
     }
 }
--- a/almondlock-gateway/src/stream.rs
+++ b/almondlock-gateway/src/stream.rs
@@ -127,7 +127,8 @@
                 }
                 Err(fault) => fault,
             };
-            self.worker.blame(&self.request, &fault, self.first_at);
+            self.worker
+                .report_loss(&self.request, &fault, self.first_at);
             let worker = &self.worker;
             worker.observe_failure(&self.request, &fault, begun);
             self.sample = Sample::default();
