--- a/almondlock-gateway/src/backoff.rs
+++ b/almondlock-gateway/src/backoff.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     dialect::Dialect,
-    pick::Lack,
+    pick::Shortage,
     request::{History, Request},
     upstream::Head,
     worker::{Target, Worker},
@@ -52,7 +52,7 @@
         request: &Request,
         history: &History,
         now: Mono,
-    ) -> Result<Vec<Target>, Lack> {
+    ) -> Result<Vec<Target>, Shortage> {
         let snapshot = self.snapshot();
         let targets = snapshot
             .instances
@@ -66,7 +66,7 @@
         let open = open.filter(|target| self.backoff(now, &target.name).is_none());
         let open: Vec<Target> = open.map(|target| Target::clone(target)).collect();
         match open.is_empty() && !targets.is_empty() {
-            true => Err(Lack::Backoff),
+            true => Err(Shortage::Backoff),
             false => Ok(open),
         }
     }
--- a/almondlock-gateway/src/limit.rs
+++ b/almondlock-gateway/src/limit.rs
@@ -11,7 +11,7 @@
     dialect::Dialect,
     load::Key,
     permit::Outcome,
-    pick::Limited,
+    pick::Quota,
     request::Request,
     response::HOP_BY_HOP,
     upstream::Head,
@@ -97,11 +97,11 @@
 
     /// Returns whether an upstream is limited, and whether a relay may have a permit for
     /// it.
-    pub(crate) fn limit_state(&self, now: Mono, target: &Target) -> Limited {
+    pub(crate) fn limit_state(&self, now: Mono, target: &Target) -> Quota {
         match self.bound_of(target) {
-            None => Limited::No,
-            Some(_) if self.permits.is_open(now, Key::of(&target.name)) => Limited::Open,
-            Some(_) => Limited::Spent,
+            None => Quota::Unlimited,
+            Some(_) if self.permits.is_open(now, Key::of(&target.name)) => Quota::Available,
+            Some(_) => Quota::Exhausted,
         }
     }
 
@@ -148,7 +148,7 @@
         let opens = keys.map(|key| self.permits.time_until_open(now, key)).min();
         let bounds = targets.filter_map(|target| self.bound_of(target));
         let rate = bounds.map(|bound| bound.rate()).sum();
-        let hosts = self.load.borrow().hosts(now).saturating_add(1);
+        let hosts = self.load.borrow().other_hosts(now).saturating_add(1);
         let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
         let (opens, patience) = (opens.unwrap_or_default(), request.time_left(now));
         let share = (rate, hosts);
