--- a/almondlock-policy/src/bucket.rs
+++ b/almondlock-policy/src/bucket.rs
@@ -5,7 +5,7 @@
 use almondlock_base::time::Mono;
 
 /// Millionths of a request in one request.
-pub(crate) const MICROREQUESTS: u64 = 1_000_000;
+pub(crate) const MICROREQUESTS_PER_REQUEST: u64 = 1_000_000;
 
 /// The requests saved up, in millionths.
 #[derive(Clone, Copy, Debug, Default)]
@@ -30,7 +30,7 @@
     /// The capacity is at least one request, else a low rate could never be used.
     pub(crate) fn refill(&mut self, rate: u64, burst: Duration, now: Mono) {
         let rate = u128::from(rate);
-        let capacity = (rate * burst.as_micros() / 1000).max(u128::from(MICROREQUESTS));
+        let capacity = (rate * burst.as_micros() / 1000).max(u128::from(MICROREQUESTS_PER_REQUEST));
         let earned = match self.refilled_at {
             None => capacity,
             Some(at) => rate * now.since(at).as_micros() / 1000,
@@ -50,11 +50,11 @@
     ///
     /// Returns the time until there is one at `rate` if the bucket holds less.
     pub(crate) fn take(&mut self, rate: u64) -> Result<(), Duration> {
-        if let Some(rest) = self.credit.checked_sub(MICROREQUESTS) {
+        if let Some(rest) = self.credit.checked_sub(MICROREQUESTS_PER_REQUEST) {
             self.credit = rest;
             return Ok(());
         }
-        let missing = u128::from(MICROREQUESTS - self.credit) * 1000;
+        let missing = u128::from(MICROREQUESTS_PER_REQUEST - self.credit) * 1000;
         let micros = missing.div_ceil(u128::from(rate.max(1)));
         let micros = u64::try_from(micros).unwrap_or(u64::MAX);
         Err(Duration::from_micros(micros))
--- a/almondlock-policy/src/gang/mod.rs
+++ b/almondlock-policy/src/gang/mod.rs
@@ -242,6 +242,7 @@
         }
     }
 
+    /// Returns the next member to ask, or the step to run once all parts are held.
     fn gather(&mut self) -> Step {
         let Some(index) = self.holds.iter().position(|hold| *hold != Hold::Held) else {
             self.state = State::Running;
--- a/almondlock-policy/src/gate.rs
+++ b/almondlock-policy/src/gate.rs
@@ -22,18 +22,18 @@
 //!
 //! # How long a tombstone lasts
 //!
-//! A tombstone may be forgotten only after no copy can arrive. No timeout
-//! proves that: a head carries the time left at sending, so a copy that sat in
-//! a socket buffer for minutes looks fresh. Keeping every tombstone for ever is
-//! not bounded. So forgetting is made safe by itself: counters of one entry
-//! host's life only go up, and when a record is forgotten, the *floor* of that
-//! life is raised past it. An attempt below the floor without a record is
-//! refused, and settling it says [`Ran::Unknown`], because the forgotten record
-//! may have been of an attempt that ran. Time (until the attempt's deadline and
-//! [`Config::retention`] are both past) only decides how long answers stay exact;
-//! safety rests on the floor. A floor itself is kept for [`Config::floor_retention`]
-//! after its life was last heard of, which exceeds the time for which a kernel
-//! retransmits what a dead process left in its buffers.
+//! A tombstone may be forgotten only when no copy can arrive any more, and no timeout
+//! proves that: the head of an attempt carries the time left at sending, so a copy that was
+//! in a socket buffer for minutes looks new. To keep every tombstone for ever would need
+//! unbounded memory. So forgetting is made safe in another way. The counters of one life of
+//! an entry host only go up, and when a record is forgotten, the *floor* of that life is
+//! raised past its counter. An attempt below the floor that has no record is refused, and
+//! settling it returns [`Ran::Unknown`], because the forgotten record may have been of an
+//! attempt that ran. The time for which records are kept (until both the attempt's deadline
+//! and [`Config::retention`] are over) only decides how long answers stay exact; safety
+//! depends on the floor alone. A floor is kept for [`Config::floor_retention`] after the
+//! last message from its life, which is longer than a kernel retransmits what a dead process
+//! left in its buffers.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -81,9 +81,9 @@
 /// What the sidecar has to do after an attempt was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing.
+    /// Nothing is left to do.
     None,
-    /// Take it out of the queue.
+    /// Remove it from the queue.
     Dequeue,
     /// Cancel it on the engine.
     Cancel,
@@ -308,11 +308,11 @@
         {
             self.forget_oldest();
         }
-        let silence = self.config.floor_retention;
+        let retention = self.config.floor_retention;
         let records = &self.records;
         self.floors.retain(|(host, incarnation), floor| {
-            let known = |a: &Attempt| a.host == *host && a.incarnation == *incarnation;
-            now.since(floor.last_contact) < silence || records.keys().any(known)
+            let is_known = |a: &Attempt| a.host == *host && a.incarnation == *incarnation;
+            now.since(floor.last_contact) < retention || records.keys().any(is_known)
         });
     }
 
--- a/almondlock-policy/src/ledger.rs
+++ b/almondlock-policy/src/ledger.rs
@@ -352,6 +352,8 @@
         made || entry.opened_at + self.config.order_lifetime < asked
     }
 
+    /// Records an item that only the engine knows of: held until the end of the grace
+    /// period, or to be freed at once if there is none.
     fn adopt(&mut self, id: I, item: Item, grace: Option<Mono>, now: Mono) {
         let (stage, until) = match grace {
             Some(until) => (Stage::Held, until),
@@ -369,6 +371,7 @@
         self.insert(id, entry);
     }
 
+    /// Releases the items whose leases have ended.
     fn expire(&mut self, now: Mono) {
         while let Some((until, id)) = self.leases.first().cloned()
             && until <= now
--- a/almondlock-policy/src/limit/lender.rs
+++ b/almondlock-policy/src/limit/lender.rs
@@ -60,9 +60,9 @@
     /// Returns the most that the host may use now.
     fn max_usable(&self, now: Mono) -> Allotment {
         let live = self.leases.iter().filter(|(_, until)| now < *until);
-        let most = live.fold(Allotment::default(), |most, (part, _)| Allotment {
-            rate_thousandths: most.rate_thousandths.max(part.rate_thousandths),
-            tokens: most.tokens.max(part.tokens),
+        let most = live.fold(Allotment::default(), |most, (allotment, _)| Allotment {
+            rate_thousandths: most.rate_thousandths.max(allotment.rate_thousandths),
+            tokens: most.tokens.max(allotment.tokens),
         });
         let lingering = if now < self.peak_until {
             self.peak
@@ -83,9 +83,9 @@
         self.peak = self.max_usable(now).tokens;
     }
 
-    fn add_lease(&mut self, part: Allotment, until: Mono, linger: Duration) {
-        self.leases.push((part, until));
-        self.peak = self.peak.max(part.tokens);
+    fn add_lease(&mut self, allotment: Allotment, until: Mono, linger: Duration) {
+        self.leases.push((allotment, until));
+        self.peak = self.peak.max(allotment.tokens);
         self.peak_until = until + linger;
     }
 }
@@ -179,11 +179,11 @@
         if now < self.opens_at {
             return Allotment::default();
         }
-        let part = fair_allotment(all, host, spare, now);
+        let allotment = fair_allotment(all, host, spare, now);
         if let Some(own) = all.get_mut(host) {
-            own.add_lease(part, now + self.terms.lease_time, self.terms.linger);
+            own.add_lease(allotment, now + self.terms.lease_time, self.terms.linger);
         }
-        part
+        allotment
     }
 
     /// Returns what the floors leave of a limit.
@@ -227,22 +227,26 @@
     }
 }
 
+/// Returns `wanted`, or its proportional part of `spare` if more is wanted in total, but at
+/// most what is not `taken`.
 fn fair_amount(wanted: u64, total: u64, spare: u64, taken: u64) -> u64 {
-    let part = if total <= spare {
+    let amount = if total <= spare {
         wanted
     } else {
-        let part = u128::from(spare) * u128::from(wanted) / u128::from(total.max(1));
-        u64::try_from(part).unwrap_or(u64::MAX)
+        let amount = u128::from(spare) * u128::from(wanted) / u128::from(total.max(1));
+        u64::try_from(amount).unwrap_or(u64::MAX)
     };
-    part.min(spare.saturating_sub(taken))
+    amount.min(spare.saturating_sub(taken))
 }
 
-fn sum_allotments<S>(parts: S) -> Allotment
+fn sum_allotments<S>(allotments: S) -> Allotment
 where
     S: Iterator<Item = Allotment>,
 {
-    parts.fold(Allotment::default(), |sum, part| Allotment {
-        rate_thousandths: sum.rate_thousandths.saturating_add(part.rate_thousandths),
-        tokens: sum.tokens + part.tokens,
+    allotments.fold(Allotment::default(), |sum, allotment| Allotment {
+        rate_thousandths: sum
+            .rate_thousandths
+            .saturating_add(allotment.rate_thousandths),
+        tokens: sum.tokens + allotment.tokens,
     })
 }
--- a/almondlock-policy/src/limit/mod.rs
+++ b/almondlock-policy/src/limit/mod.rs
@@ -275,6 +275,8 @@
             .refill(self.allowed_rate(config), config.burst, now);
     }
 
+    /// Refuses a request whose tokens exceed what this host may have in flight, and counts
+    /// them as refused demand.
     fn check_tokens(&mut self, config: &Config, tokens: Tokens) -> Result<(), Refusal> {
         if self.limit.tokens == Tokens::ZERO {
             return Ok(());
@@ -290,6 +292,7 @@
         })
     }
 
+    /// Takes one request from the bucket, or refuses it and counts it as refused demand.
     fn take_request(&mut self, config: &Config) -> Result<(), Refusal> {
         if self.limit.rate == 0 {
             return Ok(());
--- a/almondlock-policy/src/poison.rs
+++ b/almondlock-policy/src/poison.rs
@@ -284,6 +284,7 @@
         at.is_some_and(|at| now.since(*at) < self.config.trust_time)
     }
 
+    /// Remembers a fingerprint as harmless, and forgets the oldest if there are too many.
     fn trust(&mut self, print: Fingerprint, now: Mono) {
         if self.harmless.insert(print, now).is_none() {
             self.trust_order.push_back(print);
--- a/almondlock-policy/src/queue/flow.rs
+++ b/almondlock-policy/src/queue/flow.rs
@@ -109,6 +109,7 @@
     }
 }
 
+/// Returns the tokens per unit of weight.
 fn cost(tokens: Tokens, weight: u32) -> u64 {
     tokens.0 / u64::from(weight.max(1))
 }
--- a/almondlock-policy/src/queue/mod.rs
+++ b/almondlock-policy/src/queue/mod.rs
@@ -98,7 +98,7 @@
 pub struct Queue<I> {
     config: Config,
     /// Number of the next job that is added. Numbers break ties between due times.
-    next: u64,
+    next_number: u64,
     // Invariant: `positions` and `waiting` hold the same jobs, and each stands in
     // the flow of its organisation and in `deadlines` exactly once.
     positions: HashMap<I, Position>,
@@ -110,7 +110,7 @@
     running: HashMap<I, Running>,
     load: Load,
     /// Prompt tokens of the waiting jobs that are not cached, by class.
-    queued: [Tokens; 4],
+    queued_tokens: [Tokens; 4],
     meter: Meter,
     /// Whether room is kept for work outside this queue.
     hold: bool,
@@ -127,7 +127,7 @@
         Queue {
             meter: Meter::new(config.initial_speed),
             config,
-            next: 0,
+            next_number: 0,
             positions: HashMap::new(),
             waiting: HashMap::new(),
             deadlines: BTreeSet::new(),
@@ -135,7 +135,7 @@
             flows: HashMap::new(),
             running: HashMap::new(),
             load: Load::default(),
-            queued: [Tokens::ZERO; 4],
+            queued_tokens: [Tokens::ZERO; 4],
             hold: false,
             floor: INITIAL_COUNTER_TOKENS,
         }
@@ -172,7 +172,7 @@
     /// Returns the number of prompt tokens of waiting and running jobs that are not yet
     /// processed.
     pub fn backlog(&self) -> Tokens {
-        let waiting: Tokens = self.queued.iter().copied().sum();
+        let waiting: Tokens = self.queued_tokens.iter().copied().sum();
         waiting + self.load.prefill.iter().copied().sum()
     }
 
@@ -282,6 +282,7 @@
         self.drop_idle_flow(&running.job.organisation);
     }
 
+    /// Refuses a job that can't be added.
     fn check_admissible(&self, id: &I, job: &Job, room: &Room, now: Mono) -> Result<(), Refusal> {
         if self.positions.contains_key(id) || self.running.contains_key(id) {
             return Err(refuse(Code::AlreadyRunning, Duration::ZERO));
@@ -300,8 +301,8 @@
     }
 
     fn insert(&mut self, id: I, job: Job, lane: Lane, now: Mono) {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         let class = job.class();
         let due = self.due_time(&job, lane, now);
         let least = self.idle_counter();
@@ -320,7 +321,7 @@
             last_start,
         };
         self.deadlines.insert((last_start, number));
-        self.queued[class.index()] += job.prefill_tokens();
+        self.queued_tokens[class.index()] += job.prefill_tokens();
         self.positions.insert(id.clone(), position);
         self.waiting.insert(
             number,
@@ -365,12 +366,13 @@
         self.positions.get(&waiting.id).copied()
     }
 
+    /// Removes a waiting job from all indices.
     fn remove_waiting(&mut self, position: Position) -> Option<Waiting<I>> {
         let waiting = self.waiting.remove(&position.number)?;
         self.positions.remove(&waiting.id);
         self.deadlines
             .remove(&(position.last_start, position.number));
-        let queued = &mut self.queued[waiting.job.class().index()];
+        let queued = &mut self.queued_tokens[waiting.job.class().index()];
         *queued = queued.saturating_sub(waiting.job.prefill_tokens());
         let key = (position.due, position.number);
         if position.lane == Lane::ALONE {
@@ -382,6 +384,7 @@
         Some(waiting)
     }
 
+    /// Counts a job that was removed from the waiting ones as running.
     fn start_waiting(
         &mut self,
         waiting: Waiting<I>,
--- a/almondlock-policy/src/queue/wait.rs
+++ b/almondlock-policy/src/queue/wait.rs
@@ -212,7 +212,7 @@
     /// Returns the time that a job of this class would wait if it came now: the time for
     /// the work that goes before it at the measured speed.
     pub fn estimate_wait(&self, class: Class) -> Duration {
-        let waiting: Tokens = self.queued[..=class.index()].iter().copied().sum();
+        let waiting: Tokens = self.queued_tokens[..=class.index()].iter().copied().sum();
         let running: Tokens = self.load.prefill[..=prefill_group(class)]
             .iter()
             .copied()
--- a/almondlock-policy/src/throttle/client.rs
+++ b/almondlock-policy/src/throttle/client.rs
@@ -60,9 +60,9 @@
 
     /// Returns the time from which on a relay may have a permit.
     fn blocked_until(&self, key: &K, relay: R) -> Mono {
-        let empty = self.refused_until.get(&(key.clone(), relay)).copied();
-        let silent = self.unanswered_until.get(&relay).copied();
-        empty.max(silent).unwrap_or(Mono::ZERO)
+        let refused = self.refused_until.get(&(key.clone(), relay)).copied();
+        let unanswered = self.unanswered_until.get(&relay).copied();
+        refused.max(unanswered).unwrap_or(Mono::ZERO)
     }
 }
 
