--- a/almondlock-policy/src/gang/mod.rs
+++ b/almondlock-policy/src/gang/mod.rs
@@ -141,11 +141,11 @@
 /// State of the reservation at one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Hold {
-    Free,
-    Asked,
+    NotRequested,
+    Requested,
     Held,
     /// Given back, or lost with the member.
-    Gone,
+    Released,
 }
 
 /// State of the whole gang.
@@ -163,8 +163,8 @@
     // Invariant: in the order of the upstreams' names, each once. All gangs of the fleet
     // follow this order, which prevents deadlocks.
     reservations: Vec<Reservation>,
-    // Invariant: as long as `reservations`; while gathering, some `Held`, then at most
-    // one `Asked`, then all `Free`.
+    // Invariant: as long as `reservations`; while gathering, first some that are `Held`,
+    // then at most one that is `Requested`, then only `NotRequested`.
     holds: Vec<Hold>,
     state: State,
     deadline: Mono,
@@ -177,7 +177,7 @@
         reservations.sort_by(|a, b| a.upstream.cmp(&b.upstream));
         reservations.dedup_by(|a, b| a.upstream == b.upstream);
         Gang {
-            holds: vec![Hold::Free; reservations.len()],
+            holds: vec![Hold::NotRequested; reservations.len()],
             reservations,
             state: State::Gathering,
             deadline,
@@ -212,7 +212,7 @@
     /// Records that a member has granted its part.
     pub fn note_grant(&mut self, index: usize) {
         if let Some(hold) = self.holds.get_mut(index)
-            && *hold == Hold::Asked
+            && *hold == Hold::Requested
         {
             *hold = Hold::Held;
         }
@@ -221,7 +221,7 @@
     /// Records that a member has refused. The parts of the other members are given back.
     pub fn note_refusal(&mut self, index: usize, code: Code) {
         if let Some(hold) = self.holds.get_mut(index) {
-            *hold = Hold::Gone;
+            *hold = Hold::Released;
             self.fail(code);
         }
     }
@@ -248,10 +248,10 @@
             self.state = State::Running;
             return Step::Run;
         };
-        if self.holds[index] == Hold::Asked {
+        if self.holds[index] == Hold::Requested {
             return Step::Wait;
         }
-        self.holds[index] = Hold::Asked;
+        self.holds[index] = Hold::Requested;
         Step::Reserve(index)
     }
 
@@ -261,10 +261,10 @@
     fn release_all(&mut self) -> Step {
         let mut back = Vec::new();
         for (index, hold) in self.holds.iter_mut().enumerate() {
-            if matches!(hold, Hold::Held | Hold::Asked) {
+            if matches!(hold, Hold::Held | Hold::Requested) {
                 back.push(index);
             }
-            *hold = Hold::Gone;
+            *hold = Hold::Released;
         }
         if back.is_empty() {
             Step::Done
--- a/almondlock-policy/src/poison/tally.rs
+++ b/almondlock-policy/src/poison/tally.rs
@@ -31,7 +31,7 @@
 pub const MAX_SUSPECTS: usize = 4_096;
 /// Time without a loss after which a lost life no longer counts as dead. It is longer than
 /// the time for which hosts pass over a failed upstream before they try it again.
-const LOSS_MEMORY: Duration = Duration::from_secs(3);
+const LOSS_RETENTION: Duration = Duration::from_secs(3);
 /// Time by which a death may be known later than it happened.
 const DETECTION_DELAY: Duration = Duration::from_millis(20);
 
@@ -151,7 +151,7 @@
         self.suspects
             .retain(|_, suspect| now.since(suspect.last) < suspect.retention());
         self.lost_lives
-            .retain(|_, (_, last)| now.since(*last) < LOSS_MEMORY);
+            .retain(|_, (_, last)| now.since(*last) < LOSS_RETENTION);
     }
 
     /// Forgets the oldest request, if possible one that isn't refused.
--- a/almondlock-policy/src/queue/flow.rs
+++ b/almondlock-policy/src/queue/flow.rs
@@ -13,6 +13,7 @@
 pub(super) struct Lane(usize);
 
 impl Lane {
+    /// Lane of suspects.
     pub(super) const SUSPECT: Lane = Lane(4);
     /// Lane of jobs that run alone. It belongs to the queue and not to a flow.
     pub(super) const ALONE: Lane = Lane(5);
@@ -30,8 +31,11 @@
 /// Where a job waits: its number and the keys of the indices that hold it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Position {
+    /// Its key in `Queue::waiting`.
     pub(super) number: u64,
+    /// Its due time.
     pub(super) due: Mono,
+    /// The lane that it waits in.
     pub(super) lane: Lane,
     /// Its key in `Queue::deadlines`.
     pub(super) last_start: Mono,
--- a/almondlock-policy/src/queue/mod.rs
+++ b/almondlock-policy/src/queue/mod.rs
@@ -248,9 +248,9 @@
     /// Starts the next job if there is room for it. Call this until it returns `None`, each
     /// time with the room that is left.
     pub fn grant(&mut self, now: Mono, room: &Room) -> Option<Grant<I>> {
-        let (position, held) = self.choose(now, room)?;
+        let (position, room_kept) = self.choose(now, room)?;
         let waiting = self.remove_waiting(position)?;
-        Some(self.start_waiting(waiting, position, held, now))
+        Some(self.start_waiting(waiting, position, room_kept, now))
     }
 
     /// Records that a running job's prompt has been processed, because its first token
@@ -389,7 +389,7 @@
         &mut self,
         waiting: Waiting<I>,
         position: Position,
-        held: bool,
+        room_kept: bool,
         now: Mono,
     ) -> Grant<I> {
         let Waiting { id, job, since } = waiting;
@@ -401,7 +401,7 @@
         let running = Running {
             job,
             prefilling: true,
-            during_hold: held,
+            during_hold: room_kept,
             alone: position.lane == Lane::ALONE,
         };
         self.load.enter(&running);
--- a/almondlock-policy/src/queue/wait.rs
+++ b/almondlock-policy/src/queue/wait.rs
@@ -37,16 +37,16 @@
         let lowest = self.lowest_counter(room)?;
         self.floor = self.floor.max(lowest);
         let ceiling = lowest.saturating_add(self.config.quantum_tokens);
-        let mut held = self.hold;
-        let mut position = self.choose_among(0..=ceiling, &mut held, now, room);
+        let mut room_kept = self.hold;
+        let mut position = self.choose_among(0..=ceiling, &mut room_kept, now, room);
         if position.is_none() {
             // No job within the range has room now. Organisations beyond it have been
             // served more, but they may start jobs all the same, since nobody gains from an
             // idle engine.
             let others = ceiling.saturating_add(1)..=u64::MAX;
-            position = self.choose_among(others, &mut held, now, room);
+            position = self.choose_among(others, &mut room_kept, now, room);
         }
-        position.map(|position| (position, held))
+        position.map(|position| (position, room_kept))
     }
 
     /// Returns whether a job that runs alone is due, so that no other job starts before it.
@@ -63,12 +63,12 @@
     }
 
     /// Returns the position of the job with the earliest due time that has room, among the
-    /// organisations whose counter lies in a range. Sets `held` when a longer job that is
-    /// due has no room.
+    /// organisations whose counter lies in a range. Sets `room_kept` when a longer job that
+    /// is due has no room.
     fn choose_among(
         &self,
         counters: RangeInclusive<u64>,
-        held: &mut bool,
+        room_kept: &mut bool,
         now: Mono,
         room: &Room,
     ) -> Option<Position> {
@@ -79,14 +79,14 @@
         while let Some((key, lane)) = self.first_due(room, &counters, &closed) {
             let position = self.position_of(key.1)?;
             let job = &self.waiting.get(&key.1)?.job;
-            let fit = self.check_fit(job, room, *held);
+            let fit = self.check_fit(job, room, *room_kept);
             if fit == Fit::Now {
                 return Some(position);
             }
             if !self.config.backfill {
                 return None;
             }
-            *held |= fit == Fit::NoRoom && now >= position.due && job.class() != Class::Short;
+            *room_kept |= fit == Fit::NoRoom && now >= position.due && job.class() != Class::Short;
             closed[lane] = true;
         }
         None
@@ -142,16 +142,18 @@
         best
     }
 
-    /// Returns whether the engine has room for a job. `held` says that room is kept for a
-    /// longer job, so that only short jobs may start, in the reserved part.
-    fn check_fit(&self, job: &Job, room: &Room, held: bool) -> Fit {
+    /// Returns whether the engine has room for a job. `room_kept` says that room is kept
+    /// for a longer job, so that only short jobs may start, in the reserved part.
+    fn check_fit(&self, job: &Job, room: &Room, room_kept: bool) -> Fit {
         if !self.may_prefill(job) {
             return Fit::PrefillBusy;
         }
         let fits = match job.class() {
             _ if job.memory_need() > room.free_memory => false,
-            Class::Short => !held || self.has_reserve_room(job, room),
-            Class::Medium | Class::Long | Class::Huge => !held && self.spares_reserve(job, room),
+            Class::Short => !room_kept || self.has_reserve_room(job, room),
+            Class::Medium | Class::Long | Class::Huge => {
+                !room_kept && self.spares_reserve(job, room)
+            }
         };
         if fits { Fit::Now } else { Fit::NoRoom }
     }
--- a/almondlock-policy/src/throttle/client.rs
+++ b/almondlock-policy/src/throttle/client.rs
@@ -15,6 +15,7 @@
 pub struct Selector<K, R> {
     // By upstream and relay.
     refused_until: HashMap<(K, R), Mono>,
+    /// By relay.
     unanswered_until: HashMap<R, Mono>,
 }
 
@@ -71,25 +72,26 @@
 /// the same moment, all but one would be refused again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stagger {
-    last_retry: Mono,
+    /// Time from which on the next caller may come back.
+    next_turn: Mono,
 }
 
 impl Stagger {
     /// Returns the time after which the next caller is to come back. The first permit is
-    /// due after `opens`, and this host has one of `hosts` equal parts of `rate`. A caller
+    /// due after `permit_delay`, and this host has one of `hosts` equal parts of `rate`. A caller
     /// that can't wait longer than `patience` reserves no turn.
     pub fn next_retry(
         &mut self,
         now: Mono,
-        opens: Duration,
+        permit_delay: Duration,
         (rate, hosts): (Rate, u32),
         patience: Duration,
     ) -> Duration {
-        let next = (now + opens).max(self.last_retry);
+        let next = (now + permit_delay).max(self.next_turn);
         let wait = next.since(now);
         if wait <= patience {
             let gap = f64::from(hosts.max(1)) / rate.per_second().max(f64::MIN_POSITIVE);
-            self.last_retry = next + Duration::try_from_secs_f64(gap).unwrap_or(patience);
+            self.next_turn = next + Duration::try_from_secs_f64(gap).unwrap_or(patience);
         }
         wait
     }
