--- a/almondlock-gateway/src/exchange/aggregator.rs
+++ b/almondlock-gateway/src/exchange/aggregator.rs
@@ -1,11 +1,12 @@
-//! What a relay makes of what hosts tell it. Decides only; the relay sends.
+//! Aggregates the loads that hosts report to a relay, and decides what the relay sends to
+//! which host. Does no I/O.
 //!
-//! **Load pattern.** Three hundred hosts send to three thousand upstreams. Sums of
-//! everything for each host, each 40 ms, filled the hosts' links and took the relay,
-//! which shares a processor with a control replica, all of its time: no
-//! configuration was acknowledged any more. So the sum is made once for all hosts,
-//! each of which takes its own part out itself, and tells what has changed. Every
-//! upstream is told again after some rounds, in case a datagram was lost.
+//! **Load pattern.** Three hundred hosts send requests to three thousand upstreams. When
+//! the relay made a complete sum for each host every 40 ms, the sums filled the hosts'
+//! links and took all of the relay's time. The relay shares a processor with a control
+//! replica, and no configuration was acknowledged any more. So one sum is made for all
+//! hosts, and each host subtracts its own part. A sum has only the loads that have changed.
+//! Every upstream is repeated after some rounds, in case a datagram was lost.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,80 +19,80 @@
 use super::message::{Digest, Introduction, Subscription, Sum};
 use crate::load::{Key, Load};
 
-/// A host that told nothing for this long has stopped: what it had under way
-/// ends with it.
+/// A host that has sent no report for this time has stopped, and its work ended with it.
 const GONE: Duration = Duration::from_secs(1);
-/// How often a relay sends sums at the most.
+/// Minimum time between two rounds of sums.
 const ROUND: Duration = Duration::from_millis(20);
-/// The same for each host that follows it: 2,000 sums a second, some hundredths of a
-/// core.
+/// Minimum time between two rounds for each host that follows the relay closely. This
+/// bounds the relay to 2,000 sums a second, a few hundredths of a core.
 const ROUND_PER_HOST: Duration = Duration::from_micros(500);
-/// How often it sends them at the least, however many hosts follow it, as when it is
-/// the only relay left: a third of the silence after which they leave it.
+/// Maximum time between two rounds, however many hosts follow the relay, as when it is the
+/// only one left: a third of the silence after which they leave it.
 const ROUND_MOST: Duration = Duration::from_millis(50);
-/// A sum that tells of no change is left out but for each so many rounds, which show
-/// that the relay is there. Only while rounds are as short as they can be.
+/// A sum without changes is sent only every this number of rounds, to show that the relay
+/// is alive. This holds only while the time between rounds is the shortest.
 const QUIET_ROUNDS: u64 = 3;
 
-/// Rounds in which each upstream is told once, changed or not; and every how many
-/// rounds hosts are told where the relay is. A second, or 2.5 s with the longest rounds.
+/// Number of rounds in which each upstream's load is sent once even if it hasn't changed,
+/// and after which introductions are sent. This is 1 s, or 2.5 s with the longest rounds.
 const REPEAT: u64 = 50;
-/// Every how many rounds those who listen seldom are told that the relay is there.
+/// Number of rounds between two beacons to a host.
 const SELDOM: u64 = 25;
-/// Other hosts that a host is told of, which it tells its load while no relay answers.
-/// Each is told of those that follow it in the order of addresses, so that each hears from
-/// as many.
+/// Maximum number of other hosts that a host is told of. It reports its loads to them while
+/// no relay answers. Each host is told of those that follow it in the order of addresses,
+/// so that all hosts hear from the same number of others.
 pub const MAX_PEERS: usize = 64;
-/// The change of the time left to read, in milliseconds, that is told at once: what a
-/// short prompt takes. A smaller one makes no difference to a choice, and is told in
-/// turn.
+/// Change of a backlog, in milliseconds, that is sent at once: the reading time of a short
+/// prompt. A smaller change makes no difference to a choice, and is sent when the upstream
+/// is repeated.
 const READING: u16 = 20;
-/// The same of the memory in use, in blocks: a short prompt's.
+/// Change of the memory in use, in blocks, that is sent at once: that of a short prompt.
 const MEMORY: u16 = 64;
 
 #[derive(Debug)]
 struct Told {
     at: Mono,
     digest: Digest,
-    /// It was sent everything once, since it began to follow closely.
+    /// Whether the host was sent a complete sum since it began to follow closely.
     is_met: bool,
 }
 
-/// What hosts told last.
+/// The last reports of all hosts.
 #[derive(Debug, Default)]
 pub struct Aggregator {
     hosts: HashMap<SocketAddr, Told>,
-    /// The loads as they were sent last.
+    /// The loads as they were last sent.
     sent: BTreeMap<Key, Load>,
     rounds: u64,
 }
 
-/// What goes out in one round.
+/// What the relay sends in one round. The numbers beside addresses are those of the host's
+/// digest that the sum includes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Round {
-    /// What has changed, and part of the rest.
+    /// Loads that have changed, and those whose turn it is to be repeated.
     pub changes: Sum,
-    /// Who gets the changes, and the number of its digest that they include.
+    /// Hosts that get the changes.
     pub followers: Vec<(SocketAddr, u32)>,
-    /// Everything. Left out if nobody gets it.
+    /// All loads. `None` if no host gets them.
     pub whole: Option<Sum>,
-    /// Who gets everything.
+    /// Hosts that get all loads, since they began to follow closely after the last round.
     pub newcomers: Vec<(SocketAddr, u32)>,
-    /// Who is told only that the relay is there.
+    /// Hosts that get only a beacon.
     pub beacons: Vec<SocketAddr>,
-    /// Who is told where the relay is.
+    /// Hosts that get an introduction.
     pub introductions: Vec<(SocketAddr, Introduction)>,
 }
 
 impl Aggregator {
-    /// A host told something.
+    /// Takes in a host's report.
     pub fn receive_report(&mut self, now: Mono, from: SocketAddr, digest: Digest) {
         let last = self.hosts.get(&from);
         let is_met = last.is_some_and(|last| {
             let same = last.digest.host == digest.host;
             last.is_met && same && last.digest.listens == digest.listens
         });
-        // A datagram that was overtaken by a later one is older news.
+        // A datagram that arrives after a later one is out of date.
         let is_late = last.is_some_and(|last| {
             last.digest.host == digest.host && last.digest.number > digest.number
         });
@@ -101,18 +102,18 @@
         }
     }
 
-    /// The hosts that are heard of.
+    /// Returns the hosts that report to this relay.
     pub fn hosts(&self) -> impl Iterator<Item = SocketAddr> {
         self.hosts.keys().copied()
     }
 
-    /// Whether a host follows this relay closely.
+    /// Returns whether a host follows this relay closely.
     pub fn is_followed_by(&self, host: &SocketAddr) -> bool {
         let told = self.hosts.get(host);
         told.is_some_and(|told| told.digest.listens == Subscription::Closely)
     }
 
-    /// The time until the next round.
+    /// Returns the time until the next round.
     pub fn period(&self) -> Duration {
         let all = self.hosts.values();
         let close = all.filter(|told| told.digest.listens == Subscription::Closely);
@@ -121,7 +122,8 @@
         shared.clamp(ROUND, ROUND_MOST)
     }
 
-    /// What goes out now, from a relay in this failure domain.
+    /// Begins a round and returns what to send in it. `domain` is the relay's failure
+    /// domain.
     pub fn next_round(&mut self, now: Mono, domain: &Domain) -> Round {
         self.hosts.retain(|_, told| now.since(told.at) < GONE);
         self.rounds += 1;
@@ -172,8 +174,8 @@
         all
     }
 
-    /// The loads to tell in this round: those that differ from what was sent last,
-    /// and those whose turn it is.
+    /// Returns the loads to send in this round: those that differ from the last ones sent,
+    /// and those whose turn it is to be repeated.
     fn changes(&mut self, all: &BTreeMap<Key, Load>) -> Vec<(Key, Load)> {
         let gone = self.sent.keys().filter(|key| !all.contains_key(key));
         let gone: Vec<Key> = gone.copied().collect();
@@ -211,7 +213,7 @@
     }
 }
 
-/// Whether a load has changed by as much as a short prompt does.
+/// Returns whether a load has changed by at least as much as a short prompt changes it.
 fn differs(last: &Load, load: &Load) -> bool {
     let counts = |load: &Load| (load.waiting, load.streams, load.short);
     counts(last) != counts(load)
--- a/almondlock-gateway/src/exchange/host.rs
+++ b/almondlock-gateway/src/exchange/host.rs
@@ -1,4 +1,5 @@
-//! A host's part: what it tells the relays and when, and what it hears from them.
+//! The host's side of the exchange: sends reports to the relays, and takes in their
+//! messages.
 
 use std::{collections::VecDeque, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,42 +19,45 @@
     worker::Worker,
 };
 
-/// How soon a host tells the relay that it follows closely again, at the most.
+/// Minimum time between two reports to the relay that the host follows closely.
 const GAP: Duration = Duration::from_millis(10);
-/// How often it tells all relays while something is being read.
+/// Minimum time between two reports to all relays while a prompt is being read.
 const PERIOD: Duration = Duration::from_millis(40);
-/// The same for each host that there is: a relay gets 2,500 digests a second at most.
+/// Minimum time between two reports to all relays for each host that there is. This bounds
+/// a relay to 2,500 digests a second.
 const PERIOD_PER_HOST: Duration = Duration::from_micros(400);
-/// How often it tells them otherwise: that it is there. Less than a second, after
-/// which a relay takes it for gone.
+/// Time between two reports to all relays while nothing changes. It must be less than a
+/// second, after which a relay takes the host for stopped.
 const IDLE_PERIOD: Duration = Duration::from_millis(200);
-/// A host's own digests that a sum may still include.
+/// Number of the host's own digests that are kept, since a sum may still include them.
 const REMEMBERED: usize = 64;
 
-/// What a host tells, and what it told.
+/// State of a host's reports: what was sent and what is due.
 struct Teller {
     host: u64,
-    // Of the last digest.
+    // Number of the last digest.
     number: u32,
-    // The last digests by their number.
+    // The last digests' loads, by number.
     told: VecDeque<(u32, Vec<(Key, Load)>)>,
     relays: Relays,
-    // When all relays were last told, and whether something has changed since.
+    // When the last report was sent to all relays, and whether loads have changed since.
     all_at: Mono,
     has_news: bool,
-    // The same of the relay that is followed closely.
+    // When the last report was sent to the relay that is followed closely, and whether
+    // loads have changed since.
     close_at: Mono,
     is_close_due: bool,
-    // When all limits were last told.
+    // When all limits were last sent.
     limits_at: Mono,
-    // When observations were last told, how often, and of how many upstreams.
+    // When observations were last reported, the number of that report, and how many
+    // upstreams it had.
     paces_at: Mono,
     paces_number: u32,
     paces_count: usize,
 }
 
 impl Teller {
-    /// What was told under a number. Nothing if that was long ago.
+    /// Returns the loads of the digest with this number, or none if it isn't kept any more.
     fn told(&self, number: u32) -> &[(Key, Load)] {
         let mut told = self.told.iter();
         let found = told.find(|(other, _)| *other == number);
@@ -73,7 +77,8 @@
     }
 }
 
-/// Tells the relays and listens to them, until the process ends.
+/// Exchanges reports with the relays until the process ends. `named` are the relays of the
+/// settings.
 pub(crate) async fn run<D>(
     worker: Rc<Worker<D>>,
     socket: UdpSocket,
@@ -108,7 +113,8 @@
         };
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
-                // An error is a relay that has ended: others are told as well.
+                // An error means that a relay has stopped. The other relays get each report
+                // too.
                 let Ok((length, from)) = received else { continue };
                 take_in(&worker, &mut teller, from, &buffer[..length]);
             }
@@ -135,7 +141,7 @@
     }
 }
 
-/// How often all relays are told at present.
+/// Returns the time between two reports to all relays at present.
 fn period<D>(worker: &Worker<D>, teller: &Teller, now: Mono) -> Duration
 where
     D: Dialect,
@@ -147,14 +153,15 @@
     }
 }
 
-/// How often a host with work under way tells all relays, among so many others.
+/// Returns the time between two reports to all relays of a host with work in progress,
+/// given the number of other hosts.
 pub fn report_interval(hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
     let shared = PERIOD_PER_HOST.saturating_mul(hosts);
     PERIOD.max(shared).min(IDLE_PERIOD)
 }
 
-/// Tells all relays these limits, as far as they are known.
+/// Sends those of these limits that are known to all relays.
 async fn tell_limits<D>(worker: &Worker<D>, socket: &UdpSocket, named: &[SocketAddr], keys: &[Key])
 where
     D: Dialect,
@@ -173,7 +180,7 @@
     }
 }
 
-/// Tells all relays of requests that were lost with upstreams, or answered after that.
+/// Reports to all relays which requests were lost with upstreams, or answered after that.
 async fn tell_losses<D>(worker: &Worker<D>, socket: &UdpSocket, named: &[SocketAddr])
 where
     D: Dialect,
@@ -186,7 +193,8 @@
     }
 }
 
-/// Tells the close relay, or every relay, and other hosts while none answers.
+/// Sends a report to the relay that is followed closely or, if `is_all`, to every relay,
+/// and to other hosts while no relay answers.
 async fn tell<D>(
     worker: &Worker<D>,
     socket: &UdpSocket,
@@ -239,8 +247,8 @@
     }
 }
 
-/// Tells all relays what this host observed of upstreams, if that is due. `closely` is the
-/// relay that it wants to hear of all hosts' observations.
+/// Reports to all relays what this host observed of upstreams, if that is due. `closely` is
+/// the relay that this host asks for the observations of all hosts.
 async fn tell_paces<D>(
     worker: &Worker<D>,
     socket: &UdpSocket,
@@ -337,8 +345,8 @@
     }
 }
 
-/// The relays: those of the settings, and one beside each present replica, on
-/// the same port.
+/// Returns the relays: those of the settings, and one beside each present replica, on the
+/// same port.
 fn addresses(named: &[SocketAddr], replicas: &[SocketAddr]) -> Vec<SocketAddr> {
     let mut relays = named.to_vec();
     if let Some(port) = named.first().map(SocketAddr::port) {
--- a/almondlock-gateway/src/exchange/limiter.rs
+++ b/almondlock-gateway/src/exchange/limiter.rs
@@ -1,5 +1,5 @@
-//! A relay's account of upstreams' limits: what hosts told of them, and the permits of
-//! this relay's part. Decides only; the relay sends.
+//! Tracks upstreams' limits at a relay, and grants permits from this relay's part of them.
+//! Does no I/O.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -12,28 +12,28 @@
 use super::message::{Limit, Permit, Query, millis};
 use crate::load::Key;
 
-/// How often all limits are told again, in case a datagram was lost.
+/// Time after which all limits are sent again, in case a datagram was lost.
 pub(super) const REPEAT: Duration = Duration::from_secs(1);
-/// A limit that no host told for this long is forgotten: the upstream is gone, or nobody
-/// sends to it.
+/// A limit that no host has reported for this time is forgotten: the upstream is gone, or
+/// no host sends to it.
 const FORGET: Duration = Duration::from_secs(5);
-/// When to ask again, of a relay that doesn't know how many others there are.
+/// Time after which to ask again a relay that doesn't know the number of relays yet.
 const UNREADY: Duration = Duration::from_millis(500);
 
 /// Limits and permits at one relay.
 #[derive(Debug, Default)]
 pub struct Limiter {
     limits: Limits<Key>,
-    // When each limit was last told.
+    // When each limit was last reported.
     told: HashMap<Key, Mono>,
     issuer: Issuer<Key>,
-    // Limits that have changed and that hosts aren't told of yet.
+    // Limits that have changed and were not sent to hosts yet.
     news: BTreeSet<Key>,
     repeated: Mono,
 }
 
 impl Limiter {
-    /// A host told limits.
+    /// Takes in limits that a host reported.
     pub fn receive(&mut self, now: Mono, limits: &[Limit]) {
         for limit in limits {
             self.told.insert(limit.key, now);
@@ -48,8 +48,9 @@
         }
     }
 
-    /// A host asks for a permit. This relay has one of `parts` equal parts of each limit;
-    /// none if how many there are isn't known yet.
+    /// Answers a host's query for a permit. This relay has one of `parts` equal parts of
+    /// each limit. Zero means that the number of relays isn't known yet; then no permit is
+    /// granted.
     pub fn request_permit(&mut self, now: Mono, ask: &Query, parts: u32) -> Permit {
         self.receive(now, &[ask.limit]);
         let named = self.limits.notice(&ask.limit.key);
@@ -65,8 +66,8 @@
         }
     }
 
-    /// What hosts are told in this round: limits that have changed or, from time to time,
-    /// all of them.
+    /// Returns what to send to hosts in this round: the limits that have changed, or
+    /// periodically all of them.
     pub fn take_updates(&mut self, now: Mono) -> Vec<Limit> {
         if now.since(self.repeated) < REPEAT {
             let news = std::mem::take(&mut self.news).into_iter();
@@ -83,7 +84,7 @@
         self.all(now)
     }
 
-    /// All limits, for hosts that were not heard of before.
+    /// Returns all limits, for new hosts.
     pub fn all(&self, now: Mono) -> Vec<Limit> {
         let notices = self.limits.notices();
         notices
--- a/almondlock-gateway/src/exchange/message.rs
+++ b/almondlock-gateway/src/exchange/message.rs
@@ -1,4 +1,4 @@
-//! What entry hosts and relays say to each other, a datagram each.
+//! The messages between entry hosts and relays. Each is one datagram.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,51 +16,51 @@
 };
 use crate::load::{Key, Load};
 
-/// Loads that one datagram tells at the most. Each takes up to 20 bytes.
+/// Maximum number of loads in one datagram. Each takes up to 20 bytes.
 const LOADS: usize = 2_500;
 
 /// A datagram, or the head of one.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum Message {
-    /// A host to a relay, or to another host while no relay answers.
+    /// From a host to a relay, or to another host while no relay answers: its loads.
     Tell(Digest),
-    /// A relay to a host. A [`Sum`] follows, the same bytes for all hosts, so that
-    /// it is written once. `included` is the number of the host's own digest that is
-    /// part of it; zero if none is.
+    /// From a relay to a host: the head of a [`Sum`]. The sum itself follows in the same
+    /// datagram with the same bytes for all hosts, so that it is encoded once.
     Sum {
-        /// Which digest of the host is included.
+        /// Number of the host's own digest that the sum includes. Zero if it includes none.
         included: u32,
     },
-    /// A relay to a host that listens seldom: it is there, and knows so many hosts.
+    /// From a relay to a host that listens seldom: the relay is alive.
     Beacon {
-        /// How many hosts that are.
+        /// Number of hosts that the relay knows.
         hosts: u32,
     },
-    /// A relay to a host, from time to time.
+    /// From a relay to a host, periodically.
     Introduction(Introduction),
-    /// A host to all relays, or a relay to all hosts: limits that have changed, or all
-    /// of them from time to time.
+    /// From a host to all relays, or from a relay to all hosts: the limits that have
+    /// changed, or periodically all of them.
     Limits(Vec<Limit>),
-    /// A host to a relay.
+    /// From a host to a relay: asks for a permit.
     Ask(Query),
-    /// A relay to the host that asked.
+    /// From a relay to the host that asked.
     Permit(Permit),
-    /// A host to all relays: a request was lost with the upstream that ran it.
+    /// From a host to all relays: a request was lost with the upstream that ran it.
     Lost(Loss),
-    /// A host to all relays: a request was answered that upstreams had been lost with.
+    /// From a host to all relays: a request with which upstreams had been lost was
+    /// answered.
     Harmless(Fingerprint),
-    /// A relay to all hosts: how requests stand that upstreams were lost with, those that
-    /// have changed or all of them from time to time.
+    /// From a relay to all hosts: the state of requests with which upstreams were lost.
+    /// These are the ones that have changed, or periodically all of them.
     Suspects(Vec<Suspect>),
-    /// A host to all relays: a [`Report`](super::shares::Report).
+    /// From a host to all relays: a [`Report`](super::shares::Report).
     Shares(Envelope),
-    /// A relay to hosts that follow it: [`Totals`](super::shares::Totals).
+    /// From a relay to hosts that follow it closely: [`Totals`](super::shares::Totals).
     ShareTotals(Envelope),
-    /// A host to all relays: what it observed of upstreams. Only from hosts whose settings
-    /// ask for it.
+    /// From a host to all relays: what it observed of upstreams. Only hosts whose settings
+    /// ask for it send this.
     Observed(Observation),
-    /// A relay to the hosts that follow its observations: what all hosts observed.
+    /// From a relay to the hosts that follow its observations: what all hosts observed.
     Paces(Vec<Pace>),
 }
 
@@ -68,42 +68,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Loss {
-    /// The request.
+    /// Fingerprint of the request.
     pub print: Fingerprint,
-    /// The upstream.
+    /// Key of the upstream.
     pub key: Key,
-    /// Which of its lives.
+    /// Start of the upstream's process, which tells it from earlier ones of the same name.
     pub birth: Birth,
-    /// How long ago the request was sent, in milliseconds.
+    /// Milliseconds since the request was sent.
     pub age_ms: u32,
 }
 
-/// How a request stands that upstreams were lost with.
+/// State of a request with which upstreams were lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Suspect {
-    /// The request.
+    /// Fingerprint of the request.
     pub print: Fingerprint,
-    /// For how many more milliseconds it is refused. None: it may run.
+    /// Milliseconds for which it is still refused. `None` if it may run.
     pub refused_ms: Option<u32>,
-    /// An answer to it is news.
+    /// Whether hosts report an answer to it.
     pub watched: bool,
 }
 
-/// What is known of an upstream's limit for all hosts.
+/// An upstream's limit on the requests of all hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Limit {
-    /// The upstream.
+    /// Key of the upstream.
     pub key: Key,
-    /// The limit. None: it has ended.
+    /// The limit. `None` if it has ended.
     pub rate: Option<Rate>,
-    /// How long ago that was so, in milliseconds.
+    /// Milliseconds since the upstream named the limit or its end.
     pub age_ms: u32,
 }
 
 impl Limit {
-    /// As it is told now.
+    /// Makes the message for a notice, as sent at `now`.
     pub fn of(now: Mono, key: Key, notice: &Notice) -> Limit {
         Limit {
             key,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// As it was told now, by the clock of whoever heard it.
+    /// Returns the notice of a message that was received at `now`, in the receiver's time.
     pub fn notice(&self, now: Mono) -> Notice {
         Notice {
             rate: self.rate,
@@ -125,26 +125,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Query {
-    /// Counts the host's questions.
+    /// Number of the query, counted by the host.
     pub number: u32,
-    /// The upstream, and its limit as the host knows it.
+    /// The upstream and its limit as the host knows it.
     pub limit: Limit,
-    /// What the upstream bears, if it is cold. Every host has that from the configuration,
-    /// so that relays don't tell it on.
+    /// Rate that the upstream bears, if it is cold. Every host knows it from the
+    /// configuration, so relays don't pass it on.
     pub cold: Option<Rate>,
 }
 
-/// What comes of a question.
+/// Answer to a [`Query`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Permit {
-    /// The question's number.
+    /// Number of the query.
     pub number: u32,
-    /// When the relay may have a permit, in milliseconds from now. None: this is one.
+    /// Milliseconds until the relay may have a permit. `None` if the permit is granted.
     pub wait_ms: Option<u32>,
 }
 
-/// Milliseconds, rounded up so that a wait is over when they are.
+/// Returns the milliseconds of a time, rounded up so that a wait doesn't end too early.
 pub(super) fn millis(span: Duration) -> u32 {
     u32::try_from(span.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
@@ -153,44 +153,45 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Subscription {
-    /// No sums, only introductions.
+    /// Gets only introductions.
     No,
-    /// No sums, but that the relay is there: to take over when the other one falls silent.
+    /// Gets beacons instead of sums. Follows the relay if the one that it follows closely
+    /// falls silent.
     Seldom,
-    /// What has changed, each round.
+    /// Gets the loads that have changed, each round.
     Closely,
 }
 
-/// What one host has under way.
+/// The work in progress of one host.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Digest {
-    /// The host's number, drawn at its start.
+    /// Random number that the host draws at its start.
     pub host: u64,
-    /// Counts the host's digests, from 1.
+    /// Number of the digest, counted by the host from 1.
     pub number: u32,
-    /// What it wants from the relay that it tells this.
+    /// How closely the host follows the relay that gets this digest.
     pub listens: Subscription,
     /// Loads by upstream.
     pub loads: Vec<(Key, Load)>,
 }
 
-/// What all hosts together have under way.
+/// The work in progress of all hosts together.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Sum {
-    /// How many hosts that are.
+    /// Number of hosts that the sum includes.
     pub hosts: u32,
-    /// Upstreams that are missing have nothing under way. Otherwise they are as they
-    /// were told before.
+    /// Whether upstreams that are missing have no work in progress. Otherwise their loads
+    /// are as in earlier sums.
     pub is_whole: bool,
     /// Loads by upstream.
     pub loads: Vec<(Key, Load)>,
 }
 
 impl Sum {
-    /// The same in parts of which each fits a datagram. What a part doesn't tell stays as it
-    /// was told before, so that only the first one can be whole.
+    /// Splits the sum into parts that fit a datagram each. Upstreams that a part lacks keep
+    /// their earlier loads, so only the first part can be whole.
     pub fn parts(&self) -> Vec<Sum> {
         let mut parts: Vec<Sum> = self
             .loads
@@ -209,12 +210,12 @@
     }
 }
 
-/// Where a relay is, and which other hosts it knows.
+/// The failure domain of a relay, and other hosts that it knows.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Introduction {
     /// The relay's failure domain.
     pub domain: Domain,
-    /// Some other hosts, for those that follow the relay.
+    /// Other hosts. Empty for hosts that don't follow the relay.
     pub peers: Vec<SocketAddr>,
 }
--- a/almondlock-gateway/src/exchange/mod.rs
+++ b/almondlock-gateway/src/exchange/mod.rs
@@ -1,36 +1,37 @@
-//! Loads told from entry host to entry host.
+//! Exchanges loads, limits and observations of upstreams between entry hosts through
+//! relays.
 //!
-//! **Load pattern.** Dozens of entry hosts send to the same engines. Each knows
-//! exactly what it has sent itself and nothing of the others, so several pick
-//! the same idle engine, and a long prompt's parts land on each other. So each host
-//! tells what it has under way, at once when that changes; relays beside the control
-//! replicas, whose addresses all of them know, add up what they were told and tell
-//! the sum. A datagram that is lost costs one period of knowledge.
+//! **Load pattern.** Dozens of entry hosts send to the same engines. Each knows exactly
+//! what it has sent itself and nothing of the others, so several choose the same idle
+//! engine, and the parts of long prompts fall on the same engines. So each host reports its
+//! work in progress to relays as soon as it changes. The relays run beside the control
+//! replicas, whose addresses all hosts know. They add up the reports and send the sum to
+//! the hosts. A lost datagram delays the information by one period.
 //!
-//! **Volume.** A sum has an entry for each upstream that has changed, however many
-//! hosts there are, and is the same for all of them. Passed on one by one, what 31
-//! hosts told of 45 upstreams filled links of 20 Mbit/s, and requests waited behind
-//! it. Sums come from the relay in a host's own failure domain, if there is one.
-//! Periods grow with the number of hosts, so that a relay, which shares a processor
-//! with a control replica, gets and sends a bounded number of datagrams.
+//! **Volume.** A sum has an entry for each upstream that has changed, however many hosts
+//! there are, and is the same for all of them. When reports were passed on one by one,
+//! those of 31 hosts on 45 upstreams filled links of 20 Mbit/s, and requests waited behind
+//! them. A host gets sums from the relay in its own failure domain, if there is one.
+//! Periods grow with the number of hosts, so that a relay, which shares a processor with a
+//! control replica, receives and sends a bounded number of datagrams.
 //!
-//! Hosts tell every relay and listen to two. With one relay each, those that
-//! left a silent relay at different moments would stay apart for good, each
-//! hearing its own relay and none of the others' hosts, and pack their work onto
-//! the same engines. The second one only shows that it is there: its sums as well would
-//! cost the links between failure domains an entry for each upstream and each host. While
-//! no relay answers, hosts tell each other, each a bounded number of them: all relays
-//! may be gone at once, since the control replicas may.
+//! **Two relays.** Hosts report to every relay and listen to two. With one relay each,
+//! hosts that left a silent relay at different times would stay divided: each would know
+//! only the hosts of its own relay, and all would pack their work onto the same engines.
+//! The second relay sends only beacons. Sums from it would cost the links between failure
+//! domains an entry for each upstream and host. While no relay answers, each host reports
+//! to a bounded number of other hosts: all relays may stop at once, since the control
+//! replicas may.
 //!
-//! Limits that upstreams name for all hosts are told in the same way, and the relays give
-//! out permits to send to such upstreams ([`Ration`]). And hosts tell all relays of
-//! requests that upstreams were lost with, so that the relays can have such a request
-//! refused by all hosts ([`Suspects`]). Where the settings ask for it, hosts also report what
-//! they observe of upstreams' pace, and the relays tell them what all hosts observed
-//! ([`Paces`]).
+//! **Other messages.** Limits that upstreams name for all hosts are exchanged in the same
+//! way, and the relays grant permits to send to such upstreams ([`Limiter`]). Hosts also
+//! report to all relays which requests upstreams were lost with, so that the relays can
+//! have all hosts refuse such a request ([`Suspects`]). Where the settings ask for it,
+//! hosts report what they observe of upstreams' pace, and the relays send them what all
+//! hosts observed ([`Paces`]).
 //!
-//! Hosts whose settings ask for fair shares tell all relays what organisations have in
-//! flight, and the relays tell such hosts the sums ([`shares`]).
+//! Hosts whose settings ask for fair shares report to all relays what organisations have in
+//! flight, and the relays send such hosts the sums ([`shares`]).
 
 mod aggregator;
 mod host;
@@ -60,7 +61,7 @@
     suspects::Suspects,
 };
 
-/// The largest datagram.
+/// Maximum size of a datagram, in bytes.
 const DATAGRAM: usize = 60 * 1024;
 
 pub(crate) async fn send(socket: &UdpSocket, to: SocketAddr, message: &Message) {
@@ -71,7 +72,7 @@
 }
 
 async fn send_bytes(socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
-    // One that is lost is made good by a later one.
+    // Later datagrams make up for a lost one.
     if let Err(error) = socket.send_to(bytes, to).await {
         tracing::debug!(%to, %error, "datagram not sent");
     }
--- a/almondlock-gateway/src/exchange/observed.rs
+++ b/almondlock-gateway/src/exchange/observed.rs
@@ -1,4 +1,4 @@
-//! A relay's account of what hosts observed of upstreams. Decides only; the relay sends.
+//! Pools what hosts observed of upstreams' pace, at a relay. Does no I/O.
 
 use std::{
     cmp::Reverse,
@@ -15,21 +15,24 @@
 use super::message::millis;
 use crate::load::Key;
 
-/// Upstreams that one datagram tells of at the most. Each takes up to 25 bytes.
+/// Maximum number of upstreams in one datagram. Each takes up to 25 bytes.
 pub const MAX_PACES: usize = 2_000;
-/// How often a host with nothing to report says that it listens.
+/// Time between two reports of a host with nothing to report, which show that it listens.
 pub(super) const IDLE_REPORT: Duration = Duration::from_millis(1_000);
-/// Between two reports of a host, and two rounds of a relay, at the least and at the most.
+/// Minimum and maximum time between two reports of a host, and between two rounds of a
+/// relay.
 const ROUND: Duration = Duration::from_millis(200);
 const ROUND_MOST: Duration = Duration::from_millis(1_000);
-/// The same for each upstream told of, so that a relay and a host send each other no more than
-/// 20 kB a second with a thousand upstreams.
+/// Minimum time between two reports or rounds for each upstream in them, so that a relay
+/// and a host send each other at most 20 kB a second with a thousand upstreams.
 const ROUND_PER_UPSTREAM: Duration = Duration::from_millis(1);
-/// Steps of the scale on which slowness is told, for each doubling, and the step of 1.
+/// Number of steps of the slowness scale for each doubling, and the step of a slowness of
+/// 1.
 const STEPS: f64 = 16.0;
 const STEP_OF_ONE: f64 = 64.0;
 
-/// Until the next report or round, after one that told of so many upstreams.
+/// Returns the time until the next report or round, after one with this number of
+/// upstreams.
 pub(super) fn period(upstreams: usize) -> Duration {
     let upstreams = u32::try_from(upstreams).unwrap_or(u32::MAX);
     let period = ROUND_PER_UPSTREAM.saturating_mul(upstreams);
@@ -40,28 +43,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Pace {
-    /// The upstream.
+    /// Key of the upstream.
     pub key: Key,
-    /// Which of its lives.
+    /// Start of the upstream's process, which tells it from earlier ones of the same name.
     pub birth: Birth,
-    /// How many hosts observed it.
+    /// Number of hosts that observed it.
     pub hosts: u8,
-    /// Requests that it answered.
+    /// Number of requests that it answered.
     pub answers: u8,
-    /// Requests that failed by its fault.
+    /// Number of requests that failed by its fault.
     pub failures: u8,
-    /// The same, at most one of each host.
+    /// Number of requests that failed by its fault, counting at most one for each host.
     pub witnessed: u8,
-    /// The weight of times that were compared with what was expected.
+    /// Weight of the times that were compared with expected ones.
     pub samples: u8,
-    /// Their weighted median, on a logarithmic scale.
+    /// Weighted median of these times divided by the expected ones, on a logarithmic scale.
     pub slowness: u8,
-    /// How long ago the newest observation was made, in milliseconds.
+    /// Milliseconds since the newest observation.
     pub age_ms: u16,
 }
 
 impl Pace {
-    /// As it is told now.
+    /// Makes the message for an account, as sent at `now`.
     pub fn of(now: Mono, key: Key, birth: Birth, account: &Summary) -> Pace {
         let count = |count: u32| u8::try_from(count).unwrap_or(u8::MAX);
         let step = account.slowness.max(1e-3).log2() * STEPS + STEP_OF_ONE;
@@ -73,13 +76,13 @@
             failures: count(account.failures),
             witnessed: count(account.capped_failures),
             samples: count(account.time_weight),
-            // A float beyond the range saturates.
+            // The cast saturates.
             slowness: step.round() as u8,
             age_ms: u16::try_from(millis(now.since(account.newest))).unwrap_or(u16::MAX),
         }
     }
 
-    /// As it was told now, by the clock of whoever heard it.
+    /// Returns the account of a message that was received at `now`, in the receiver's time.
     pub fn account(&self, now: Mono) -> Summary {
         Summary {
             hosts: self.hosts.into(),
@@ -93,17 +96,17 @@
     }
 }
 
-/// What one host observed.
+/// Report of what one host observed.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Observation {
-    /// The host's number, drawn at its start.
+    /// Random number that the host draws at its start.
     pub host: u64,
-    /// Counts the host's reports.
+    /// Number of the report, counted by the host.
     pub number: u32,
-    /// It wants to be told what all hosts observed.
+    /// Whether the host asks to be sent what all hosts observed.
     pub follows: bool,
-    /// What it observed of each upstream. Replaces what it reported before.
+    /// What the host observed of each upstream. Replaces its earlier report.
     pub paces: Vec<Pace>,
 }
 
@@ -113,7 +116,7 @@
     report: Observation,
 }
 
-/// What hosts observed, as one relay knows it.
+/// The hosts' observations that one relay knows.
 #[derive(Debug, Default)]
 pub struct Paces {
     hosts: HashMap<SocketAddr, Told>,
@@ -121,10 +124,10 @@
 }
 
 impl Paces {
-    /// A host reported.
+    /// Takes in a host's report.
     pub fn receive(&mut self, now: Mono, from: SocketAddr, report: Observation) {
         let last = self.hosts.get(&from).map(|told| &told.report);
-        // A datagram that was overtaken by a later one is older news.
+        // A datagram that arrives after a later one is out of date.
         let is_late =
             last.is_some_and(|last| last.host == report.host && last.number > report.number);
         if !is_late {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// What is told in this round, and to whom, if one is due.
+    /// If a round is due, returns the hosts to send to and the pooled observations.
     pub fn take_updates(&mut self, now: Mono) -> Option<(Vec<SocketAddr>, Vec<Pace>)> {
         if self.hosts.is_empty() || now < self.next {
             return None;
@@ -145,8 +148,8 @@
         Some((followers, paces))
     }
 
-    /// All hosts' reports as one. Of several lives of an upstream the one that most hosts
-    /// know.
+    /// Pools the reports of all hosts. If they differ in which process of an upstream they
+    /// observed, the one that most hosts observed counts.
     fn pooled(&self, now: Mono) -> Vec<Pace> {
         let mut lives: BTreeMap<(Key, Birth), Vec<Summary>> = BTreeMap::new();
         for told in self.hosts.values() {
--- a/almondlock-gateway/src/exchange/relay.rs
+++ b/almondlock-gateway/src/exchange/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: sums of what hosts tell, in rounds.
+//! The relay: receives the hosts' reports, and sends sums and other messages in rounds.
 
 use std::{io, net::SocketAddr};
 
@@ -11,7 +11,7 @@
     shares::Tally,
 };
 
-/// What a relay has heard.
+/// What a relay knows from the hosts' reports.
 #[derive(Default)]
 struct State {
     gather: Aggregator,
@@ -21,8 +21,9 @@
     paces: Paces,
 }
 
-/// Adds up what entry hosts tell, in this failure domain, and gives out permits, until the
-/// process ends. `relays` tells how many relays share the limits; 0: that isn't known.
+/// Runs a relay in this failure domain until the process ends: adds up the reports of entry
+/// hosts, and grants permits. `relays` returns how many relays share the limits, or 0 if
+/// that isn't known.
 pub async fn run_relay<F>(socket: UdpSocket, domain: Domain, relays: F) -> io::Result<()>
 where
     F: Fn() -> u32,
@@ -34,7 +35,7 @@
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
                 let Ok((length, from)) = received else {
-                    // A host that has ended: its port refused an earlier datagram.
+                    // A host has stopped: its port refused an earlier datagram.
                     continue;
                 };
                 match postcard::from_bytes(&buffer[..length]) {
@@ -86,8 +87,8 @@
     }
 }
 
-/// Tells all hosts what has changed of limits and suspected requests, and new ones all of
-/// them.
+/// Sends the changes of limits and suspected requests to all hosts, and all of them to new
+/// hosts.
 async fn send_news(socket: &UdpSocket, state: &mut State, round: &Round) {
     let now = clock::mono();
     let news = [
@@ -110,7 +111,8 @@
     }
 }
 
-/// Sends the sums by organisation to the hosts that report to this relay and follow it.
+/// Sends the sums by organisation to the hosts that report them and follow this relay
+/// closely.
 async fn send_totals(socket: &UdpSocket, state: &mut State) {
     let Some((envelope, hosts)) = state.shares.take_updates(clock::mono()) else {
         return;
@@ -123,7 +125,7 @@
     }
 }
 
-/// Tells what all hosts observed, to those that follow that.
+/// Sends the pooled observations to the hosts that follow them.
 async fn send_paces(socket: &UdpSocket, state: &mut State) {
     let Some((hosts, paces)) = state.paces.take_updates(clock::mono()) else {
         return;
@@ -134,7 +136,7 @@
     }
 }
 
-/// A message of all of these, if there are any.
+/// Makes a message of all entries, if there are any.
 fn some<T, F>(entries: Vec<T>, message: F) -> Option<Message>
 where
     F: FnOnce(Vec<T>) -> Message,
@@ -160,7 +162,7 @@
     }
 }
 
-/// Sends a sum to hosts, each with the number of its digest that is included.
+/// Sends a sum to hosts, to each with the number of its own digest that the sum includes.
 async fn send_sum(socket: &UdpSocket, sum: &Sum, hosts: &[(SocketAddr, u32)]) {
     let Ok(body) = postcard::to_stdvec(sum) else {
         tracing::error!("a sum can't be written");
--- a/almondlock-gateway/src/exchange/relays.rs
+++ b/almondlock-gateway/src/exchange/relays.rs
@@ -1,4 +1,5 @@
-//! Which relays a host listens to, and whom it tells while none answers.
+//! Chooses the relays that a host listens to, and the hosts that it reports to while no
+//! relay answers.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -6,36 +7,38 @@
 
 use super::message::{Introduction, Subscription};
 
-/// A relay that is followed closely and was not heard for this long is left for
-/// another. Four of its usual sums where it has most of them to send.
+/// A relay that is followed closely is left for another after this silence: four of its
+/// usual sums where it has the most of them to send.
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(160);
-/// The same of one that is listened to seldom: three of its usual sums.
+/// A relay that is listened to seldom is left after this silence: three of its usual
+/// beacons.
 const SILENCE_SELDOM: Duration = Duration::from_millis(1_500);
-/// Relays that a host listens to at a time. One may be cut off from other hosts
-/// and not know it.
+/// Number of relays that a host listens to. One of them may be cut off from other hosts
+/// without knowing it.
 const LISTENED: usize = 2;
-/// Of the relay that is followed closely another one takes the place if it knows so
-/// many times as many hosts.
+/// Another relay is followed closely if it knows this number of times as many hosts.
 const FAR_MORE: f64 = 1.2;
-/// Hosts that no relay named for this long are forgotten.
+/// Relays in this host's failure domain and other hosts are forgotten if no introduction
+/// named them for this time.
 const FORGET: Duration = Duration::from_secs(4);
 
-/// The relays, as one host hears them.
+/// The relays as one host knows them.
 #[derive(Debug, Default)]
 pub struct Relays {
-    /// Listened to, and since when or when last heard. The first one closely.
+    /// The relays that the host listens to, each with the time at which it was last heard,
+    /// or at which the host began to listen. The first one is followed closely.
     listened: Vec<(SocketAddr, Mono)>,
-    /// Relays in this host's failure domain, and when they last said so.
+    /// Relays in this host's failure domain, by the time of their last introduction.
     near: HashMap<SocketAddr, Mono>,
-    /// The other hosts, and when a relay last named them.
+    /// Other hosts, by the time at which a relay last named them.
     peers: HashMap<SocketAddr, Mono>,
     heard: Option<Mono>,
-    /// How many hosts each relay knew when it was last heard.
+    /// Number of hosts that each relay knew when it was last heard.
     counts: HashMap<SocketAddr, u32>,
 }
 
 impl Relays {
-    /// A relay was heard that knows so many hosts.
+    /// Records that a relay was heard that knows this number of hosts.
     pub fn receive(&mut self, now: Mono, from: SocketAddr, hosts: u32) {
         self.heard = Some(now);
         self.counts.insert(from, hosts);
@@ -45,7 +48,7 @@
         }
     }
 
-    /// A relay told where it is. `own` is this host's failure domain.
+    /// Takes in a relay's introduction. `own` is this host's failure domain.
     pub fn receive_introduction(
         &mut self,
         now: Mono,
@@ -63,10 +66,10 @@
         self.peers.retain(|_, at| now.since(*at) < FORGET);
     }
 
-    /// The relays to listen to from now on, out of all of them. The first is
-    /// followed closely: one in this host's failure domain if there is one, since
-    /// its sums are large and what crosses domains is paid for. `first` is any
-    /// number: hosts with different ones begin at different relays.
+    /// Chooses the relays to listen to from now on. The first is followed closely: one in
+    /// this host's failure domain if there is one, since its sums are large and traffic
+    /// between domains is charged for. `first` is an arbitrary number: hosts with different
+    /// numbers begin at different relays.
     pub fn choose_relays(
         &mut self,
         now: Mono,
@@ -87,8 +90,9 @@
         listened.map(|((relay, _), pace)| (*relay, pace)).collect()
     }
 
-    /// Leaves relays that are gone or silent, and gives them. A near one counts as
-    /// near again once it has said so: until then it would be taken back at once.
+    /// Leaves relays that are gone or silent, and returns them. One in this failure domain
+    /// doesn't count as such until its next introduction: otherwise it would be taken back
+    /// at once.
     fn leave(&mut self, now: Mono, all: &[SocketAddr]) -> Vec<SocketAddr> {
         let bounds = [RELAY_TIMEOUT, SILENCE_SELDOM];
         let listened = std::mem::take(&mut self.listened).into_iter().zip(bounds);
@@ -102,8 +106,8 @@
         left
     }
 
-    /// Follows the other relay closely if that knows far more hosts: the first one is cut
-    /// off from some, though not from this host.
+    /// Follows the other relay closely if it knows far more hosts: the first one is cut off
+    /// from some of them, though not from this host.
     fn prefer_far_more(&mut self, now: Mono) {
         let [(first, _), (other, _)] = self.listened[..] else {
             return;
@@ -114,15 +118,15 @@
         }
     }
 
-    /// Whether a relay knows far fewer hosts than another one.
+    /// Returns whether a relay knows far fewer hosts than another one.
     fn knows_far_less(&self, relay: SocketAddr, other: SocketAddr) -> bool {
         let count = |relay| self.counts.get(&relay).copied().map(f64::from);
         let counts = count(relay).zip(count(other));
         counts.is_some_and(|(known, more)| more > known * FAR_MORE)
     }
 
-    /// All relays in the order in which to take them. Those that were just left come
-    /// last.
+    /// Returns all relays in the order in which to take them. Those that were just left
+    /// come last.
     fn order(&self, all: &[SocketAddr], first: u64, left: &[SocketAddr]) -> Vec<SocketAddr> {
         let start = usize::try_from(first % all.len().max(1) as u64).unwrap_or(0);
         let turned = all.iter().cycle().skip(start).take(all.len());
@@ -131,8 +135,8 @@
         order
     }
 
-    /// Follows a near relay closely, unless it was just left for its silence or knows far
-    /// fewer hosts.
+    /// Follows a relay in this failure domain closely, unless it was just left for its
+    /// silence or knows far fewer hosts.
     fn prefer_near(&mut self, now: Mono, all: &[SocketAddr], left: &[SocketAddr]) {
         let Some((first, _)) = self.listened.first().copied() else {
             return;
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Whom to tell directly: nobody while a relay is heard.
+    /// Returns the hosts to report to directly: none while a relay is heard.
     pub fn direct_peers(&self, now: Mono) -> Vec<SocketAddr> {
         match self.heard {
             Some(at) if now.since(at) >= RELAY_TIMEOUT => self.peers.keys().copied().collect(),
--- a/almondlock-gateway/src/exchange/shares.rs
+++ b/almondlock-gateway/src/exchange/shares.rs
@@ -1,12 +1,13 @@
-//! What organisations have in flight, told by hosts and added up by relays.
+//! Exchanges what organisations have in flight: hosts report it, and relays add it up.
 //!
-//! A host tells every relay, so that each relay's sums are complete when a host changes
-//! relays. A relay tells the sums to the hosts that follow it closely. Both happen every
-//! [`PERIOD`]; a stream holds its slot for ten such periods. Reports count for [`FRESH`] at
-//! the relay and sums for as long at the host, two periods and a bit each: one lost datagram
-//! is tolerated, and nothing counts that is older than a second.
+//! A host reports to every relay, so that each relay's sums are complete when a host
+//! changes relays. A relay sends the sums to the hosts that follow it closely. Both happen
+//! every [`PERIOD`]; a stream occupies its slot for ten such periods. Reports count for
+//! [`MAX_AGE`] at the relay and sums for as long at the host. This is a bit more than two
+//! periods each, so that one lost datagram is tolerated and nothing older than a second
+//! counts.
 //!
-//! Nothing is sent by a host whose settings don't ask for fair shares, nor to it.
+//! Hosts whose settings don't ask for fair shares neither send nor get these messages.
 
 use std::{
     cmp::Reverse,
@@ -22,29 +23,31 @@
 use super::message::millis;
 use crate::load::Key;
 
-/// The format of the contents of an [`Envelope`].
+/// Version of the format of an [`Envelope`]'s contents.
 pub const FORMAT: u8 = 1;
-/// How often hosts report and relays tell the sums.
+/// Time between two reports of a host, and between two sums of a relay.
 pub const PERIOD: Duration = Duration::from_millis(200);
-/// How long a report counts at a relay, and a sum at a host.
+/// Time for which a report counts at a relay, and a sum at a host.
 pub const MAX_AGE: Duration = Duration::from_millis(500);
-/// Organisations that a datagram lists; the others are summed up. Each takes 12 to 25 bytes.
+/// Maximum number of organisations that a datagram lists. Each takes 12 to 25 bytes. The
+/// others are summed up.
 pub const MAX_LISTED: usize = 64;
-/// Services whose unlisted organisations a datagram tells of.
+/// Maximum number of services for which a datagram has a sum of unlisted organisations.
 const SERVICES: usize = 16;
 
-/// Contents of some format. A receiver that knows another one ignores them.
+/// Contents with the version of their format. A receiver ignores contents of another
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Envelope {
-    /// The format.
+    /// Version of the format.
     pub format: u8,
-    /// The contents.
+    /// The encoded contents.
     pub body: Vec<u8>,
 }
 
 impl Envelope {
-    /// Wraps contents of the present format.
+    /// Encodes contents in the present format. Returns `None` if they can't be encoded.
     pub fn encode<T>(contents: &T) -> Option<Envelope>
     where
         T: Serialize,
@@ -61,7 +64,7 @@
         }
     }
 
-    /// The contents, if they have the present format.
+    /// Decodes the contents, if they have the present format.
     pub fn decode<T>(&self, from: SocketAddr) -> Option<T>
     where
         T: DeserializeOwned,
@@ -78,18 +81,18 @@
     }
 }
 
-/// An organisation at a service's engines.
+/// An organisation and the service whose engines it uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Tag {
-    /// The service.
+    /// Key of the service's name.
     pub service: Key,
-    /// The organisation.
+    /// Key of the organisation's name.
     pub organisation: Key,
 }
 
 impl Tag {
-    /// That of an organisation and a service by their names.
+    /// Makes the tag of a service and an organisation from their names.
     pub fn of(service: &str, organisation: &str) -> Tag {
         Tag {
             service: Key::of_name(service),
@@ -102,15 +105,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Counts {
-    /// Those with the most in flight, the first one with the most of all. Invariant: at
-    /// most [`LISTED`], none empty.
+    /// Organisations with the most in flight, in descending order. Invariant: at most
+    /// [`MAX_LISTED`], none empty.
     pub listed: Vec<(Tag, Usage)>,
-    /// The others, by service.
+    /// Sums of the other organisations, by service.
     pub rests: Vec<(Key, Unlisted)>,
 }
 
 impl Counts {
-    /// Lists the largest, and adds the others to the rests.
+    /// Lists the organisations with the most in flight, and adds the others to `rests`.
     pub fn new(all: BTreeMap<Tag, Usage>, mut rests: BTreeMap<Key, Unlisted>) -> Counts {
         let mut listed: Vec<(Tag, Usage)> = all
             .into_iter()
@@ -128,12 +131,12 @@
         Counts { listed, rests }
     }
 
-    /// Whether nothing is in flight or waiting.
+    /// Returns whether nothing is in flight or waiting.
     pub fn is_empty(&self) -> bool {
         self.listed.is_empty() && self.rests.is_empty()
     }
 
-    /// What organisations have at one service, and the rest.
+    /// Returns the listed organisations of one service, and the sum of its others.
     pub fn at(&self, service: Key) -> (Vec<(Key, Usage)>, Unlisted) {
         let listed = self.listed.iter().filter(|(tag, _)| tag.service == service);
         let listed = listed.map(|(tag, count)| (tag.organisation, *count));
@@ -145,29 +148,29 @@
     }
 }
 
-/// What organisations have in flight at one host.
+/// Report of what organisations have in flight at one host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
-    /// The host's number, drawn at its start.
+    /// Random number that the host draws at its start.
     pub host: u64,
-    /// Counts the host's reports.
+    /// Number of the report, counted by the host.
     pub number: u32,
-    /// The counts.
+    /// Counts by organisation.
     pub counts: Counts,
 }
 
-/// What organisations have in flight at all hosts that a relay hears.
+/// Sum of what organisations have in flight at all hosts that report to a relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Totals {
-    /// The age of the oldest report that is included, in milliseconds.
+    /// Age in milliseconds of the oldest report that is included.
     pub age_ms: u32,
-    /// The counts.
+    /// Counts by organisation.
     pub counts: Counts,
 }
 
-/// A relay's account of what hosts report. Decides only; the relay sends.
+/// Adds up the hosts' reports at a relay. Does no I/O.
 #[derive(Debug, Default)]
 pub struct Tally {
     told: HashMap<SocketAddr, (Mono, Report)>,
@@ -175,12 +178,12 @@
 }
 
 impl Tally {
-    /// A host reported.
+    /// Takes in a host's report.
     pub fn receive(&mut self, now: Mono, from: SocketAddr, envelope: &Envelope) {
         let Some(report) = envelope.decode::<Report>(from) else {
             return;
         };
-        // A datagram that was overtaken by a later one is older news.
+        // A datagram that arrives after a later one is out of date.
         let is_late = self
             .told
             .get(&from)
@@ -190,7 +193,7 @@
         }
     }
 
-    /// The sums and the hosts that reported, if it is time to tell them.
+    /// If it is time to send them, returns the sums and the hosts that reported.
     pub fn take_updates(&mut self, now: Mono) -> Option<(Envelope, Vec<SocketAddr>)> {
         if self.told.is_empty() || now.since(self.taken) < PERIOD {
             return None;
@@ -212,7 +215,7 @@
                 all.entry(*tag).or_default().add(count);
             }
             for (service, rest) in &report.counts.rests {
-                // Mostly the same organisations at each host.
+                // The hosts' unlisted organisations are mostly the same ones.
                 let sum = rests.entry(*service).or_default();
                 sum.organisations = sum.organisations.max(rest.organisations);
                 sum.usage.add(&rest.usage);
--- a/almondlock-gateway/src/exchange/suspects.rs
+++ b/almondlock-gateway/src/exchange/suspects.rs
@@ -1,5 +1,4 @@
-//! A relay's account of requests that upstreams were lost with. Decides only; the relay
-//! sends.
+//! Counts the upstreams that were lost with requests, at a relay. Does no I/O.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -10,22 +9,22 @@
 use super::message::{Loss, Suspect, millis};
 use crate::load::Key;
 
-/// How often all are told again, in case a datagram was lost.
+/// Time after which all suspected requests are sent again, in case a datagram was lost.
 const REPEAT: Duration = Duration::from_secs(1);
-/// The most that one datagram tells.
+/// Maximum number of requests in one datagram.
 const TOLD: usize = 512;
 
-/// Requests under suspicion at one relay.
+/// The suspected requests that one relay knows.
 #[derive(Debug, Default)]
 pub struct Suspects {
     tally: Tally<(Key, Birth)>,
-    // Those that have changed and that hosts aren't told of yet.
+    // Requests whose state has changed and was not sent to hosts yet.
     news: BTreeSet<Fingerprint>,
     repeated: Mono,
 }
 
 impl Suspects {
-    /// A host lost a request with an upstream.
+    /// Records that a host lost a request with an upstream.
     pub fn record_loss(&mut self, now: Mono, loss: &Loss) {
         let sent = now - Duration::from_millis(loss.age_ms.into());
         let life = (loss.key, loss.birth);
@@ -39,7 +38,7 @@
         }
     }
 
-    /// A host had an answer to a request.
+    /// Records that a host had an answer to a request.
     pub fn record_answer(&mut self, now: Mono, print: Fingerprint) {
         if self.tally.record_answer(now, &print) {
             tracing::info!(fingerprint = %print, "a suspected request was answered");
@@ -47,8 +46,8 @@
         }
     }
 
-    /// What hosts are told in this round: those that have changed or, from time to time,
-    /// all of them.
+    /// Returns what to send to hosts in this round: the requests whose state has changed,
+    /// or periodically all of them.
     pub fn take_updates(&mut self, now: Mono) -> Vec<Suspect> {
         if now.since(self.repeated) >= REPEAT {
             self.repeated = now;
@@ -58,7 +57,7 @@
         news.map(|print| self.suspect(now, print)).collect()
     }
 
-    /// All of them, for hosts that were not heard of before.
+    /// Returns all suspected requests, for new hosts.
     pub fn all(&self, now: Mono) -> Vec<Suspect> {
         let known = self.tally.watched().into_iter().take(TOLD);
         known.map(|print| self.suspect(now, print)).collect()
--- a/almondlock-gateway/src/load.rs
+++ b/almondlock-gateway/src/load.rs
@@ -1,10 +1,10 @@
-//! What is under way on each upstream, as far as this entry host knows.
+//! Tracks the work in progress on each upstream, as far as this entry host knows.
 //!
-//! An upstream's own report is old when it arrives, and while it is under way
-//! all entry hosts would follow the same one to the same idle upstream. So each
-//! entry host counts what it has sent itself, exactly and at once, and adds
-//! what the others have, as a relay last added it up or they told it themselves,
-//! until they fall silent.
+//! An upstream's own report is old when it arrives, and meanwhile all entry hosts would
+//! choose the same idle upstream. So each entry host counts exactly and at once what it has
+//! sent itself, and adds the work of the other hosts. It takes that from the last sum of a
+//! relay, or from the hosts' direct reports while no relay answers, until these are too
+//! old.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,62 +18,62 @@
 
 use crate::exchange::{RELAY_TIMEOUT, Sum};
 
-/// What another entry host told counts no longer than this. Ten of its usual
-/// messages: its work has ended by itself meanwhile, or it has stopped.
+/// Maximum age of another entry host's direct report: ten of its usual reports. By then its
+/// work has ended by itself, or the host has stopped.
 const FORGET: Duration = Duration::from_millis(1000);
 
-/// What a relay told of an upstream counts no longer than this unless it tells it
-/// again, which it does within a second, or 2.5 s with hundreds of followers.
+/// Maximum age of an upstream's load in a relay's sum. The relay repeats each load within a
+/// second, or 2.5 s with hundreds of followers.
 const OUTDATED: Duration = Duration::from_secs(4);
 
-/// Of the relay that is followed closely another one takes the place if it knows so
-/// many times as many hosts: the closer one is cut off from some.
+/// Another relay's sum is used if it includes this number of times as many hosts: the relay
+/// that is followed closely is cut off from some of them.
 const FAR_MORE: f64 = 1.2;
 
-/// Tokens of memory in a block, the unit in which hosts tell it: 0.01% of an engine's.
+/// Number of tokens in a block, the unit in which hosts report memory: 0.01% of an engine's
+/// memory.
 const BLOCK: u64 = 64;
 
-/// Requests that an upstream reported and nobody knows of count this long. A
-/// stream of a few dozen events takes about as much; its next answer tells anew.
+/// Time for which requests count that an upstream reported and no host knows of. A stream
+/// of a few dozen events takes about as long, and the next answer brings a new report.
 const REMEMBER: Duration = Duration::from_millis(1500);
 
-/// Of the reading time that is thought to be left, the part that stays until
-/// the first event proves that it is done. Estimates run out before the engine
-/// does when it also serves others.
+/// Fraction of a prompt's reading time that counts as left until its first event proves
+/// that it was read. Estimates run out before the engine is done if it also serves others.
 const DOUBT: f32 = 0.25;
 
-/// What one request asks of one upstream.
+/// The work that one request asks of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Work {
-    /// Time that the engine will read for it.
+    /// Time that the engine takes to read for the request.
     pub reading: Duration,
-    /// Time that the engine has to read before.
+    /// Time that the engine has to read before that.
     pub wait: Duration,
-    /// It will write a stream there.
+    /// Whether the upstream writes the answer.
     pub writes: bool,
-    /// That stream's prompt is short.
+    /// Whether the prompt is short.
     pub short: bool,
-    /// Tokens of memory that it takes there.
+    /// Tokens of memory that the request takes there.
     pub memory: u64,
 }
 
-/// The sum of what is under way on an upstream.
+/// Sum of the work in progress on an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Total {
     /// Milliseconds of reading that are left.
     pub reading: f32,
-    /// Requests whose answer hasn't begun.
+    /// Number of requests whose answer hasn't begun.
     pub waiting: u32,
-    /// Streams that are being written.
+    /// Number of streams that are being written.
     pub streams: u32,
-    /// Of those and of the waiting, the ones with a short prompt.
+    /// Number of waiting requests and streams with a short prompt.
     pub short: u32,
     /// Tokens of memory in use.
     pub memory: u64,
 }
 
 impl Total {
-    /// Adds what another host has there.
+    /// Adds the work of another host.
     pub fn add(&mut self, other: &Total) {
         self.reading += other.reading;
         self.waiting += other.waiting;
@@ -82,25 +82,25 @@
         self.memory += other.memory;
     }
 
-    /// The time that is left to read.
+    /// Returns the time of reading that is left.
     pub fn backlog(&self) -> Duration {
         Duration::from_secs_f32(self.reading.max(0.0) / 1e3)
     }
 
-    /// Streams of longer prompts, and requests for some.
+    /// Returns the number of streams and waiting requests with longer prompts.
     pub fn long(&self) -> u32 {
         self.requests().saturating_sub(self.short)
     }
 
-    /// Requests that take a place.
+    /// Returns the number of requests that take a slot.
     pub fn requests(&self) -> u32 {
         self.waiting + self.streams
     }
 }
 
-/// Stands for an upstream's name among entry hosts: a number made of it, a third as
-/// long. Two upstreams with the same one would share their loads; among 3,000 there
-/// are two such once in a thousand times.
+/// Hash of an upstream's name that entry hosts exchange in place of the name, a third as
+/// long. Two upstreams with the same key would share their loads; with 3,000 upstreams the
+/// probability that two have the same key is one in a thousand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Key(u32);
@@ -112,41 +112,41 @@
 }
 
 impl Key {
-    /// That of an upstream.
+    /// Returns the key of an upstream.
     pub fn of(name: &Upstream) -> Key {
         Key::of_name(name.as_str())
     }
 
-    /// That of anything else with a name.
+    /// Returns the key of any other name.
     pub fn of_name(name: &str) -> Key {
         Key(crc32fast::hash(name.as_bytes()))
     }
 }
 
-/// A [`Total`] as hosts tell it, in whole units, so that sums can be taken apart
-/// again.
+/// A [`Total`] as hosts exchange it, in whole units, so that a host's own part can be
+/// subtracted from a sum exactly.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Load {
     /// Milliseconds of reading that are left.
     pub reading: u16,
-    /// Requests whose answer hasn't begun.
+    /// Number of requests whose answer hasn't begun.
     pub waiting: u16,
-    /// Streams that are being written.
+    /// Number of streams that are being written.
     pub streams: u16,
-    /// Of those and of the waiting, the ones with a short prompt.
+    /// Number of waiting requests and streams with a short prompt.
     pub short: u16,
     /// Memory in use, in blocks of 64 tokens.
     pub memory: u16,
 }
 
 impl Load {
-    /// Adds what another host has there.
+    /// Adds the work of another host.
     pub fn add(&mut self, other: &Load) {
         self.merge(other, u16::saturating_add);
     }
 
-    /// Takes out what was added before.
+    /// Subtracts a load that was added before.
     pub fn subtract(&mut self, other: &Load) {
         self.merge(other, u16::saturating_sub);
     }
@@ -167,7 +167,7 @@
     fn from(total: &Total) -> Load {
         let count = |count: u32| u16::try_from(count).unwrap_or(u16::MAX);
         Load {
-            // A float beyond the range saturates.
+            // The cast saturates.
             reading: total.reading.ceil() as u16,
             waiting: count(total.waiting),
             streams: count(total.streams),
@@ -189,17 +189,17 @@
     }
 }
 
-/// Names one piece of work until it ends.
+/// Identifies one piece of work until it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(u64);
 
 #[derive(Clone, Copy, Debug)]
 struct Item {
     work: Work,
-    // When the engine is thought to begin to read it. Until then all of it is
-    // left, whoever's work the engine does meanwhile.
+    // When the engine is estimated to begin to read it. Until then all of it counts as
+    // left, whatever the engine reads before it.
     start: Mono,
-    // Its first event has come: nothing is left to read.
+    // Whether its first event has come, so that nothing is left to read.
     begun: bool,
 }
 
@@ -212,28 +212,28 @@
     }
 }
 
-/// All that is known.
+/// The work in progress on all upstreams.
 #[derive(Debug, Default)]
 pub struct Table {
     own: BTreeMap<Upstream, BTreeMap<Ticket, Item>>,
-    // Requests that an upstream reported beyond those known, and when.
+    // Requests that an upstream reported beyond those known, and the time of the report.
     unknown: HashMap<Upstream, (Mono, u32)>,
-    // By the entry host that told it directly.
+    // Loads that entry hosts reported directly, by host.
     told: HashMap<u64, (Mono, HashMap<Key, Load>)>,
-    // By the relay that sent it.
+    // Sums by the relay that sent them.
     sums: HashMap<SocketAddr, Summed>,
     next: u64,
 }
 
-/// What all entry hosts that a relay knows have under way.
+/// Sum of the work of all entry hosts that a relay knows.
 #[derive(Debug, Default)]
 struct Summed {
     at: Mono,
-    // How many hosts it knows, this one included.
+    // Number of hosts that the relay knows, including this one.
     hosts: u32,
-    // With the time at which each was told.
+    // Loads, each with the time at which it was received.
     loads: HashMap<Key, (Mono, Load)>,
-    // What of it is this host's own.
+    // This host's own part of the loads.
     own: HashMap<Key, Load>,
 }
 
@@ -250,7 +250,7 @@
 }
 
 impl Table {
-    /// Work was sent.
+    /// Adds work that was sent to an upstream.
     pub fn begin(&mut self, now: Mono, upstream: &Upstream, work: Work) -> Ticket {
         let ticket = Ticket(self.next);
         self.next += 1;
@@ -264,7 +264,7 @@
         ticket
     }
 
-    /// Its answer has begun: all of its prompt was read.
+    /// Marks work whose answer has begun: all of its prompt was read.
     pub fn finish_reading(&mut self, upstream: &Upstream, ticket: Ticket) {
         let items = self.own.get_mut(upstream);
         if let Some(item) = items.and_then(|items| items.get_mut(&ticket)) {
@@ -272,7 +272,7 @@
         }
     }
 
-    /// It has ended.
+    /// Removes work that has ended.
     pub fn end(&mut self, upstream: &Upstream, ticket: Ticket) {
         if let Some(items) = self.own.get_mut(upstream) {
             items.remove(&ticket);
@@ -282,14 +282,14 @@
         }
     }
 
-    /// The upstream has started again: what this host knew to be under way there
-    /// has ended.
+    /// Removes this host's work on an upstream that has restarted, since it ended with the
+    /// restart.
     pub fn forget(&mut self, upstream: &Upstream) {
         self.own.remove(upstream);
         self.unknown.remove(upstream);
     }
 
-    /// What this entry host has under way, for the others.
+    /// Returns this entry host's own work, for the other hosts.
     pub fn own_loads(&self, now: Mono) -> Vec<(Key, Load)> {
         let totals = self.own.iter();
         totals
@@ -297,20 +297,20 @@
             .collect()
     }
 
-    /// Whether engines still read prompts that this host has sent.
+    /// Returns whether engines still read prompts that this host has sent.
     pub fn is_reading(&self) -> bool {
         let mut items = self.own.values().flat_map(BTreeMap::values);
         items.any(|item| !item.begun)
     }
 
-    /// Another entry host told what it has under way.
+    /// Takes in the direct report of another entry host.
     pub fn receive_report(&mut self, now: Mono, host: u64, loads: Vec<(Key, Load)>) {
         self.told.insert(host, (now, loads.into_iter().collect()));
         self.told.retain(|_, (at, _)| now.since(*at) < FORGET);
     }
 
-    /// A relay told what all entry hosts that it knows have under way, this one
-    /// included with `own`.
+    /// Takes in a relay's sum of the work of all entry hosts that it knows. `own` is this
+    /// host's part of it.
     pub fn receive_sum(&mut self, now: Mono, relay: SocketAddr, sum: Sum, own: &[(Key, Load)]) {
         let known = self.sums.entry(relay).or_default();
         if sum.is_whole {
@@ -326,13 +326,13 @@
         self.sums.retain(|_, sum| now.since(sum.at) < FORGET);
     }
 
-    /// The sum that was told last, unless another relay knows far more hosts. Once no
-    /// relay answers any more, what hosts tell each other directly counts, if they do.
+    /// Returns the last sum received, unless another relay knows far more hosts. Once no
+    /// relay answers any more, returns `None` if hosts report to each other directly.
     fn sum(&self, now: Mono) -> Option<&Summed> {
         self.relayed(now).map(|(_, sum)| sum)
     }
 
-    /// The relay that loads come from at present. None if they don't come from one.
+    /// Returns the relay whose sums are used at present, if any.
     pub fn current_relay(&self, now: Mono) -> Option<SocketAddr> {
         self.relayed(now).map(|(relay, _)| relay)
     }
@@ -354,7 +354,7 @@
         fresh.map(|(_, loads)| loads)
     }
 
-    /// What the other entry hosts have under way on an upstream.
+    /// Returns the other entry hosts' work on an upstream.
     fn others(&self, now: Mono, upstream: &Upstream) -> Total {
         let key = Key::of(upstream);
         if let Some(sum) = self.sum(now) {
@@ -367,7 +367,7 @@
         Total::from(&load)
     }
 
-    /// All that is known of an upstream.
+    /// Returns all known work on an upstream.
     pub fn total(&self, now: Mono, upstream: &Upstream) -> Total {
         let mut total = self
             .own
@@ -379,10 +379,9 @@
         total
     }
 
-    /// An upstream reported, with an answer, how many requests it has. After
-    /// entry hosts lost power it still works for callers that are gone, which
-    /// nobody else could know; without this the next requests would be sent
-    /// there first.
+    /// Records the number of requests that an upstream reported with an answer. After entry
+    /// hosts lost power, the upstream still works for callers that are gone, of which no
+    /// host knows. Without this record the next requests would be sent there first.
     pub fn record_reported(&mut self, now: Mono, upstream: &Upstream, requests: u32) {
         let known = self.total(now, upstream).requests() - self.unknown(now, upstream);
         let unknown = requests.saturating_sub(known);
@@ -396,17 +395,17 @@
         fresh.map_or(0, |(_, count)| *count)
     }
 
-    /// Whether others' requests are known.
+    /// Returns whether the other hosts' work is known.
     pub fn is_informed(&self, now: Mono) -> bool {
         self.sum(now).is_some() || self.fresh(now).next().is_some()
     }
 
-    /// How long ago a relay last told of them, if one does.
+    /// Returns the age of the relay's last sum, if sums come from a relay.
     pub fn sum_age(&self, now: Mono) -> Option<Duration> {
         self.sum(now).map(|sum| now.since(sum.at))
     }
 
-    /// How many other entry hosts are heard of.
+    /// Returns the number of other entry hosts that are known.
     pub fn other_hosts(&self, now: Mono) -> usize {
         let summed = self
             .sum(now)
--- a/almondlock-gateway/src/pace.rs
+++ b/almondlock-gateway/src/pace.rs
@@ -1,7 +1,7 @@
-//! Upstreams judged by how fast and how often they answer, over all hosts: what this host
-//! observes, and what it does about it ([`almondlock_policy::outlier`] decides).
+//! Judges upstreams by their speed and failures over all hosts: records what this host
+//! observes, and applies the decisions of [`almondlock_policy::outlier`].
 //!
-//! Nothing here acts unless the settings ask for it ([`crate::worker::Features`]).
+//! None of this has an effect unless the settings ask for it ([`crate::worker::Features`]).
 
 use std::{
     cell::RefCell,
@@ -27,25 +27,28 @@
     worker::{Target, Worker},
 };
 
-/// How often the upstreams of a service are judged anew, at the most.
+/// Minimum time between two reviews of a service's upstreams.
 const REVIEW: Duration = Duration::from_millis(200);
-/// By how much a first event is usually later than expected while the fleet is loaded.
+/// Time by which a first event is usually later than expected while the fleet is loaded.
 const FIRST_SLACK: Duration = Duration::from_millis(100);
-/// The same for a few events of a stream: a short prompt that is read in between.
+/// Time by which a few events of a stream are usually later: a short prompt is read
+/// meanwhile.
 const EVENTS_SLACK: Duration = Duration::from_millis(60);
-/// The same for answers that are no streams.
+/// Time by which an answer that is not a stream is usually later than the median.
 const PLAIN_SLACK: Duration = Duration::from_millis(20);
-/// A silence shorter than this is the request's own short time, and not the upstream's fault.
+/// A shorter silence is due to the request's own short timeout, and not the upstream's
+/// fault.
 const SILENT: Duration = Duration::from_millis(500);
-/// Events that are timed as one, so that a pause of a single pass doesn't count.
+/// Number of events that are timed together, so that the pause of a single pass doesn't
+/// count.
 pub(crate) const EVENTS: u64 = 3;
-/// A probe passes if it takes less than this many times as long as expected.
+/// A probe passes if it takes less than this number of times the expected time.
 const PASSES: f64 = 2.0;
-/// Times of plain answers of a service that its median is made of, and without which there
-/// is none.
+/// Maximum and minimum number of times of a service's plain answers that its median is
+/// taken over. With fewer there is no median.
 const PLAIN_KEPT: usize = 48;
 const PLAIN_LEAST: usize = 8;
-/// Log lines within a span; the metrics count all changes.
+/// Maximum number of log lines within a time span. The metrics count all changes.
 const LINES: u32 = 32;
 const LINES_SPAN: Duration = Duration::from_secs(10);
 
@@ -53,11 +56,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct Pacing {
     table: RefCell<Detector<Upstream>>,
-    /// When each service is judged next.
+    /// When each service's upstreams are reviewed next.
     due: RefCell<HashMap<Service, Mono>>,
-    /// Seconds that plain answers took lately.
+    /// Seconds that each service's last plain answers took.
     plain: RefCell<HashMap<Service, VecDeque<f64>>>,
-    /// Since when lines are counted, and how many there were.
+    /// Start of the present time span, and the number of log lines within it.
     lines: RefCell<(Mono, u32)>,
 }
 
@@ -73,18 +76,18 @@
         self.table.borrow_mut().retain(is_known);
     }
 
-    /// The rate of an upstream, and whether it is ejected.
+    /// Returns the rate of an upstream, and whether it is ejected.
     pub(crate) fn rate_and_ejection(&self, upstream: &Upstream) -> (f64, bool) {
         let table = self.table.borrow();
         (table.rate(upstream), table.is_ejected(upstream))
     }
 
-    /// A timer of this host fired so much too late.
+    /// Records that a timer of this host fired too late by this time.
     pub(crate) fn record_late_timer(&self, now: Mono, by: Duration) {
         self.table.borrow_mut().stall.note_delay(now, by);
     }
 
-    /// The median time of a service's plain answers, with one more taken in.
+    /// Adds the time of a plain answer of a service, and returns the median time.
     fn median(&self, service: &Service, spent: Duration) -> Option<Duration> {
         let mut plain = self.plain.borrow_mut();
         let times = plain.entry(service.clone()).or_default();
@@ -100,7 +103,7 @@
         Some(Duration::from_secs_f64(sorted[sorted.len() / 2]))
     }
 
-    /// Whether one more line may be written.
+    /// Counts a log line, and returns whether it may be written.
     fn may_log(&self, now: Mono) -> bool {
         let mut lines = self.lines.borrow_mut();
         if now.since(lines.0) >= LINES_SPAN {
@@ -111,12 +114,12 @@
     }
 }
 
-/// An attempt as it was sent, for what its answer shows.
+/// When an attempt was sent and what was expected of it, to compare with its answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sent {
     pub(crate) at: Mono,
-    /// When the first event is expected of an upstream that is as fast as its figures say.
-    /// None if others take part, on whom it depends as well.
+    /// Expected time until the first event, for an upstream that is as fast as its figures
+    /// say. `None` if other engines take part, on which the time depends too.
     pub(crate) expected: Option<Duration>,
 }
 
@@ -131,10 +134,10 @@
         D: Dialect,
     {
         let is_alone = choice.helpers.is_empty() && choice.shares.is_empty();
-        // Nothing is expected of upstreams that are no engines.
+        // There is no expected time for upstreams that are not engines.
         let is_engine = request.demand.is_some() && !choice.expected.is_zero();
         let is_timed = is_alone && after.is_none() && is_engine;
-        // Placement expects as much more as the upstream is known to be slower.
+        // Placement divides the expected time by the upstream's rate; this takes it back.
         let (rate, is_ejected) = worker.pacing.rate_and_ejection(upstream);
         let rate = if is_ejected { 1.0 } else { rate };
         Sent {
@@ -148,7 +151,7 @@
 where
     D: Dialect,
 {
-    /// Judges the upstreams of a service anew if that is due.
+    /// Reviews the upstreams of a service, if that is due.
     pub(crate) fn review_pace(&self, now: Mono, service: &Service) {
         if !self.features.observed_pace {
             return;
@@ -189,8 +192,9 @@
         );
     }
 
-    /// An ejected upstream that a request probes, in place of being placed: one that may be
-    /// repeated, is read by one upstream, and has time left for another attempt.
+    /// Returns an ejected upstream for a request to probe, instead of placing the request.
+    /// Such a request may be repeated, is read by one upstream, and has time left for
+    /// another attempt.
     pub(crate) fn probe(
         &self,
         now: Mono,
@@ -217,7 +221,8 @@
             return None;
         }
         let hosts = self.load.borrow().other_hosts(now) + 1;
-        // Borrowed only from here on: a new configuration forgets upstreams in it.
+        // The table is borrowed only here, since a new configuration removes upstreams from
+        // it.
         let mut table = self.pacing.table.borrow_mut();
         let mut rng = self.rng.borrow_mut();
         let mut ejected = targets.iter().zip(candidates).enumerate();
@@ -244,12 +249,12 @@
         })
     }
 
-    /// Whether a request to an upstream probes it.
+    /// Returns whether a request to an upstream probes it.
     pub(crate) fn is_probe(&self, upstream: &Upstream) -> bool {
         self.features.observed_pace && self.pacing.table.borrow().is_ejected(upstream)
     }
 
-    /// The first event came, or a whole answer.
+    /// Records that the first event or a whole answer came.
     pub(crate) fn observe_answer(&self, request: &Request, upstream: &Upstream, sent: &Sent) {
         if !self.features.observed_pace {
             return;
@@ -275,7 +280,7 @@
         self.count_probe(is_probe, if is_passed { "passed" } else { "slow" });
     }
 
-    /// So many events of a stream came, which had to be waited for so long.
+    /// Records that events of a stream came after being waited for.
     pub(crate) fn observe_events(
         &self,
         request: &Request,
@@ -299,7 +304,7 @@
         table.observe(now, upstream, sample);
     }
 
-    /// An attempt failed that was begun at this time.
+    /// Records that an attempt failed. `begun` is when it was sent.
     pub(crate) fn observe_failure(&self, request: &Request, broken: &Fault, begun: Mono) {
         let (true, Some(upstream)) = (self.features.observed_pace, &broken.upstream) else {
             return;
@@ -311,7 +316,7 @@
         let sample = match broken.failure {
             Failure::Limited | Failure::Misdirected => return,
             Failure::Silent if !is_silent || table.stall.is_stalled(now) => return,
-            // It asks for a pause: it says itself that it is busy.
+            // The upstream asks for a pause, and so reports itself that it is busy.
             Failure::Rejected
                 if broken.is_other_upstream || self.backoff(now, upstream).is_some() =>
             {
@@ -340,7 +345,7 @@
         }
     }
 
-    /// What this host reports.
+    /// Returns this host's observations to report.
     pub(crate) fn own_paces(&self, now: Mono) -> Vec<Pace> {
         let report = self.pacing.table.borrow_mut().report(now);
         let paces = report.iter().filter_map(|(upstream, account)| {
@@ -350,7 +355,7 @@
         paces.take(MAX_PACES).collect()
     }
 
-    /// A relay told what all hosts observed.
+    /// Takes in what all hosts observed, from a relay.
     pub(crate) fn receive_paces(&self, now: Mono, paces: &[Pace]) {
         if !self.features.observed_pace {
             return;
@@ -366,13 +371,14 @@
             .table
             .borrow_mut()
             .replace_reported(now, accounts);
-        // Also without requests: what others observed is news for three seconds only.
+        // This happens without requests too, since the others' observations expire after
+        // three seconds.
         for service in self.snapshot().instances.keys() {
             self.review_pace(now, service);
         }
     }
 
-    /// Whether a request is on its first attempt, which may be a probe.
+    /// Returns whether a request is on its first attempt, which may be a probe.
     pub(crate) fn may_probe(&self, course: &History) -> bool {
         self.features.observed_pace && course.tried.is_empty()
     }
--- a/almondlock-gateway/src/pick/groups.rs
+++ b/almondlock-gateway/src/pick/groups.rs
@@ -1,5 +1,5 @@
-//! What the engines are for, at the moment: which of them are the short streams'
-//! own, which read parts of long prompts, and which write the answers to those.
+//! Divides the engines into those for short streams, those that read parts of long prompts,
+//! and those that write the answers to long prompts.
 
 use std::time::Duration;
 
@@ -7,38 +7,40 @@
 
 use super::Candidate;
 
-/// Short streams that share an engine, as a part of its places. A pass takes longer the
-/// more it writes, and the places left are for those that come at once.
+/// Fraction of an engine's slots that short streams fill before another engine is taken. A
+/// pass takes longer the more streams it writes, and the remaining slots are for requests
+/// that arrive at the same moment.
 const PACKED: f64 = 0.82;
 
-/// What the engines for short streams may have to read in the mean before others
-/// join them: three short prompts, a third of the shortest objectives.
+/// Mean backlog of the engines for short streams above which other engines join them: three
+/// short prompts, a third of the shortest objectives.
 const WAIT_MOST: Duration = Duration::from_millis(100);
 
-/// Streams of long prompts that share a writer.
+/// Number of streams of long prompts that share a writer.
 const PACKED_LONG: u32 = 4;
 
-/// Writers while few streams need them. With one, prompts that come at the same
-/// moment queue at it.
+/// Minimum number of writers. With only one, prompts that arrive at the same moment queue
+/// at it.
 const WRITERS_LEAST: usize = 2;
 
-/// Of the engines for long prompts, at most one in so many writes.
+/// At most one in this number of the engines for long prompts is a writer.
 const READERS_LEAST: usize = 3;
 
-/// Of this many engines at least one stays with the long prompts.
+/// At least one engine in this number is left for long prompts.
 const LONG_LEAST: usize = 7;
 
-/// What the engines are for, at the moment. All in the order of the candidates.
+/// The engines by their present use, each list in the order of the candidates.
 pub(super) struct Groups<'a> {
-    /// All of them.
+    /// All engines.
     pub(super) all: &'a [usize],
-    /// For short streams. Never empty.
+    /// Engines for short streams. Never empty.
     pub(super) short: &'a [usize],
-    /// For long prompts: readers, then writers.
+    /// Engines for long prompts: first readers, then writers.
     pub(super) long: &'a [usize],
-    /// Those of `long` that read parts of long prompts.
+    /// The engines of `long` that only read parts of long prompts.
     pub(super) readers: &'a [usize],
-    /// Those of `long` that also write the answers. Empty with few engines.
+    /// The engines of `long` that also write answers to long prompts. Empty if there are
+    /// few engines.
     pub(super) writers: &'a [usize],
 }
 
@@ -60,9 +62,9 @@
     }
 }
 
-/// The engines with those that name limits among the readers: beside the few requests
-/// that they take they can read for others, and the short streams' engines and the
-/// writers are those that can do their part.
+/// Orders the engines so that those that name limits are among the readers. Beside the few
+/// requests that they take they can read for others, but engines for short streams and
+/// writers must be able to do all of their work.
 pub(super) fn order_by_limits(engines: &[usize], candidates: &[Candidate]) -> Vec<usize> {
     let is_free = |i: &&usize| candidates[**i].takes_orders();
     let (free, limited): (Vec<usize>, Vec<usize>) = engines.iter().partition(is_free);
@@ -71,25 +73,25 @@
     [front, &limited, back].concat()
 }
 
-/// How many of the engines are the short streams' own.
+/// Returns the number of engines that the short streams need for their slots.
 fn short_side(speed: &Speed, streams: u32, engines: usize) -> usize {
     let needed = (streams + 1).div_ceil(packed(speed.slots)) as usize;
     needed.clamp(1, most_short(engines))
 }
 
-/// How many of the engines the short streams may have at most.
+/// Returns the maximum number of engines for short streams.
 fn most_short(engines: usize) -> usize {
     engines.saturating_sub(engines / LONG_LEAST).max(1)
 }
 
-/// How many engines the short streams take so that none of them waits for long,
-/// if they need `needed` for their places: further ones, as long as those have
-/// less to read.
+/// Returns the number of engines for short streams, given that their slots need `needed`.
+/// Further engines join, as long as their backlog is below the mean, until no short stream
+/// waits for long.
 ///
-/// **Load pattern.** Streams that come over two seconds find their engine idle nine
-/// times out of ten. When as many come at once, as at the start of a burst or when
-/// callers return after a loss of power, the last one has those of all others read
-/// first, nearly half a second on an engine with 13 of them.
+/// **Load pattern.** Streams that arrive spread over two seconds find their engine idle
+/// nine times out of ten. When as many arrive at once, as at the start of a burst or when
+/// callers return after a power loss, the last one waits until the prompts of all others
+/// are read: nearly half a second on an engine with 13 of them.
 fn relieved(needed: usize, backlogs: &[Duration]) -> usize {
     let mut side = needed;
     let mut sum: Duration = backlogs[..side].iter().sum();
@@ -105,13 +107,14 @@
     side
 }
 
-/// How many streams an engine with so many places writes well.
+/// Returns the number of short streams that an engine with `slots` slots writes without
+/// delay.
 fn packed(slots: u32) -> u32 {
-    // Places are few: the product fits any integer.
+    // Engines have few slots, so the product fits any integer.
     (f64::from(slots) * PACKED).max(1.0) as u32
 }
 
-/// How many of the engines for long prompts write their answers.
+/// Returns the number of engines for long prompts that write answers.
 fn writers(streams: u32, engines: usize) -> usize {
     let needed = (streams + 1).div_ceil(PACKED_LONG) as usize;
     needed.max(WRITERS_LEAST).min(engines / READERS_LEAST)
--- a/almondlock-gateway/src/pick/long.rs
+++ b/almondlock-gateway/src/pick/long.rs
@@ -1,5 +1,5 @@
-//! Where a long prompt goes: which engines read parts of it, which one writes
-//! the answer, and which hold the memory that the writer lacks.
+//! Places long prompts: chooses the engines that read parts of the prompt, the one that
+//! writes the answer, and those that hold memory that the writer lacks.
 
 use std::time::Duration;
 
@@ -12,41 +12,42 @@
 };
 use crate::memory::{self, Share};
 
-/// The reading time that a part of a prompt should have at least. It fits into
-/// the pauses of short streams (a few hundred milliseconds) twice, with the
-/// steps of the pass itself beside it.
+/// Minimum reading time of a part. Two such parts, with the steps of the pass itself beside
+/// them, fit into the pause that short streams allow (a few hundred milliseconds).
 const PART: Duration = Duration::from_millis(40);
 
-/// What a part costs each short stream on its engine, as a delay of the part. The
-/// stream would pause for longer than it may; the objective of a long prompt bears
+/// Delay that counts against an engine for each short stream that it writes. A part would
+/// make the stream pause for longer than it may, and the objective of a long prompt allows
 /// this much waiting.
 const HARM: Duration = Duration::from_millis(400);
 
-/// With this much to read beside its passes an engine makes its short streams pause for
-/// longer than they may.
+/// With a backlog of this size an engine makes its short streams pause for longer than they
+/// may in any case.
 const BEARABLE: Duration = Duration::from_millis(150);
 
-/// What a large part costs the streams of long prompts, which allow longer pauses
-/// and are fewer.
+/// Delay that counts against an engine that writes streams of long prompts, if the part is
+/// large. Such streams allow longer pauses and are fewer.
 const HARM_LONG: Duration = Duration::from_millis(250);
 
-/// A part of more than this, on as many engines as may take part, is large: two
-/// of them in a pass come near the pause that streams of long prompts allow.
+/// A prompt's part is large if its reading time exceeds this although as many engines as
+/// possible take part. Two such parts in a pass come close to the pause that streams of
+/// long prompts allow.
 const LARGE: Duration = Duration::from_millis(160);
 
-/// The largest part that a writer reads beside the streams that it writes. They
-/// allow a pause of some eight tenths of a second.
+/// The largest part that a writer reads beside the streams that it writes. These streams
+/// allow a pause of about 0.8 s.
 const WRITER_PART: Duration = Duration::from_millis(600);
 
-/// What each stream that a writer has counts against it, as a delay: about a
-/// pass, since a new stream makes the others' passes longer.
+/// Delay that counts against a writer for each stream that it writes: about a pass, since a
+/// new stream makes the passes of the others longer.
 const WRITING: Duration = Duration::from_millis(50);
 
-/// Seconds within which the order of readers is drawn. Most prompts take all of them.
+/// Readers whose costs differ by less than this number of seconds are taken in random
+/// order. Most prompts take all readers.
 const LOT: f64 = 1e-3;
 
-/// Engines in the order in which a prompt takes them, with the seconds until
-/// each of them begins to read its part.
+/// Engines in the order in which a prompt takes them, each with the seconds until it begins
+/// to read its part.
 type Order = Vec<(f64, usize)>;
 
 impl Selection<'_> {
@@ -58,8 +59,9 @@
     where
         R: RngCore,
     {
-        // Never both sides: the largest parts would win most by crossing, and
-        // make every short stream of the fleet late at once.
+        // Engines for short streams are not taken beside those for long prompts: the
+        // largest parts would gain most by that, and would delay every short stream of the
+        // fleet at once.
         let readers = match groups.long.is_empty() {
             true => groups.short,
             false => groups.readers,
@@ -70,7 +72,7 @@
         if let Some(writer) = writer {
             order.insert(0, writer);
         }
-        // But for memory that their own side lacks.
+        // Other engines are taken only for memory that the engines for long prompts lack.
         let taken = |i: &usize| readers.contains(i) || writer.is_some_and(|(_, w)| w == *i);
         let others = groups.long.iter().chain(groups.short);
         let others: Vec<usize> = others.copied().filter(|i| !taken(i)).collect();
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Engines with their costs to a long prompt, the least first.
+    /// Returns the engines with their costs for a long prompt, in ascending order.
     fn order<R>(&self, engines: &[usize], rng: &mut R) -> Order
     where
         R: RngCore,
@@ -117,8 +119,8 @@
         order
     }
 
-    /// The writer that is free soonest. None if a part of the prompt is too
-    /// large to be read beside streams.
+    /// Returns the writer that is available soonest, or `None` if a part of the prompt is
+    /// too large to be read beside streams.
     fn writer<R>(&self, groups: &Groups<'_>, readers: usize, rng: &mut R) -> Option<(f64, usize)>
     where
         R: RngCore,
@@ -137,8 +139,8 @@
         draw_cheapest(costs, rng)
     }
 
-    /// Into how many parts the prompt is cut, given the readers in order and the
-    /// writer: as many as bring the first event soonest.
+    /// Returns the number of parts for which the first event comes soonest, given the
+    /// ordered readers and the writer.
     fn count(&self, order: &[(f64, usize)], writer: Option<(f64, usize)>) -> usize {
         let own = usize::from(writer.is_some());
         let most = parts(self.speed.reading_time(self.demand.prompt));
@@ -157,10 +159,11 @@
             .unwrap_or(1)
     }
 
-    /// Which of the members answers, and which others hold a share of the prompt
-    /// because its memory is too small for all of it. Without a writer the one
-    /// that writes for no other long prompt and has most memory answers; one that names a
-    /// limit only if nobody else can.
+    /// Returns the member that answers, and the members that hold a share of the prompt's
+    /// memory because the answering engine lacks room for all of it.
+    ///
+    /// Without a writer, the member with the most free memory of those that write for no
+    /// other long prompt answers. One that names a limit answers only if no other can.
     fn memory(
         &self,
         writer: Option<usize>,
@@ -184,9 +187,10 @@
         Some((first, shares))
     }
 
-    /// What reading a part there costs the streams that are written there, as
-    /// a delay. Nothing where the short ones will pause for too long in any case: so
-    /// the parts of several prompts stop the same few streams, and not all of them.
+    /// Returns the seconds that count against an engine because reading a part there delays
+    /// the streams that it writes. Returns zero where short streams will pause for too long
+    /// in any case, so that parts of several prompts delay the same few streams and not all
+    /// of them.
     fn harm(&self, i: usize) -> f64 {
         let total = &self.candidates[i].total;
         let large = self
@@ -202,10 +206,10 @@
     }
 }
 
-/// Into how many parts a prompt may be cut at most.
+/// Returns the maximum number of parts of a prompt with this reading time.
 fn parts(whole: Duration) -> usize {
     let parts = (whole.as_secs_f64() / PART.as_secs_f64()).ceil();
-    // A prompt's reading time is bounded by its tokens; a float beyond the
-    // range saturates.
+    // The reading time is bounded by the prompt's tokens, and the cast of a larger float
+    // saturates.
     (parts as usize).clamp(1, MAX_READERS)
 }
--- a/almondlock-gateway/src/pick/mod.rs
+++ b/almondlock-gateway/src/pick/mod.rs
@@ -1,39 +1,38 @@
-//! Which upstream takes a request, and which others help to read its prompt.
+//! Chooses the upstream that answers a request, and the engines that help to read its
+//! prompt.
 //!
-//! **Load pattern.** Prompts of five thousand tokens and of a million share the
-//! same engines, and the mix swings within seconds. Read whole on one engine, a
-//! prompt of 200,000 tokens takes seconds, in which every stream that is being
-//! written there stands still and every short prompt behind it is late. Read in
-//! parts by many engines it takes none of them longer than the pause that a
-//! short stream allows, and its own first event comes sooner as well. So a
-//! prompt is cut into as many parts as bring its first event soonest, but into
-//! no more than make each part 40 ms long: a part costs its engines a pass,
-//! and smaller ones would only take part in more passes.
+//! **Load pattern.** Prompts of five thousand and of a million tokens share the same
+//! engines, and the mix changes within seconds. A prompt of 200,000 tokens that one engine
+//! reads alone takes seconds. Meanwhile every stream that this engine writes stands still,
+//! and every short prompt behind it is late. If many engines read parts of the prompt, none
+//! of them is busy for longer than the pause that a short stream allows, and the prompt's
+//! own first event comes sooner. So a prompt is cut into as many parts as bring its first
+//! event soonest, but each part has at least 40 ms of reading: a part costs its engine a
+//! pass, and smaller parts would only take part in more passes.
 //!
-//! **Three groups.** Short streams are packed onto as few engines as write them
-//! without delay, counted from one end of a list that all entry hosts have in
-//! the same order. Of the others the last few write the answers to long prompts,
-//! and the rest only read. The borders follow the streams under way, so they
-//! move within a second of the mix, and no engine changes groups by decree: what
-//! it still reads or writes makes it dearer for other work until it is done.
+//! **Three groups.** Short streams are packed onto as few engines as write them without
+//! delay, counted from one end of a list that all entry hosts have in the same order. Of
+//! the other engines, the last few write the answers to long prompts, and the rest only
+//! read. The borders follow the streams in progress, so they move within a second of a
+//! change of the mix. No engine is told to change groups: what it still reads or writes
+//! raises its cost for other work until that is done.
 //!
-//! **Readers apart from writers.** A pass that writes stops at each step for up
-//! to a chunk of whatever is read beside it, so a part of half a second delays
-//! the next event of every stream on its engine by as much, and parts of several
-//! prompts add up. So streams of long prompts are written on engines that read
-//! only the first part of what they will write. The memory that a writer lacks is
-//! held by readers.
+//! **Readers apart from writers.** A pass that writes stops at each step for up to a chunk
+//! of what is read beside it. So a part of half a second delays the next event of every
+//! stream on its engine by as much, and parts of several prompts add up. Therefore streams
+//! of long prompts are written on engines that read only the first part of the prompts that
+//! they answer. Memory that a writer lacks is held by readers.
 //!
-//! **Turns of the mix.** When short prompts give way to long ones, engines that were
-//! packed with short streams become readers while the last of those end. A long
-//! prompt can wait for a reader that writes none for a part of its objective; a
-//! short stream that stands still for one large part is late. So each stream makes
-//! its engine costlier by as much, until parts that are read there already have made
-//! it late in any case.
+//! **Changes of the mix.** When long prompts replace short ones, engines that were packed
+//! with short streams become readers while the last of these streams end. A long prompt can
+//! wait for a reader without streams for a part of its objective, but a short stream that
+//! stands still for one large part is late. So each short stream raises its engine's cost
+//! by that waiting time, until parts that are already read there make the stream late in
+//! any case.
 //!
-//! **Placement.** Each part goes where the least is left to read. A prompt whose
-//! parts are too large for any stream beside them is written by a reader that
-//! writes nothing else.
+//! **Placement.** Each part goes to the engine with the least left to read. A prompt whose
+//! parts are too large to be read beside any stream is answered by a reader that writes
+//! nothing else.
 
 mod groups;
 mod long;
@@ -53,103 +52,104 @@
 };
 use crate::{load::Total, memory::Share};
 
-/// A prompt that one engine reads in this time is short: it is read whole, and
-/// its engine's other streams hardly notice.
+/// Maximum reading time of a short prompt. It is read whole by one engine, whose other
+/// streams hardly notice.
 pub const MAX_SHORT_READING: Duration = Duration::from_millis(120);
 
-/// A part that any engine may read: with a pass of its own it stays within the
-/// shortest pauses that streams allow.
+/// Maximum reading time of a part that any engine may read. Together with a pass it stays
+/// within the shortest pauses that streams allow.
 const SHORT_PART: Duration = Duration::from_millis(35);
 
-/// The most engines that may read parts of one prompt: the engines' protocol takes
-/// a list of so many, in which the one that answers stands for its memory.
+/// Maximum number of engines that read parts of one prompt. The engines' protocol takes a
+/// list of this length, in which the answering engine is listed for its memory.
 pub const MAX_READERS: usize = 16;
 
-/// One upstream that could take the request.
+/// An upstream that could take the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// What is known to be under way there.
+    /// The work in progress there, as far as this host knows.
     pub total: Total,
-    /// Requests that it works on at one time.
+    /// Number of requests that it processes at the same time.
     pub slots: u32,
-    /// It stands in this host's failure domain.
+    /// Whether it is in this host's failure domain.
     pub near: bool,
-    /// It failed lately, or was tried for this request: only if nothing else
-    /// is left.
+    /// Whether it failed recently or was tried for this request. Such an upstream is taken
+    /// only if no other is left.
     pub suspect: bool,
-    /// How it stands with the limit that it names, if it does.
+    /// Whether a limit that it names allows another request.
     pub quota: Quota,
-    /// It said just now that it has no memory to set aside.
+    /// Whether it has just reported that it has no memory left to reserve.
     pub full: bool,
-    /// Its cell. This host's own one is 0.
+    /// Number of its cell. This host's own cell is 0.
     pub cell: usize,
-    /// Work that it does in a time, against what its figures say. At most 1.
+    /// Its observed rate of work as a fraction of its configured rate. At most 1.
     pub rate: f64,
-    /// It fails often or is far slower than others: only if nothing else is left.
+    /// Whether it is ejected, since it fails often or is far slower than others. Such an
+    /// upstream is taken only if no other is left.
     pub ejected: bool,
 }
 
 impl Candidate {
-    /// Whether it gets requests only if nothing else is left.
+    /// Returns whether it gets requests only if no other upstream is left.
     pub(crate) const fn is_avoided(&self) -> bool {
         self.suspect || self.ejected
     }
 
-    /// Whether a request may be sent to it now.
+    /// Returns whether a request may be sent to it now.
     pub(crate) const fn may_answer(&self) -> bool {
         !matches!(self.quota, Quota::Exhausted)
     }
 
-    /// Whether a request that is sent to it now gets a slot.
+    /// Returns whether a request that is sent to it now gets a slot.
     pub(crate) const fn has_slot(&self) -> bool {
         self.total.waiting + self.total.streams < self.slots
     }
 
-    /// Whether it may be sent orders for memory, which its limit would count.
+    /// Returns whether it may be sent orders to reserve memory. An upstream's limit would
+    /// count them as requests.
     const fn takes_orders(&self) -> bool {
         matches!(self.quota, Quota::Unlimited)
     }
 }
 
-/// How an upstream stands with a limit on requests of all hosts.
+/// State of an upstream's limit on the requests of all hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quota {
-    /// It names none.
+    /// It names no limit.
     Unlimited,
-    /// There may be room for a request.
+    /// The limit may allow another request.
     Available,
-    /// There is none now. It may still read parts for others, which are no requests of
-    /// hosts.
+    /// The limit allows no request now. The upstream may still read parts for others, which
+    /// are not requests of hosts.
     Exhausted,
 }
 
-/// What a request asks for.
+/// The work that a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// Tokens of its prompt.
+    /// Number of tokens of its prompt.
     pub prompt: u64,
-    /// Tokens of its answer at most.
+    /// Maximum number of tokens of its answer.
     pub output: u64,
-    /// When its first event should be there, from now.
+    /// Time from now within which its first event should come.
     pub objective: Duration,
 }
 
-/// Where a request goes. Numbers are places in the list of candidates.
+/// The upstreams chosen for a request, as indices into the list of candidates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// Who answers.
+    /// The upstream that answers.
     pub primary: usize,
-    /// Who reads parts besides. Empty for a short prompt.
+    /// Other engines that read parts of the prompt. Empty for a short prompt.
     pub helpers: Vec<usize>,
-    /// Memory that has to be set aside before the prompt is sent. Empty for a short
-    /// prompt. Invariant: one on the engine that answers comes first, all others are
-    /// on helpers.
+    /// Memory that must be reserved before the prompt is sent. Empty for a short prompt.
+    /// Invariant: a share on the answering engine comes first, all others are on helpers.
     pub shares: Vec<Share>,
-    /// When the first event is expected, from now.
+    /// Time from now until the first event is expected.
     pub expected: Duration,
     /// The reading time of each part.
     pub part: Duration,
-    /// What an engine has left to read, in the mean of all.
+    /// Mean backlog of the engines.
     pub backlog: Duration,
 }
 
@@ -166,26 +166,26 @@
     }
 }
 
-/// What is missing for a request to be placed.
+/// Reason why a request can't be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum Shortage {
-    /// No upstream is enrolled that could take it.
+    /// No upstream is enrolled that could take the request.
     #[error("no instance is enrolled")]
     Upstream,
-    /// The engines together don't have the memory free that its prompt takes.
+    /// The engines together lack the free memory that the prompt takes.
     #[error("the engines don't have enough memory free")]
     Memory,
-    /// Every upstream that could take it is at the limit that it names.
+    /// Every upstream that could take the request is at the limit that it names.
     #[error("every upstream is at its limit")]
     Limit,
-    /// Every upstream that could take it has asked for a pause, or leaves.
+    /// Every upstream that could take the request has asked for a pause or is leaving.
     #[error("every upstream has asked for a pause or leaves")]
     Backoff,
 }
 
-/// Chooses among plain services: the one with the fewest requests for its
-/// places.
+/// Chooses among upstreams that are not engines: the one with the fewest requests for its
+/// slots.
 pub fn choose_plain<R>(candidates: &[Candidate], rng: &mut R) -> Result<Choice, Shortage>
 where
     R: RngCore,
@@ -193,7 +193,7 @@
     let open = open(candidates)?;
     let first = find_cheapest(candidates, &open, rng, |candidate| {
         let requests = f64::from(candidate.total.requests());
-        // The request itself takes longer as well where the rate is below 1.
+        // The request itself also takes longer where the rate is below 1.
         let own = if candidate.rate < 1.0 { 1.0 } else { 0.0 };
         let requests = (requests + own) / candidate.rate - own;
         requests / f64::from(candidate.slots.max(1))
@@ -201,8 +201,8 @@
     first.map(Choice::single).ok_or(Shortage::Upstream)
 }
 
-/// Chooses among engines. All entry hosts must list them in the same order:
-/// the sides are counted from its two ends.
+/// Chooses among engines. All entry hosts must list the engines in the same order, since
+/// the groups are counted from the two ends of the list.
 pub fn choose_engine<R>(
     speed: &Speed,
     demand: Demand,
@@ -301,7 +301,7 @@
     })
 }
 
-/// The candidates that a request may be sent to.
+/// Returns the candidates that a request may be sent to.
 fn open(candidates: &[Candidate]) -> Result<Vec<usize>, Shortage> {
     let open = (0..candidates.len()).filter(|i| candidates[*i].may_answer());
     let open: Vec<usize> = open.collect();
@@ -311,8 +311,8 @@
     }
 }
 
-/// The one of these candidates with the least cost, suspects after others and ejected ones
-/// last, equals by lot.
+/// Returns the candidate with the lowest cost. Suspects come after others and ejected ones
+/// last, and a random draw decides between equal costs.
 fn find_cheapest<R, F>(
     candidates: &[Candidate],
     open: &[usize],
--- a/almondlock-gateway/src/pick/selection.rs
+++ b/almondlock-gateway/src/pick/selection.rs
@@ -1,4 +1,5 @@
-//! What a prompt costs on each engine, and where short and middling ones go.
+//! Estimates how long each engine would take to read a prompt, and places short and medium
+//! prompts. Long prompts are placed in `long`.
 
 use std::time::Duration;
 
@@ -10,34 +11,36 @@
 };
 use crate::memory;
 
-/// How much sooner an engine of the other side must be done to be taken: several
-/// passes. A stream that crosses stands still while parts are read beside it.
+/// Time by which an engine for long prompts must be sooner before it is given a short
+/// prompt: several passes. A stream on such an engine pauses while parts of long prompts
+/// are read beside it.
 const CROSSING: Duration = Duration::from_millis(60);
 
-/// An upstream in another failure domain is worth this much more waiting: the
-/// way there and back within a region is a millisecond or two, and bytes
-/// between domains are paid for.
+/// Additional waiting time that counts against an upstream in another failure domain. The
+/// round trip within a region takes a millisecond or two, and traffic between domains is
+/// charged for.
 const ELSEWHERE: Duration = Duration::from_millis(2);
 
-/// A request beyond the places of an upstream waits for another one's end: with
-/// 16 places and streams of two seconds each eighth of a second one ends, and
-/// others wait for it too.
+/// Waiting time that each request beyond an upstream's slots adds, since it waits for
+/// another request to end. With 16 slots and streams of two seconds each, a stream ends
+/// every eighth of a second, and other requests wait for that slot too.
 const OVERFLOW: Duration = Duration::from_millis(250);
 
-/// How old a host's knowledge of the others is: up to 10 ms until a host tells, 20 ms
-/// until the relay does, and the way.
+/// Age of a host's information about the other hosts: up to 10 ms until a host reports, 20
+/// ms until the relay sends the sum, and the time on the network.
 const AGE: Duration = Duration::from_millis(40);
 
-/// Passes of an engine until the first event of a short prompt: half of the one that
-/// runs, and its own.
+/// Number of engine passes until the first event of a short prompt: on average half of the
+/// pass in progress, and the prompt's own.
 const PASSES: f64 = 1.5;
 
-/// Seconds within which costs count as equal and a random draw decides. Until work is
-/// seen elsewhere dozens of hosts choose from the same knowledge, and would all take
-/// the same engine.
+/// Costs that differ by less than this number of seconds count as equal, and a random draw
+/// decides. Until new work is visible to others, dozens of hosts choose from the same
+/// information and would all take the same engine.
 const LOT: f64 = 0.04;
 
-/// One choice among engines.
+/// The input for choosing engines for one request. Engines are identified by their index in
+/// `candidates`.
 pub(super) struct Selection<'a> {
     pub(super) speed: &'a Speed,
     pub(super) demand: Demand,
@@ -45,8 +48,9 @@
 }
 
 impl Selection<'_> {
-    /// A short prompt goes where the least is to be read, of its own side unless
-    /// the other is much sooner. An engine that names a limit belongs to both.
+    /// Chooses the engine with the least left to read for a short prompt. It is one of the
+    /// engines for short streams, unless an engine for long prompts is much sooner. An
+    /// engine that names a limit belongs to both groups.
     pub(super) fn choose_short<R>(&self, groups: &Groups<'_>, rng: &mut R) -> Option<Choice>
     where
         R: RngCore,
@@ -72,9 +76,9 @@
         })
     }
 
-    /// A prompt whose parts are small enough for every engine is read by as
-    /// many as that takes, of both sides, and written on the short side, where
-    /// no large part makes its events late.
+    /// Chooses engines for a prompt whose parts are small enough for every engine. It is
+    /// read by as many engines of both groups as that takes. Its answer is written by an
+    /// engine for short streams, where no large part delays its events.
     pub(super) fn choose_medium<R>(&self, groups: &Groups<'_>, rng: &mut R) -> Option<Choice>
     where
         R: RngCore,
@@ -118,9 +122,10 @@
         })
     }
 
-    /// Seconds of reading that come to these engines before hosts know of it, this
-    /// prompt's part included. By Little's law as many prompts come within a time as
-    /// wait at the engines, for each time that one waits.
+    /// Returns the seconds of reading that reach these engines before other hosts know of
+    /// them, including this prompt's part. By Little's law, the number of prompts that
+    /// arrive within the age of the information is the number waiting, divided by how long
+    /// each waits, times that age.
     fn unseen(&self, engines: &[usize], part: Duration) -> f64 {
         let waiting = engines.iter().map(|i| self.candidates[*i].total.waiting);
         let waiting: u32 = waiting.sum();
@@ -142,12 +147,12 @@
         self.candidates[i].takes_orders()
     }
 
-    /// Tokens of memory that the prompt and its answer take.
+    /// Returns the tokens of memory that the prompt and its answer take.
     pub(super) const fn memory_needed(&self) -> u64 {
         self.demand.prompt + self.demand.output
     }
 
-    /// Tokens of memory that can be counted on there.
+    /// Returns the tokens of memory that are free on an engine.
     pub(super) fn free_memory(&self, i: usize) -> u64 {
         let candidate = &self.candidates[i];
         match candidate.full {
@@ -156,7 +161,9 @@
         }
     }
 
-    /// Seconds until a new prompt is read there.
+    /// Returns the seconds until an engine begins to read a new prompt. For an engine that
+    /// works at a reduced rate, this includes the additional time that the prompt itself
+    /// takes.
     pub(super) fn cost(&self, i: usize) -> f64 {
         let candidate = &self.candidates[i];
         let cost = read_delay(self.speed, candidate);
@@ -167,8 +174,7 @@
         (cost + own) / candidate.rate - own
     }
 
-    /// Seconds that the prompt itself takes an engine, which a slow one takes longer for as
-    /// well.
+    /// Returns the seconds that the prompt itself takes an engine at the full rate.
     fn own_work(&self) -> f64 {
         let (speed, prompt) = (self.speed, self.demand.prompt);
         let whole = speed.reading_time(prompt);
@@ -179,7 +185,7 @@
         (part + speed.pass_time(1, prompt)).as_secs_f64()
     }
 
-    /// The same where the prompt's memory is needed there too.
+    /// Returns the cost of an engine that also has to hold the prompt's memory.
     pub(super) fn whole_cost(&self, i: usize) -> f64 {
         let has_room = self.free_memory(i) >= self.memory_needed();
         let wait = if has_room { Duration::ZERO } else { OVERFLOW };
@@ -192,7 +198,7 @@
     }
 }
 
-/// The least cost, equals by lot.
+/// Returns the lowest cost and its engine. A random draw decides between equal costs.
 pub(super) fn draw_cheapest<I, R>(costs: I, rng: &mut R) -> Option<(f64, usize)>
 where
     I: Iterator<Item = (f64, usize)>,
@@ -203,7 +209,7 @@
         .min_by(|a, b| a.0.total_cmp(&b.0))
 }
 
-/// Seconds until a new prompt is read there.
+/// Returns the seconds until an engine at the full rate begins to read a new prompt.
 pub(super) fn read_delay(speed: &Speed, candidate: &Candidate) -> f64 {
     let total = &candidate.total;
     let mut cost = total.backlog();
--- a/almondlock-gateway/src/pick/slots.rs
+++ b/almondlock-gateway/src/pick/slots.rs
@@ -1,4 +1,4 @@
-//! The engines' slots as a choice among the engines sees them.
+//! Counts and chooses engines' slots for short prompts.
 
 use std::time::Duration;
 
@@ -8,11 +8,12 @@
 use super::{Candidate, Choice, Demand, selection::Selection};
 use crate::{load::Total, memory};
 
-/// The part of its objective for which a short prompt may wait until an engine begins to
-/// read it. The first pass and the way have the rest.
+/// Fraction of its objective for which a short prompt may wait until an engine begins to
+/// read it. The rest is for the first pass and the network.
 const BACKLOG_SHARE: f64 = 0.5;
 
-/// The slots of these engines, without those that are suspect, ejected or at a limit.
+/// Returns the slots of these engines, except those that are suspect, ejected or at a
+/// limit.
 pub fn slot_usage(
     candidates: &[Candidate],
     objective: Duration,
@@ -30,26 +31,27 @@
     })
 }
 
-/// Whether an engine has so much to read that a short prompt would be late there.
+/// Returns whether an engine has so much to read that a short prompt would be late there.
 pub(crate) fn is_backlogged(total: &Total, objective: Duration) -> bool {
     total.backlog() >= objective.mul_f64(BACKLOG_SHARE)
 }
 
-/// How long a stream keeps its slot on an engine that writes so many others.
+/// Returns how long a stream occupies its slot on an engine that writes `streams` streams.
 pub fn slot_duration(speed: &Speed, demand: Demand, streams: u32) -> Duration {
     let pass = speed.pass_time(streams, demand.prompt * u64::from(streams.max(1)));
-    // Outputs are far below the precision of an `f64`.
+    // The output's token count is far below the precision of an `f64`.
     let passes = (demand.output as f64 / speed.steps_per_pass.max(1.0)).ceil();
     speed.reading_time(demand.prompt) + pass.mul_f64(passes)
 }
 
-/// Who answers a short prompt while slots are scarce: an engine drawn with the probability
-/// of its part of the free slots, each weighted by its engine's rate, in the cell of the one
-/// that was chosen if any is free there. The one that was chosen if none has any.
+/// Chooses the engine that answers a short prompt while slots are scarce. Draws one with a
+/// probability in proportion to its free slots times its rate, from the cell of the engine
+/// that was chosen before if one is free there. Returns the engine that was chosen before
+/// if no engine has a free slot.
 ///
 /// **Load pattern.** Many hosts see the same few free slots. Short prompts are packed onto
 /// some of the engines, so the cheapest of these gets more prompts than it has free slots
-/// before hosts hear of each other.
+/// before the hosts hear of each other's.
 pub fn draw_engine_with_slot<R>(
     speed: &Speed,
     demand: Demand,
@@ -81,8 +83,8 @@
     place.unwrap_or(chosen)
 }
 
-/// Has another engine answer a short prompt. What is expected of the one that was chosen before
-/// doesn't hold for it.
+/// Replaces the engine that answers a short prompt, and updates the expected time of the
+/// first event.
 pub fn redirect(
     speed: &Speed,
     demand: Demand,
@@ -102,7 +104,7 @@
     choice.expected = field.expected(field.whole_cost(place), choice.part);
 }
 
-/// Draws a candidate with the probability of its part of the weights.
+/// Draws a candidate with a probability in proportion to its weight.
 fn draw<F, R>(candidates: &[Candidate], weight: F, rng: &mut R) -> Option<usize>
 where
     F: Fn(&Candidate) -> f64,
--- a/almondlock-gateway/src/reading/comparison.rs
+++ b/almondlock-gateway/src/reading/comparison.rs
@@ -1,17 +1,17 @@
-//! Which pieces of two versions differ.
+//! Finds the pieces that differ between two versions.
 
 use std::collections::HashMap;
 
 use almondlock_state::document::Piece;
 
-/// How many pieces that were put in or taken away in a row are recognised in passing. Those
-/// beyond it are found by their content, at the cost of a hash each.
+/// Maximum number of pieces inserted or removed in a row that are recognised while walking
+/// through the lists. Further ones are found by their content, at the cost of a hash each.
 const WINDOW: usize = 8;
-/// Pieces that one step looks at.
+/// Number of pieces that one step compares.
 const BATCH: usize = 128;
 
-/// Walks through two lists of pieces side by side, and then looks for pieces that only
-/// moved among those that it found to differ.
+/// Walks through two lists of pieces side by side, and then looks among those that differ
+/// for pieces that only moved.
 #[derive(Debug, Default)]
 pub(super) struct Comparison {
     old: usize,
@@ -19,25 +19,25 @@
     is_over: bool,
     gone: Vec<Piece>,
     fresh: Vec<Piece>,
-    // Pieces that are gone, and how often, once the lists are walked through.
+    // Number of times that each removed piece was found, once the lists are walked through.
     counted: HashMap<Piece, usize>,
 }
 
-/// What a step has found.
+/// The result of a step.
 #[derive(Debug, Default)]
 pub(super) struct Difference {
-    /// Pieces that both have.
+    /// Number of pieces that both lists have.
     pub(super) kept: usize,
     /// Pieces that the new list lacks.
     pub(super) gone: Vec<Piece>,
     /// Pieces that the old list lacks.
     pub(super) fresh: Vec<Piece>,
-    /// There is no more.
+    /// Whether the comparison is complete.
     pub(super) is_last: bool,
 }
 
 impl Comparison {
-    /// Compares some more.
+    /// Compares further pieces.
     pub(super) fn step(&mut self, old: &[Piece], new: &[Piece]) -> Difference {
         let mut found = Difference::default();
         match self.is_over {
@@ -81,7 +81,7 @@
         kept
     }
 
-    /// Looks for pieces that are gone at one place and fresh at another.
+    /// Looks for pieces that were removed at one position and added at another.
     fn match_moved(&mut self, found: &mut Difference) {
         for _ in 0..BATCH {
             if let Some(piece) = self.gone.pop() {
@@ -105,12 +105,12 @@
     }
 }
 
-/// By allocation first.
+/// Compares the allocation first, which is cheaper.
 fn is_equal(left: &Piece, right: &Piece) -> bool {
     left.is_same(right) || left == right
 }
 
-/// How far after `from` the piece stands.
+/// Returns how far behind `from` the piece is, within the window.
 fn find(pieces: &[Piece], from: usize, piece: &Piece) -> Option<usize> {
     let mut window = (0..=WINDOW).zip(pieces.iter().skip(from)).skip(1);
     window.find_map(|(after, other)| is_equal(other, piece).then_some(after))
--- a/almondlock-gateway/src/reading/current.rs
+++ b/almondlock-gateway/src/reading/current.rs
@@ -1,4 +1,5 @@
-//! Which version is in force, which one is read, and what requests get meanwhile.
+//! Tracks which version is in force, which one is being read, and the rules for requests
+//! meanwhile.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,8 +12,8 @@
     rules::{Error, Rules},
 };
 
-/// A version that waits for longer than this is behind: less than half of the time within
-/// which it has to be in force.
+/// A version that waits for longer than this is overdue. This is less than half of the time
+/// within which it has to be in force.
 const BEHIND: Duration = Duration::from_secs(1);
 
 /// The versions that a host knows.
@@ -20,9 +21,10 @@
 pub struct Current {
     /// The version in force.
     held: Option<Arc<Version>>,
-    /// The newest version, unless it is in force. One that is overtaken isn't read any more.
+    /// The newest version, unless it is in force. A version is not read any more once a
+    /// newer one is seen.
     newest: Option<Newest>,
-    /// Since when a version waits.
+    /// When the first of the versions that wait was seen.
     waits: Option<Mono>,
 }
 
@@ -31,17 +33,18 @@
     document: Document,
     outline: Option<Outline>,
     seen: Mono,
-    /// What requests get until it is in force: that of the version in force without the keys
-    /// that this one revokes.
+    /// Rules for requests until it is in force: those of the version in force without the
+    /// keys that this one revokes.
     rules: Option<Arc<Rules>>,
-    /// Its keys, if they differ, or those of an earlier version if its own can't be read.
+    /// Its keys, if they differ from those in force, or those of an earlier version if its
+    /// own can't be read.
     keys: Option<Rules>,
     is_unreadable: bool,
 }
 
 impl Newest {
-    /// Looks at its keys, given what is in force. If they can't be read, those of the version
-    /// seen before it count: what that one revokes stays revoked.
+    /// Reads its keys, given the version in force. If they can't be read, those of the
+    /// version seen before it count, so that keys which that one revokes stay revoked.
     fn read_keys<D>(&mut self, dialect: &D, held: Option<&Arc<Version>>, earlier: Option<Rules>)
     where
         D: Dialect,
@@ -57,17 +60,17 @@
     }
 }
 
-/// What is to be read.
+/// A version to read.
 #[derive(Debug)]
 pub struct Job {
-    /// Reads it.
+    /// Reads the version.
     pub reader: Reader,
     /// When the version was seen.
     pub seen: Mono,
 }
 
 impl Current {
-    /// A document was seen. Keys that it revokes are refused from now on.
+    /// Takes in a published document. Keys that it revokes are refused from now on.
     pub fn observe<D>(&mut self, now: Mono, dialect: &D, document: &Document)
     where
         D: Dialect,
@@ -91,13 +94,13 @@
         self.newest = Some(newest);
     }
 
-    /// Whether a version was seen that isn't in force yet: it may have a route that the one
-    /// in force lacks.
+    /// Returns whether a version was seen that isn't in force yet. It may have a route that
+    /// the one in force lacks.
     pub fn is_waiting(&self) -> bool {
         self.waiting().is_some()
     }
 
-    /// Whether such a version has this key.
+    /// Returns whether a version that isn't in force yet has this key.
     pub fn awaits_key(&self, key: &str) -> bool {
         let keys = self.waiting().and_then(|newest| newest.keys.as_ref());
         keys.is_some_and(|keys| keys.organisation(key).is_some())
@@ -107,7 +110,7 @@
         self.newest.as_ref().filter(|newest| !newest.is_unreadable)
     }
 
-    /// What requests are served by.
+    /// Returns the rules for requests.
     pub fn rules(&self) -> Option<Arc<Rules>> {
         match &self.newest {
             Some(newest) => newest.rules.clone(),
@@ -115,12 +118,12 @@
         }
     }
 
-    /// Whether nothing was read yet.
+    /// Returns whether no version was read yet.
     pub fn is_first(&self) -> bool {
         self.held.is_none()
     }
 
-    /// The newest version, if it is to be read.
+    /// Returns the newest version, if it has to be read.
     pub fn job(&self) -> Option<Job> {
         self.waiting().map(|newest| Job {
             reader: Reader::new(
@@ -132,8 +135,8 @@
         })
     }
 
-    /// A version was read, or can't be: then the one in force stays, without the keys that
-    /// the other one revokes.
+    /// Puts a version that was read in force. If it couldn't be read, the one in force
+    /// stays, without the keys that the unreadable one revokes.
     pub fn apply_result<D>(
         &mut self,
         now: Mono,
@@ -167,7 +170,7 @@
         }
     }
 
-    /// For how long versions have waited, if that is too long.
+    /// Returns for how long versions have waited, if that is too long.
     pub fn overdue(&self, now: Mono) -> Option<Duration> {
         let waited = now.since(self.waits?);
         (waited > BEHIND).then_some(waited)
--- a/almondlock-gateway/src/reading/mod.rs
+++ b/almondlock-gateway/src/reading/mod.rs
@@ -1,12 +1,12 @@
-//! Reads a published configuration, as far as it differs from the one in force.
+//! Reads the parts of a published configuration that differ from the one in force.
 //!
-//! A version is read in steps, each of some tens of microseconds, so that whoever reads
-//! decides when to pause. The version in force isn't touched meanwhile, and what was read of
-//! another one is lost with its [`Reader`].
+//! A version is read in steps of some tens of microseconds each, so that the caller decides
+//! when to pause. The version in force isn't changed meanwhile, and dropping a [`Reader`]
+//! discards what it has read.
 //!
-//! What pieces of the version in force say is kept in its [`Rules`]; a piece that a new
-//! version lacks is read once more to know what to take away. This costs less memory than a
-//! table of what each piece says.
+//! The content of the pieces in force is kept only in the [`Rules`]. A piece that a new
+//! version lacks is read once more to find out what to remove. This takes less memory than
+//! a table of the content of each piece.
 
 mod comparison;
 mod current;
@@ -29,16 +29,16 @@
 /// A version that was read.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// Its text.
+    /// Text of the version.
     pub document: Document,
-    /// Where its pieces stand. None: it was read whole.
+    /// Positions of its sections' pieces. `None` if it was read as a whole.
     pub outline: Option<Outline>,
-    /// What it says.
+    /// Rules of the version.
     pub rules: Arc<Rules>,
 }
 
 impl Version {
-    /// The pieces of a section.
+    /// Returns the pieces of a section.
     fn section(&self, place: usize) -> &[Piece] {
         section(&self.document, self.outline.as_ref(), place)
     }
@@ -51,21 +51,21 @@
         .unwrap_or_default()
 }
 
-/// How much was read.
+/// Number of pieces that were read and kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Pieces that the version before lacks.
+    /// Number of pieces that were read, since the version before lacks them.
     pub read: usize,
-    /// Pieces that it has.
+    /// Number of pieces that the version before has too.
     pub kept: usize,
 }
 
-/// What has become of a version after a step.
+/// State of reading a version after a step.
 #[derive(Debug)]
 pub enum Progress {
-    /// Steps are left.
+    /// Further steps are needed.
     More,
-    /// It is read, or can't be.
+    /// The version was read, or can't be read.
     Done(Result<Version, Error>),
 }
 
@@ -76,13 +76,13 @@
     document: Document,
     outline: Option<Outline>,
     phase: Phase,
-    /// How much it has read so far.
+    /// Number of pieces that were read and kept so far.
     pub count: Count,
 }
 
 #[derive(Debug)]
 enum Phase {
-    /// Without an outline there is one step.
+    /// Reads the version as a whole in one step, if it has no outline.
     Whole,
     /// Looks for differences, section by section.
     Compare {
@@ -90,17 +90,17 @@
         comparison: Comparison,
         found: Found,
     },
-    /// Takes away and adds, the last ones first.
+    /// Removes and then adds pieces, from the end of each list.
     Change {
         edit: Box<Edit>,
         gone: Vec<(Section, Piece)>,
         fresh: Vec<(Section, Piece)>,
     },
-    /// Nothing is left to do.
+    /// The version was read, or can't be read.
     Finished,
 }
 
-/// Pieces that differ.
+/// Pieces that differ between the versions.
 #[derive(Debug, Default)]
 struct Found {
     gone: Vec<(Section, Piece)>,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The version that is read.
+    /// Returns the number of the version.
     pub fn version(&self) -> u64 {
         self.document.version
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Reads some more.
+    /// Performs one step.
     pub fn step<D>(&mut self, dialect: &D) -> Progress
     where
         D: Dialect,
@@ -225,7 +225,7 @@
         })
     }
 
-    /// What has to be done once the differences are known.
+    /// Returns the phase that applies the differences.
     fn change(&mut self, found: Found) -> Result<Phase, Error> {
         let Some(outline) = &self.outline else {
             return Err(Error::new("no outline"));
@@ -233,7 +233,7 @@
         let (version, limits) = (outline.version, outline.limits);
         let Found { gone, fresh } = found;
         let held = self.held.as_ref().filter(|held| held.outline.is_some());
-        // Beyond half of the pieces, reading all anew takes less.
+        // If more pieces were removed than kept, it is faster to read all pieces anew.
         let (edit, gone, mut fresh) = match held {
             Some(held) if gone.len() <= self.count.kept => {
                 (held.rules.edit(version, limits), gone, fresh)
@@ -250,7 +250,7 @@
             }
         };
         self.count.read = fresh.len();
-        // They are taken from the end.
+        // The pieces are taken from the end of the list.
         fresh.reverse();
         Ok(Phase::Change {
             edit: Box::new(edit),
@@ -260,7 +260,8 @@
     }
 }
 
-/// Reads the keys of a version into rules with nothing else; None if they are those in force.
+/// Reads the keys of a version into rules with nothing else. Returns `None` if they are the
+/// same as in the version in force.
 ///
 /// # Errors
 ///
@@ -296,10 +297,11 @@
     edit.build().map(Some)
 }
 
-/// The rules in force without the keys that a version with the keys `next` lacks or gives to
-/// another organisation; None if there are none such.
+/// Returns the rules in force without the keys that `next`, the keys of a newer version,
+/// lacks or gives to another organisation. Returns `None` if there are no such keys.
 ///
-/// A version without organisations asks for no keys, so none is refused on its account.
+/// If the newer version has no organisations, requests on it need no key, so none is
+/// removed.
 pub fn without_revoked(held: &Version, next: &Rules) -> Option<Rules> {
     let is_kept = |key: &str, organisation: &Organisation| {
         let other = next.organisation(key);
--- a/almondlock-gateway/src/rules.rs
+++ b/almondlock-gateway/src/rules.rs
@@ -1,10 +1,9 @@
-//! What a published configuration says, as plain types.
+//! The content of a published configuration, as plain types.
 //!
-//! Whoever can read a deployment's format makes a [`Rules`] of it through a
-//! [`Builder`], or of other rules through an [`Edit`]. Both refuse what contradicts itself.
-//! From then on nothing
-//! here can be out of step: a route's services exist, its weights add up to
-//! more than nothing, no two routes stand at the same place.
+//! A reader of a deployment's format makes [`Rules`] through a [`Builder`], or from other
+//! rules through an [`Edit`]. Both refuse contradictory content. Built rules are
+//! consistent: a route's services exist, its weights add up to more than 0, and no two
+//! routes have the same host and prefix.
 
 mod edit;
 mod table;
@@ -17,25 +16,25 @@
 pub use self::edit::{Edit, Entry};
 use self::table::Table;
 
-/// What may be done with a request more than once.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Safe,
-    /// It runs once at most.
+    /// The request runs at most once.
     Unsafe,
-    /// Its answer is a series of events.
+    /// The answer is a stream of events.
     Stream {
-        /// A new run may go on after a given event. Without it the request is
-        /// unsafe.
+        /// Whether a new run may resume after a given event. If not, the request runs at
+        /// most once.
         resumable: bool,
-        /// The longest pause between two events of an answer in time.
+        /// Longest pause between two events of an answer that is in time.
         pause: Duration,
     },
 }
 
 impl Kind {
-    /// Whether the request may run more than once.
+    /// Returns whether the request may run more than once.
     pub const fn is_idempotent(self) -> bool {
         match self {
             Kind::Safe => true,
@@ -44,7 +43,7 @@
         }
     }
 
-    /// Whether the answer is a series of events.
+    /// Returns whether the answer is a stream of events.
     pub const fn is_stream(self) -> bool {
         matches!(self, Kind::Stream { .. })
     }
@@ -53,31 +52,31 @@
 /// A route: which requests it takes, and where they go.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: Arc<str>,
     /// The host that requests name.
     pub host: Arc<str>,
-    /// What their paths begin with. Invariant: begins and ends with a slash.
+    /// Prefix of the requests' paths. Invariant: begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether its requests may run more than once.
     pub kind: Kind,
-    /// The longest time a request is kept waiting.
+    /// Maximum time that a request is kept waiting.
     pub timeout: Duration,
-    /// The time within which an answer, or its first event, is worth all.
+    /// Time within which an answer, or its first event, should come.
     pub objective: Duration,
-    /// Its rank; 0 comes first.
+    /// Rank of its requests. 0 comes first.
     pub priority: u32,
-    /// The services that share its requests, by weight. Invariant: not empty,
-    /// and the weights add up to more than 0.
+    /// The services that share its requests, with their weights. Invariant: not empty, and
+    /// the weights add up to more than 0.
     pub split: Vec<(Service, u32)>,
-    /// The most upstreams that one request may run on. At least 1.
+    /// Maximum number of upstreams that one request may run on. At least 1.
     pub attempts: u32,
-    /// Requests need no key.
+    /// Whether its requests need no key.
     pub public: bool,
 }
 
 impl Route {
-    /// Whether it contradicts itself.
+    /// Checks that the route's values don't contradict each other.
     fn check(&self) -> Result<(), Error> {
         let name = &self.name;
         let fault = |what: &str| Err(Error::new(format!("route {name}: {what}")));
@@ -93,7 +92,7 @@
         Ok(())
     }
 
-    /// The service for a request, by a number drawn evenly from all of `u32`.
+    /// Returns the service for a request, given a number drawn evenly from all of `u32`.
     pub fn service(&self, drawn: u32) -> Option<&Service> {
         let total: u64 = self
             .split
@@ -115,45 +114,45 @@
 /// A service that requests go to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Connections that each of its upstreams accepts, of all callers together.
+    /// Number of connections that each of its upstreams accepts from all callers together.
     pub connections: usize,
-    /// Requests a second that each of its upstreams bears of all hosts together while it
-    /// is cold. None: as many as any.
+    /// Requests a second that each of its upstreams bears from all hosts together while it
+    /// is cold. `None` if there is no such limit.
     pub cold: Option<Rate>,
-    /// How its upstreams work, if they are model engines.
+    /// Speed of its upstreams, if they are model engines.
     pub engine: Option<Speed>,
 }
 
 /// Bounds on what callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head: usize,
-    /// The largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// How long a head may take to arrive.
+    /// Maximum time for a request head to arrive.
     pub head_time: Duration,
-    /// How long a connection may stay idle.
+    /// Maximum time for which a connection may stay idle.
     pub idle_time: Duration,
 }
 
-/// An organisation.
+/// An organisation that sends requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: Arc<str>,
-    /// Its rank, if it has one of its own; 0 comes first.
+    /// Rank of its requests, if it has one of its own. 0 comes first.
     pub priority: Option<u32>,
 }
 
-/// Why a configuration is invalid.
+/// Reason why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     message: String,
 }
 
 impl Error {
-    /// An error with this account of it.
+    /// Makes an error with this message.
     pub fn new<M>(message: M) -> Error
     where
         M: Into<String>,
@@ -172,20 +171,20 @@
 
 impl std::error::Error for Error {}
 
-/// A published configuration, read and checked. Copies share what they have in common.
+/// A published configuration, read and checked. Clones share what they have in common.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
     /// Bounds on what callers send.
     pub limits: Limits,
-    // By host and prefix.
+    // Routes by host and prefix.
     routes: Table<Arc<Route>>,
-    // How many prefixes have a length.
+    // Number of prefixes of each length.
     lengths: BTreeMap<usize, usize>,
     services: Table<Served>,
     keys: Table<Owned>,
-    // Without any, keys aren't asked for.
+    // Number of organisations. If there are none, requests need no key.
     organisations: usize,
 }
 
@@ -193,18 +192,18 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Served {
     name: Service,
-    // Invariant: there is one in rules that have been built.
+    // Invariant: `Some` in rules that have been built.
     target: Option<Target>,
-    // How often routes name it.
+    // Number of times that routes name it.
     routes: usize,
 }
 
-/// A key.
+/// A key and its organisation.
 #[derive(Clone, Debug, PartialEq)]
 struct Owned {
     key: Arc<str>,
     organisation: Arc<Organisation>,
-    // How often it stands in the configuration. At least 1.
+    // Number of times that the key is in the configuration. At least 1.
     entries: usize,
 }
 
@@ -227,7 +226,7 @@
 }
 
 impl Rules {
-    /// Rules that take no request.
+    /// Makes rules without routes, which take no request.
     pub fn empty(version: u64, limits: Limits) -> Rules {
         Rules {
             version,
@@ -240,19 +239,19 @@
         }
     }
 
-    /// Begins a configuration.
+    /// Returns a builder of a configuration.
     pub fn builder(version: u64, limits: Limits) -> Builder {
         Builder {
             rules: Rules::empty(version, limits),
         }
     }
 
-    /// The route of a request: the longest prefix that begins its path. The
-    /// path comes without a query.
+    /// Returns the route of a request: the one with the longest prefix of its path. `path`
+    /// comes without a query.
     ///
-    /// Prefixes end with a slash, so only parts of the path that end with one, and have the
-    /// length of some prefix, are looked up. A caller's path with thousands of slashes costs
-    /// no more than any other.
+    /// Prefixes end with a slash, so only parts of the path that end with one and have the
+    /// length of some prefix are looked up. A path with thousands of slashes costs no more
+    /// than any other.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let mut lengths = self.lengths.range(..=path.len()).rev();
         lengths.find_map(|(length, _)| {
@@ -262,42 +261,42 @@
         })
     }
 
-    /// How many routes there are.
+    /// Returns the number of routes.
     pub fn routes(&self) -> usize {
         self.routes.len()
     }
 
-    /// A service.
+    /// Returns the service of this name.
     pub fn service(&self, name: &Service) -> Option<&Target> {
         let served = self.services.get((name.as_str(), ""))?;
         served.target.as_ref()
     }
 
-    /// Whether requests on this route need a key.
+    /// Returns whether requests on this route need a key.
     pub fn needs_key(&self, route: &Route) -> bool {
         self.has_organisations() && !route.public
     }
 
-    /// Whether the configuration names organisations.
+    /// Returns whether the configuration names organisations.
     pub fn has_organisations(&self) -> bool {
         self.organisations > 0
     }
 
-    /// Whether keys belong to two organisations or more.
+    /// Returns whether keys belong to two organisations or more.
     pub fn has_several_organisations(&self) -> bool {
         let mut all = self.keys.iter().map(|owned| &owned.organisation);
         let first = all.next();
         first.is_some_and(|first| all.any(|other| other.name != first.name))
     }
 
-    /// The organisation that a key belongs to.
+    /// Returns the organisation that a key belongs to.
     pub fn organisation(&self, key: &str) -> Option<&Arc<Organisation>> {
         let owned = self.keys.get((key, ""))?;
         Some(&owned.organisation)
     }
 }
 
-/// Builds [`Rules`]. Services come before the routes that name them.
+/// Builds [`Rules`]. Services must be added before the routes that name them.
 #[derive(Clone, Debug)]
 pub struct Builder {
     rules: Rules,
@@ -323,7 +322,7 @@
         self.rules.add_organisation(organisation, keys)
     }
 
-    /// The configuration.
+    /// Returns the rules.
     pub fn build(self) -> Rules {
         self.rules
     }
--- a/almondlock-gateway/src/rules/edit.rs
+++ b/almondlock-gateway/src/rules/edit.rs
@@ -1,4 +1,5 @@
-//! Changes to rules: what one version takes away and adds.
+//! Makes the rules of a new version from those of another one, by removing and adding
+//! entries.
 
 use std::{collections::btree_map, sync::Arc};
 
@@ -6,7 +7,7 @@
 
 use super::{Error, Limits, Organisation, Owned, Route, Rules, Served, Target};
 
-/// What one part of a published configuration says.
+/// The content of one piece of a published configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
     /// A service.
@@ -17,12 +18,12 @@
     Organisation(Organisation, Vec<Arc<str>>),
 }
 
-/// Makes [`Rules`] of other rules, which stay as they are. What goes is taken away before
-/// anything is added, and services are added before the routes that name them.
+/// Makes [`Rules`] from other rules, which stay as they are. Entries must be removed before
+/// any is added, and services must be added before the routes that name them.
 #[derive(Clone, Debug)]
 pub struct Edit {
     rules: Rules,
-    // Services that were taken away: some route may still name them.
+    // Services that were removed, which some route may still name.
     removed: Vec<Service>,
 }
 
@@ -40,8 +41,8 @@
         }
     }
 
-    /// These rules without the keys for which `is_kept` is false; None if there are none
-    /// such. Keys are still asked for.
+    /// Returns these rules without the keys for which `is_kept` is false, or `None` if it
+    /// is true for all keys. Requests still need a key.
     pub fn retain_keys<F>(&self, is_kept: F) -> Option<Rules>
     where
         F: Fn(&str, &Organisation) -> bool,
@@ -65,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// If it contradicts itself or another entry.
+    /// If the entry contradicts itself or another one.
     pub fn add(&mut self, entry: Entry) -> Result<(), Error> {
         match entry {
             Entry::Service(name, target) => self.rules.add_service(name, target),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Takes an entry away that was added before.
+    /// Removes an entry that was added before.
     pub fn remove(&mut self, entry: Entry) {
         match entry {
             Entry::Service(name, _) => {
@@ -88,11 +89,11 @@
         }
     }
 
-    /// The rules.
+    /// Returns the rules.
     ///
     /// # Errors
     ///
-    /// If a route names a service that was taken away.
+    /// If a route names a service that was removed.
     pub fn build(self) -> Result<Rules, Error> {
         let mut rules = self.rules;
         for name in &self.removed {
--- a/almondlock-gateway/src/rules/table.rs
+++ b/almondlock-gateway/src/rules/table.rs
@@ -1,8 +1,8 @@
-//! A hash table whose copies share what they have in common.
+//! A hash table whose clones share unchanged entries.
 //!
-//! A copy costs one reference for each shard, and a change copies the shard that it
-//! touches, so that one route of ten thousand can be replaced while requests still use
-//! the table from before.
+//! A clone costs one reference for each shard, and a change copies only the shard with the
+//! changed entry. So one route of ten thousand can be replaced while requests still use the
+//! earlier table.
 
 use std::{
     collections::hash_map::DefaultHasher,
@@ -10,15 +10,16 @@
     sync::Arc,
 };
 
-/// A shard of ten thousand entries holds some twenty, which are searched in order.
+/// Number of shards. With ten thousand entries a shard holds about twenty, which are
+/// searched in order.
 const SHARDS: usize = 512;
 
-/// What an entry is found by.
+/// Key of an entry.
 pub(super) type Key<'a> = (&'a str, &'a str);
 
 /// An entry of a table.
 pub(super) trait Entry: Clone + PartialEq {
-    /// What it is found by.
+    /// Returns the key of the entry.
     fn key(&self) -> Key<'_>;
 }
 
@@ -26,7 +27,8 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Table<V> {
-    // Invariant: each entry is in the shard of its key's hash, and no two have one key.
+    // Invariant: each entry is in the shard of its key's hash, and no two entries have the
+    // same key.
     shards: Vec<Shard<V>>,
     len: usize,
 }
@@ -34,7 +36,7 @@
 impl<V> Default for Table<V> {
     fn default() -> Table<V> {
         Table {
-            // One allocation, since all are empty.
+            // All shards are empty and share one allocation.
             shards: vec![Arc::default(); SHARDS],
             len: 0,
         }
@@ -55,7 +57,7 @@
         shard.find_map(|(other, entry)| (*other == hash && entry.key() == key).then_some(entry))
     }
 
-    /// Puts an entry in, in place of one with its key.
+    /// Adds an entry, and replaces one with the same key.
     pub(super) fn insert(&mut self, entry: V) {
         let hash = hash(entry.key());
         let Some(shard) = self.shards.get_mut(place(hash)) else {
@@ -107,6 +109,6 @@
 }
 
 fn place(hash: u64) -> usize {
-    // The remainder is below the number of shards, which fits.
+    // The remainder is less than the number of shards, which fits a `usize`.
     usize::try_from(hash % SHARDS as u64).unwrap_or(0)
 }
--- a/almondlock-gateway/src/share/findings.rs
+++ b/almondlock-gateway/src/share/findings.rs
@@ -1,4 +1,5 @@
-//! Which organisations are over their share, by what relays tell of all hosts.
+//! Determines which organisations are over their share, from the relays' sums over all
+//! hosts.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -14,10 +15,10 @@
     load::Key,
 };
 
-/// Counts that are older are not acted on, however long they took.
+/// Older counts are ignored, wherever the time was spent.
 const OUTDATED: Duration = Duration::from_secs(1);
 
-/// What relays told last.
+/// The last sums of the relays.
 #[derive(Debug, Default)]
 pub struct Findings {
     heard: HashMap<SocketAddr, Heard>,
@@ -27,25 +28,25 @@
 struct Heard {
     at: Mono,
     age: Duration,
-    // By service, those that are over.
+    // Rulings by service, where an organisation is over its share.
     rulings: HashMap<Key, Assessment<Key>>,
-    // Organisations in the order of what they have in flight.
+    // Organisations in descending order of what they have in flight.
     largest: Vec<Tag>,
 }
 
-/// An organisation that is over its share.
+/// Finding that an organisation is over its share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finding {
-    /// By how much.
+    /// By how much it is over its share.
     pub excess: Excess<Key>,
-    /// The age of the counts.
+    /// Age of the counts.
     pub age: Duration,
-    /// How many organisations have more in flight.
+    /// Number of organisations that have more in flight.
     pub place: usize,
 }
 
 impl Findings {
-    /// A relay told the sums. `capacity` gives that of a service's engines.
+    /// Takes in a relay's sums. `capacity` returns the capacity of a service's engines.
     pub fn receive<F>(&mut self, now: Mono, relay: SocketAddr, totals: &Totals, capacity: F)
     where
         F: Fn(Key) -> Capacity,
@@ -66,8 +67,8 @@
         self.heard.retain(|_, heard| now.since(heard.at) < MAX_AGE);
     }
 
-    /// Whether an organisation is over its share, by what this relay told. None: it is
-    /// within, or that isn't known.
+    /// Returns the finding if an organisation is over its share by this relay's sums.
+    /// `None` means that it is within its share or that this isn't known.
     pub fn excess(&self, now: Mono, relay: SocketAddr, tag: Tag) -> Option<Finding> {
         let heard = self.heard.get(&relay)?;
         let since = now.since(heard.at);
--- a/almondlock-gateway/src/share/ledger.rs
+++ b/almondlock-gateway/src/share/ledger.rs
@@ -1,4 +1,4 @@
-//! What organisations have in flight at this host.
+//! Counts what organisations have in flight at this host.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,10 +15,10 @@
     load::Key,
 };
 
-/// Counts by organisation and service. Clones share them.
+/// Counts by organisation and service. Clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    // Invariant: the sum of all claims; none is empty.
+    // Invariant: the sums of all claims, none of them empty.
     counts: Rc<RefCell<HashMap<Tag, Entry>>>,
 }
 
@@ -28,7 +28,7 @@
     count: Usage,
 }
 
-/// One request's part of the counts, until it is dropped.
+/// One request's part of the counts, until the claim is dropped.
 #[derive(Debug)]
 pub struct Claim {
     ledger: Ledger,
@@ -38,7 +38,8 @@
 }
 
 impl Ledger {
-    /// A request was sent to an engine. Its prompt takes `reading` of all engines together.
+    /// Counts a request that was sent to engines. Its prompt takes all engines together
+    /// `reading` to read.
     pub fn claim_sent(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
         let count = Usage {
             slots: 1,
@@ -49,7 +50,8 @@
         self.claim(service, organisation, count)
     }
 
-    /// A request waits for a slot at this host, or will return to one.
+    /// Counts a request that waits for a slot at this host, or that will be sent again to
+    /// wait for one.
     pub fn claim_slot_wait(&self, service: &str, organisation: &Arc<str>) -> Claim {
         let count = Usage {
             queued: 1,
@@ -58,7 +60,7 @@
         self.claim(service, organisation, count)
     }
 
-    /// The same of a prompt that waits until engines have the time to read it.
+    /// Counts a request that waits until engines have the time to read its prompt.
     pub fn claim_reading_wait(
         &self,
         service: &str,
@@ -72,14 +74,14 @@
         self.claim(service, organisation, count)
     }
 
-    /// All counts, bounded.
+    /// Returns all counts, bounded in size.
     pub fn counts(&self) -> Counts {
         let counts = self.counts.borrow();
         let all = counts.iter().map(|(tag, entry)| (*tag, entry.count));
         Counts::new(all.collect(), BTreeMap::new())
     }
 
-    /// The name of an organisation that has something in flight here.
+    /// Returns the name of an organisation that has something in flight here.
     pub fn name(&self, organisation: Key) -> Option<Arc<str>> {
         let counts = self.counts.borrow();
         let mut entries = counts.iter();
@@ -100,7 +102,7 @@
 }
 
 impl Claim {
-    /// The first event has come.
+    /// Marks that the first event has come: the prompt was read.
     pub fn finish_reading(&self) {
         let count = self.count.get();
         self.set(Usage {
--- a/almondlock-gateway/src/share/mod.rs
+++ b/almondlock-gateway/src/share/mod.rs
@@ -1,5 +1,5 @@
-//! What organisations have in flight at engines: this host's part ([`Ledger`]), and what
-//! relays tell of all hosts ([`Known`]).
+//! Tracks organisations' shares of the engines: what they have in flight at this host
+//! ([`Ledger`]), and which are over their share by the sums of all hosts ([`Findings`]).
 
 mod findings;
 mod ledger;
--- a/almondlock-gateway/src/share/notice.rs
+++ b/almondlock-gateway/src/share/notice.rs
@@ -1,31 +1,32 @@
-//! Bounds what is logged and counted of deprioritised requests.
+//! Bounds how many log lines and metric labels deprioritised requests produce.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use almondlock_base::time::Mono;
 
-/// What metrics call organisations that they don't name.
+/// Label of organisations that metrics don't name.
 pub const OTHERS: &str = "others";
-/// Lines in a second.
+/// Maximum number of log lines in a second.
 const LINES: u32 = 5;
-/// Organisations that metrics name at one time: those with the most in flight.
+/// Number of organisations that metrics name at one time: those with the most in flight.
 const LARGEST: usize = 8;
-/// Organisations that metrics name in a process's life.
+/// Maximum number of organisations that metrics name while the process runs.
 const NAMED: usize = 64;
 
-/// What was logged and counted lately.
+/// The recent log lines, and the organisations that metrics name.
 #[derive(Clone, Debug, Default)]
 pub struct Notices {
     since: Mono,
-    // Lines since then, and those left out since the last one.
+    // Number of lines since then, and of those suppressed since the last line.
     lines: u32,
     suppressed: u64,
-    // Organisations that metrics name. Invariant: at most [`NAMED`].
+    // Organisations that metrics name. Invariant: at most [`MAX_NAMED`].
     named: BTreeSet<Arc<str>>,
 }
 
 impl Notices {
-    /// Whether a line is logged now: if it is, how many weren't since the last one.
+    /// Returns the number of lines suppressed since the last one if a line may be logged
+    /// now, or `None` if this one is suppressed too.
     pub fn allow_line(&mut self, now: Mono) -> Option<u64> {
         if now.since(self.since) >= Duration::from_secs(1) {
             (self.since, self.lines) = (now, 0);
@@ -38,7 +39,7 @@
         Some(std::mem::take(&mut self.suppressed))
     }
 
-    /// What metrics call an organisation, given how many have more in flight.
+    /// Returns the metric label of an organisation, given how many have more in flight.
     pub fn label<'a>(&mut self, name: &'a Arc<str>, place: usize) -> &'a str {
         if place >= LARGEST {
             return OTHERS;
--- a/almondlock-gateway/src/slots.rs
+++ b/almondlock-gateway/src/slots.rs
@@ -1,7 +1,8 @@
-//! Short prompts that wait at the host for a free slot of an engine.
+//! Queues short prompts at the host until an engine has a free slot.
 //!
-//! [`almondlock_policy::slots`] decides; here it is told of the engines, and those that it
-//! grants a slot are woken. A prompt that waits holds no connection and no engine memory.
+//! [`almondlock_policy::slots`] decides which prompts are sent. This module feeds it with
+//! the engines' state and wakes the requests that are granted a slot. A waiting prompt
+//! holds no connection and no engine memory.
 
 use std::{
     cell::RefCell,
@@ -30,22 +31,22 @@
     worker::{Target, Worker},
 };
 
-/// How often a prompt that waits looks whether slots are seen free: twice within the age of
-/// what is known.
+/// Time after which a waiting prompt checks for free slots again: twice within the age of
+/// the information.
 const LOOK: Duration = Duration::from_millis(20);
 
-/// The age of the account from which all engines are looked at for it while prompts wait.
-/// Placements usually do so more often.
+/// Age of the account of slots at which it is made anew while prompts wait. Placements
+/// usually do so more often.
 const REFRESH: Duration = STATE_AGE.saturating_mul(2);
 
-/// Passes of an engine from a slot to the first event at most: the one that runs, and its
-/// own.
+/// Maximum number of engine passes from getting a slot to the first event: the pass in
+/// progress, and the prompt's own.
 const PASSES: u32 = 2;
 
 /// A slot that a prompt was granted.
 #[derive(Debug, Default)]
 pub(crate) struct Grant {
-    /// The engine that one of this host's streams has left, if it is such a slot.
+    /// The engine, if the slot was left by one of this host's streams.
     upstream: Option<Upstream>,
 }
 
@@ -55,14 +56,14 @@
     desk: Allocator,
     waiters: BTreeMap<Ticket, oneshot::Sender<Grant>>,
     looked: Mono,
-    /// The objective of the prompts that ask.
+    /// The objective of the service's prompts.
     objective: Duration,
 }
 
 impl Queue {
     fn wake(&mut self, ticket: Ticket, grant: Grant) {
         if let Some(waiter) = self.waiters.remove(&ticket) {
-            // Whoever waited may be leaving: it passes the slot on.
+            // The waiter may be gone; then its drop passes the slot on.
             let _ = waiter.send(grant);
         }
     }
@@ -74,7 +75,7 @@
     }
 }
 
-/// Those of all services.
+/// The waiting prompts of all services.
 #[derive(Debug, Default)]
 pub(crate) struct Queues(RefCell<HashMap<Service, Queue>>);
 
@@ -91,7 +92,7 @@
     }
 }
 
-/// A request's slot as long as it runs.
+/// The slot of a request that is running.
 #[derive(Debug)]
 pub(crate) struct Slot {
     service: Service,
@@ -99,18 +100,18 @@
     slots: u32,
 }
 
-/// What a decision is made with.
+/// The input for deciding whether a short prompt is sent.
 pub(crate) struct Admission<'a> {
     pub(crate) request: &'a Request,
     pub(crate) speed: &'a Speed,
     pub(crate) targets: &'a [Target],
     pub(crate) candidates: &'a [Candidate],
-    /// It may be told to wait.
+    /// Whether the request may be told to wait.
     pub(crate) may_wait: bool,
     pub(crate) grant: Option<&'a Grant>,
 }
 
-/// A request that waits. Leaves the line when dropped.
+/// A waiting request. Leaves the queue when dropped.
 pub(crate) struct Waiter<D>
 where
     D: Dialect,
@@ -119,7 +120,7 @@
     service: Service,
     ticket: Ticket,
     granted: oneshot::Receiver<Grant>,
-    // What its organisation waits for.
+    // The request's part of what its organisation waits for.
     _claim: Option<Claim>,
 }
 
@@ -275,7 +276,7 @@
         })
     }
 
-    /// The engine whose slot the prompt was granted, if that is still free.
+    /// Returns the engine whose slot the prompt was granted, if that slot is still free.
     fn granted_place(&self, question: &Admission<'_>) -> Option<usize> {
         let upstream = question.grant?.upstream.as_ref()?;
         let mut targets = question.targets.iter();
@@ -305,7 +306,7 @@
         })
     }
 
-    /// A request has ended, and its slot goes to the next one that waits.
+    /// Passes the slot of a request that has ended to the next waiting one.
     pub(crate) fn leave_slot(&self, slot: &Slot, upstream: &Upstream) {
         let now = clock::mono();
         let total = self.load.borrow().total(now, upstream);
@@ -322,8 +323,8 @@
         });
     }
 
-    /// Wakes the prompts for which slots are seen free, or that have waited for as long as
-    /// they may.
+    /// Wakes the prompts for which there are free slots, and those that have waited for as
+    /// long as they may.
     fn check_slots(&self, service: &Service, objective: Duration) {
         let now = clock::mono();
         let is_due = self.waiting_prompts.with(service, |line| {
@@ -360,7 +361,7 @@
         });
     }
 
-    /// Wakes all that wait.
+    /// Wakes all waiting prompts of a service.
     fn release_all(&self, service: &Service) {
         self.waiting_prompts.with(service, |line| {
             let all = line.desk.drain();
--- a/almondlock-gateway/src/standing.rs
+++ b/almondlock-gateway/src/standing.rs
@@ -1,4 +1,5 @@
-//! Requests of organisations that are over their share of the engines.
+//! Applies fair shares to requests: counts what organisations have in flight, and ranks
+//! requests of organisations that are over their share of the engines behind others.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,9 +22,11 @@
     worker::Worker,
 };
 
-/// Refused requests that count as waiting. The oldest go first.
+/// Maximum number of refused requests that count as waiting. Beyond it the oldest are
+/// dropped.
 const REFUSED: usize = 256;
-/// A refused request counts as waiting no longer than this: its caller may not return.
+/// Maximum time for which a refused request counts as waiting, since its caller may not
+/// return.
 const RETURNS: Duration = Duration::from_secs(1);
 
 /// What this host knows of organisations' shares.
@@ -31,11 +34,11 @@
 pub(crate) struct Shares {
     ledger: Ledger,
     known: RefCell<Findings>,
-    /// When each claim of a refused request ends.
+    /// Claims of refused requests, each with the time at which it ends.
     refused: RefCell<VecDeque<(Mono, Claim)>>,
-    /// The ranks of the kinds of requests that came, a bit each, by service.
+    /// Ranks of the kinds of requests that came, one bit each, by service.
     kinds: RefCell<HashMap<Service, u16>>,
-    /// When the last report was made, its number, and whether it was empty.
+    /// Time and number of the last report, and whether it was empty.
     reported: Cell<(Mono, u32, bool)>,
     notices: RefCell<Notices>,
 }
@@ -44,7 +47,7 @@
 where
     D: Dialect,
 {
-    /// How a request's organisation stands with its share of the service's engines.
+    /// Returns whether a request's organisation is over its share of the service's engines.
     pub(crate) fn standing(&self, now: Mono, request: &Request) -> Standing {
         self.finding(now, request)
             .map_or(Standing::Within, |finding| Standing::Over {
@@ -52,8 +55,8 @@
             })
     }
 
-    /// The rank of a request at an engine: one further back if its organisation is over its
-    /// share, never level with a less urgent kind.
+    /// Returns the rank of a request at an engine. It is one further back if the request's
+    /// organisation is over its share, but never that of a less urgent kind.
     pub(crate) fn priority(&self, request: &Request, now: Mono) -> u32 {
         let own = request.priority();
         if self.accounted_organisation(request).is_none() {
@@ -84,7 +87,7 @@
         Some(ledger.claim_sent(request.service.as_str(), &organisation.name, reading))
     }
 
-    /// Counts a request as waiting for a resource, until the claim is dropped.
+    /// Counts a request that waits for a resource, until the claim is dropped.
     pub(crate) fn claim_waiting(&self, request: &Request, resource: Resource) -> Option<Claim> {
         let organisation = self.accounted_organisation(request)?;
         let (service, name) = (request.service.as_str(), &organisation.name);
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Counts a request as waiting for a resource whose caller was told to return.
+    /// Counts a refused request, whose caller was told to return, as waiting for a
+    /// resource.
     pub(crate) fn note_refused(
         &self,
         request: &Request,
@@ -117,7 +121,7 @@
         refused.push_back((until, claim));
     }
 
-    /// The reading time of a request's prompt, on all engines together.
+    /// Returns the reading time of a request's prompt on all engines together.
     fn reading(&self, request: &Request) -> Option<Duration> {
         let known = self.snapshot();
         let service = known.rules.as_ref()?.service(&request.service)?;
@@ -125,8 +129,8 @@
         Some(speed.reading_time(request.demand?.prompt))
     }
 
-    /// Logs and counts a request that others are served before, since its organisation is
-    /// over its share. `action` tells what was done.
+    /// Logs and counts a request that is served after others because its organisation is
+    /// over its share. `action` says what was done.
     pub(crate) fn note_deprioritised(&self, request: &Request, now: Mono, action: &str) {
         let organisation = self.accounted_organisation(request);
         let Some((organisation, finding)) = organisation.zip(self.finding(now, request)) else {
@@ -148,7 +152,7 @@
         );
     }
 
-    /// What this host tells relays of its organisations, if it is time to.
+    /// Returns this host's report to the relays, if one is due.
     pub(crate) fn due_share_report(&self, now: Mono) -> Option<Envelope> {
         let (at, number, was_empty) = self.shares.reported.get();
         if !self.are_shares_in_force() || now.since(at) < PERIOD {
@@ -166,13 +170,13 @@
             number,
             counts,
         };
-        // An empty one is told once.
+        // An empty report is sent once.
         (!is_empty || !was_empty && number > 1)
             .then(|| Envelope::encode(&report))
             .flatten()
     }
 
-    /// A relay told the sums of all hosts.
+    /// Takes in a relay's sums over all hosts.
     pub(crate) fn receive_totals(&self, now: Mono, relay: SocketAddr, envelope: &Envelope) {
         if !self.are_shares_in_force() {
             return;
@@ -194,8 +198,8 @@
         heard.receive(now, relay, &totals, capacity);
     }
 
-    /// Whether shares are computed: the settings ask for it, and there are organisations to
-    /// share among.
+    /// Returns whether shares are computed: the settings ask for it, and there are several
+    /// organisations.
     fn are_shares_in_force(&self) -> bool {
         self.features.fair_shares
             && self
@@ -205,7 +209,7 @@
                 .is_some_and(|rules| rules.has_several_organisations())
     }
 
-    /// The organisation that a request for an engine counts for.
+    /// Returns the organisation that a request for an engine counts for.
     fn accounted_organisation<'a>(&self, request: &'a Request) -> Option<&'a Arc<Organisation>> {
         let organisation = request.organisation.as_ref()?;
         let counts = request.demand.is_some() && self.are_shares_in_force();
@@ -219,7 +223,8 @@
         self.shares.known.borrow().excess(now, relay, tag)
     }
 
-    /// Names the organisation that a request was put behind, as far as it is known.
+    /// Returns the name of the organisation that a request was ranked behind, as far as it
+    /// is known.
     fn behind(&self, organisation: Option<Key>) -> String {
         let Some(key) = organisation else {
             return OTHERS.to_owned();
--- a/almondlock-gateway/src/suspicion.rs
+++ b/almondlock-gateway/src/suspicion.rs
@@ -1,9 +1,10 @@
-//! Requests that upstreams were lost with, as one host sees them.
+//! Refuses requests that upstreams were lost with, and reports such losses to the relays.
 //!
 //! **Failure.** A request crashes each upstream that runs it, and its caller sends it again
-//! through other hosts. Each host alone sees one or two upstreams lost, as happens at any
-//! time, and the fleet loses one after the other. So hosts tell the relays, which count over
-//! all hosts ([`almondlock_policy::poison::tally`]).
+//! through other hosts. Each host by itself sees one or two upstreams lost, which also
+//! happens without such a request, and the fleet loses one upstream after the other. So
+//! hosts report losses to the relays, which count them over all hosts
+//! ([`almondlock_policy::poison::tally`]).
 
 use std::{
     cell::RefCell,
@@ -27,26 +28,27 @@
     worker::Worker,
 };
 
-/// The most requests that this host watches, and that it refuses.
+/// Maximum number of requests that this host watches, and of those that it refuses.
 const KEPT: usize = 4_096;
-/// The most messages that wait to be sent. Losses beyond them are not told.
+/// Maximum number of messages that wait to be sent. Further losses are not reported.
 const QUEUED: usize = 256;
-/// Stands for the organisation of requests without a key.
+/// Organisation of requests without a key, for fingerprints.
 const PUBLIC: &str = "public";
 
-/// What a host knows and has to tell.
+/// The suspected requests that a host knows, and its messages to the relays.
 #[derive(Debug, Default)]
 pub(crate) struct Suspicion {
-    /// Until when requests are refused.
+    /// Refused requests, with the time until which they are refused.
     refused: RefCell<HashMap<Fingerprint, Mono>>,
-    /// Requests whose answer is news. Many of them are given up and never answered.
+    /// Requests whose answer is reported to the relays. Many are abandoned and never
+    /// answered.
     watched: RefCell<HashSet<Fingerprint>>,
     news: RefCell<Vec<Message>>,
     noticed: Notify,
 }
 
 impl Suspicion {
-    /// A relay told how requests stand.
+    /// Takes in the state of suspected requests from a relay.
     pub(crate) fn receive(&self, now: Mono, suspects: &[Suspect]) {
         let (mut refused, mut watched) = (self.refused.borrow_mut(), self.watched.borrow_mut());
         refused.retain(|_, until| now < *until);
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Waits until there is something to tell.
+    /// Waits until there are messages to send.
     pub(crate) async fn noticed(&self) {
         self.noticed.notified().await;
     }
@@ -90,7 +92,7 @@
         self.refused.borrow().is_empty() && self.watched.borrow().is_empty()
     }
 
-    /// How long a request is still refused.
+    /// Returns for how long a request is still refused.
     fn refusal(&self, now: Mono, print: &Fingerprint) -> Option<Duration> {
         let refused = self.refused.borrow();
         let left = refused.get(print)?.since(now);
@@ -99,7 +101,8 @@
 }
 
 impl Request {
-    /// What copies of the request have in common: caller, method, path and body.
+    /// Returns a hash of what copies of the request have in common: caller, method, path
+    /// and body.
     fn fingerprint(&self) -> Option<Fingerprint> {
         let name = self.organisation.as_ref().map_or(PUBLIC, |o| &*o.name);
         let organisation = Organisation::new(name).ok()?;
@@ -129,8 +132,8 @@
         })
     }
 
-    /// An attempt failed: if its upstream was lost with it, the relays are told.
-    /// `since` is when it was begun.
+    /// Reports to the relays that an upstream was lost with a request, if that is how the
+    /// attempt failed. `since` is when the attempt was sent.
     pub(crate) fn report_loss(&self, request: &Request, broken: &Fault, since: Mono) {
         let (true, Some(upstream)) = (broken.is_connection_lost, &broken.upstream) else {
             return;
@@ -148,7 +151,7 @@
         self.suspicion.tell(Message::Lost(loss));
     }
 
-    /// A request was answered.
+    /// Reports to the relays that a watched request was answered.
     pub(crate) fn clear_suspect(&self, request: &Request) {
         if self.suspicion.watched.borrow().is_empty() {
             return;
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Which life of an upstream is known.
+    /// Returns the start of an upstream's process, as far as it is known.
     fn birth(&self, upstream: &Upstream) -> almondlock_state::instance::Birth {
         let config = self.node.view().get();
         let known = config.instances.get(upstream);
@@ -168,8 +171,8 @@
     }
 }
 
-/// Watches one more. If there is no room all are forgotten: relays tell those again that
-/// matter, from time to time.
+/// Adds a request to the watched ones. If there is no room, all others are forgotten;
+/// relays periodically send again those that matter.
 fn watch(watched: &mut HashSet<Fingerprint>, print: Fingerprint) {
     if watched.len() >= KEPT {
         watched.clear();
