--- a/almondlock-gateway/src/exchange/aggregator.rs
+++ b/almondlock-gateway/src/exchange/aggregator.rs
@@ -20,24 +20,24 @@
 use crate::load::{Key, Load};
 
 /// A host that has sent no report for this time has stopped, and its work ended with it.
-const GONE: Duration = Duration::from_secs(1);
+const HOST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Minimum time between two rounds of sums.
-const ROUND: Duration = Duration::from_millis(20);
+const MIN_ROUND: Duration = Duration::from_millis(20);
 /// Minimum time between two rounds for each host that follows the relay closely. This
 /// bounds the relay to 2,000 sums a second, a few hundredths of a core.
 const ROUND_PER_HOST: Duration = Duration::from_micros(500);
 /// Maximum time between two rounds, however many hosts follow the relay, as when it is the
 /// only one left: a third of the silence after which they leave it.
-const ROUND_MOST: Duration = Duration::from_millis(50);
+const MAX_ROUND: Duration = Duration::from_millis(50);
 /// A sum without changes is sent only every this number of rounds, to show that the relay
 /// is alive. This holds only while the time between rounds is the shortest.
-const QUIET_ROUNDS: u64 = 3;
+const ROUNDS_PER_QUIET_SUM: u64 = 3;
 
 /// Number of rounds in which each upstream's load is sent once even if it hasn't changed,
 /// and after which introductions are sent. This is 1 s, or 2.5 s with the longest rounds.
-const REPEAT: u64 = 50;
+const REPEAT_ROUNDS: u64 = 50;
 /// Number of rounds between two beacons to a host.
-const SELDOM: u64 = 25;
+const BEACON_ROUNDS: u64 = 25;
 /// Maximum number of other hosts that a host is told of. It reports its loads to them while
 /// no relay answers. Each host is told of those that follow it in the order of addresses,
 /// so that all hosts hear from the same number of others.
@@ -45,22 +45,22 @@
 /// Change of a backlog, in milliseconds, that is sent at once: the reading time of a short
 /// prompt. A smaller change makes no difference to a choice, and is sent when the upstream
 /// is repeated.
-const READING: u16 = 20;
+const READING_CHANGE_MS: u16 = 20;
 /// Change of the memory in use, in blocks, that is sent at once: that of a short prompt.
-const MEMORY: u16 = 64;
+const MEMORY_CHANGE_BLOCKS: u16 = 64;
 
 #[derive(Debug)]
-struct Told {
+struct Received {
     at: Mono,
     digest: Digest,
     /// Whether the host was sent a complete sum since it began to follow closely.
-    is_met: bool,
+    has_whole_sum: bool,
 }
 
 /// The last reports of all hosts.
 #[derive(Debug, Default)]
 pub struct Aggregator {
-    hosts: HashMap<SocketAddr, Told>,
+    hosts: HashMap<SocketAddr, Received>,
     /// The loads as they were last sent.
     sent: BTreeMap<Key, Load>,
     rounds: u64,
@@ -88,9 +88,9 @@
     /// Takes in a host's report.
     pub fn receive_report(&mut self, now: Mono, from: SocketAddr, digest: Digest) {
         let last = self.hosts.get(&from);
-        let is_met = last.is_some_and(|last| {
+        let has_whole_sum = last.is_some_and(|last| {
             let same = last.digest.host == digest.host;
-            last.is_met && same && last.digest.listens == digest.listens
+            last.has_whole_sum && same && last.digest.listens == digest.listens
         });
         // A datagram that arrives after a later one is out of date.
         let is_late = last.is_some_and(|last| {
@@ -98,7 +98,14 @@
         });
         if !is_late {
             let at = now;
-            self.hosts.insert(from, Told { at, digest, is_met });
+            self.hosts.insert(
+                from,
+                Received {
+                    at,
+                    digest,
+                    has_whole_sum,
+                },
+            );
         }
     }
 
@@ -119,15 +126,16 @@
         let close = all.filter(|told| told.digest.listens == Subscription::Closely);
         let followers = u32::try_from(close.count()).unwrap_or(u32::MAX);
         let shared = ROUND_PER_HOST.saturating_mul(followers);
-        shared.clamp(ROUND, ROUND_MOST)
+        shared.clamp(MIN_ROUND, MAX_ROUND)
     }
 
     /// Begins a round and returns what to send in it. `domain` is the relay's failure
     /// domain.
     pub fn next_round(&mut self, now: Mono, domain: &Domain) -> Round {
-        self.hosts.retain(|_, told| now.since(told.at) < GONE);
+        self.hosts
+            .retain(|_, told| now.since(told.at) < HOST_TIMEOUT);
         self.rounds += 1;
-        let all = self.all();
+        let all = self.sum_all();
         let hosts = u32::try_from(self.hosts.len()).unwrap_or(u32::MAX);
         let mut round = Round {
             changes: Sum {
@@ -137,20 +145,21 @@
             },
             ..Round::default()
         };
-        let is_seldom = self.rounds.is_multiple_of(SELDOM);
-        let is_short = self.period() == ROUND;
-        let is_quiet =
-            round.changes.loads.is_empty() && is_short && !self.rounds.is_multiple_of(QUIET_ROUNDS);
+        let is_seldom = self.rounds.is_multiple_of(BEACON_ROUNDS);
+        let is_short = self.period() == MIN_ROUND;
+        let is_quiet = round.changes.loads.is_empty()
+            && is_short
+            && !self.rounds.is_multiple_of(ROUNDS_PER_QUIET_SUM);
         for (to, told) in &mut self.hosts {
             let number = told.digest.number;
             match told.digest.listens {
-                Subscription::Closely if told.is_met && is_quiet => {}
-                Subscription::Closely if told.is_met => round.followers.push((*to, number)),
+                Subscription::Closely if told.has_whole_sum && is_quiet => {}
+                Subscription::Closely if told.has_whole_sum => round.followers.push((*to, number)),
                 Subscription::Closely => round.newcomers.push((*to, number)),
                 Subscription::Seldom if is_seldom => round.beacons.push(*to),
                 Subscription::Seldom | Subscription::No => {}
             }
-            told.is_met = true;
+            told.has_whole_sum = true;
         }
         let is_whole_due = !round.newcomers.is_empty();
         round.whole = is_whole_due.then(|| Sum {
@@ -158,13 +167,13 @@
             is_whole: true,
             loads: all.iter().map(|(key, load)| (*key, *load)).collect(),
         });
-        if self.rounds.is_multiple_of(REPEAT) {
+        if self.rounds.is_multiple_of(REPEAT_ROUNDS) {
             round.introductions = self.introductions(domain);
         }
         round
     }
 
-    fn all(&self) -> BTreeMap<Key, Load> {
+    fn sum_all(&self) -> BTreeMap<Key, Load> {
         let mut all: BTreeMap<Key, Load> = BTreeMap::new();
         for told in self.hosts.values() {
             for (key, load) in &told.digest.loads {
@@ -185,9 +194,9 @@
             loads.push((key, Load::default()));
         }
         for ((key, load), place) in all.iter().zip(0..) {
-            let is_due = place % REPEAT == self.rounds % REPEAT;
+            let is_due = place % REPEAT_ROUNDS == self.rounds % REPEAT_ROUNDS;
             let last = self.sent.get(key);
-            if is_due || last.is_none_or(|last| differs(last, load)) {
+            if is_due || last.is_none_or(|last| has_changed(last, load)) {
                 self.sent.insert(*key, *load);
                 loads.push((*key, *load));
             }
@@ -214,9 +223,9 @@
 }
 
 /// Returns whether a load has changed by at least as much as a short prompt changes it.
-fn differs(last: &Load, load: &Load) -> bool {
+fn has_changed(last: &Load, load: &Load) -> bool {
     let counts = |load: &Load| (load.waiting, load.streams, load.short);
     counts(last) != counts(load)
-        || last.reading.abs_diff(load.reading) >= READING
-        || last.memory.abs_diff(load.memory) >= MEMORY
+        || last.reading.abs_diff(load.reading) >= READING_CHANGE_MS
+        || last.memory.abs_diff(load.memory) >= MEMORY_CHANGE_BLOCKS
 }
--- a/almondlock-gateway/src/exchange/host.rs
+++ b/almondlock-gateway/src/exchange/host.rs
@@ -8,9 +8,9 @@
 use tokio::{net::UdpSocket, time::sleep};
 
 use super::{
-    DATAGRAM, Digest, Limit, Message, Observation, Relays, Subscription, Sum,
-    limiter::REPEAT,
-    observed::{IDLE_REPORT, period as report_period},
+    Digest, Limit, MAX_DATAGRAM_BYTES, Message, Observation, Relays, Subscription, Sum,
+    limiter::REPEAT_PERIOD,
+    observed::{IDLE_REPORT_PERIOD, period as report_period},
     send,
 };
 use crate::{
@@ -20,9 +20,9 @@
 };
 
 /// Minimum time between two reports to the relay that the host follows closely.
-const GAP: Duration = Duration::from_millis(10);
+const MIN_CLOSE_PERIOD: Duration = Duration::from_millis(10);
 /// Minimum time between two reports to all relays while a prompt is being read.
-const PERIOD: Duration = Duration::from_millis(40);
+const MIN_PERIOD: Duration = Duration::from_millis(40);
 /// Minimum time between two reports to all relays for each host that there is. This bounds
 /// a relay to 2,500 digests a second.
 const PERIOD_PER_HOST: Duration = Duration::from_micros(400);
@@ -30,10 +30,10 @@
 /// second, after which a relay takes the host for stopped.
 const IDLE_PERIOD: Duration = Duration::from_millis(200);
 /// Number of the host's own digests that are kept, since a sum may still include them.
-const REMEMBERED: usize = 64;
+const MAX_KEPT_DIGESTS: usize = 64;
 
 /// State of a host's reports: what was sent and what is due.
-struct Teller {
+struct Reporter {
     host: u64,
     // Number of the last digest.
     number: u32,
@@ -41,24 +41,24 @@
     told: VecDeque<(u32, Vec<(Key, Load)>)>,
     relays: Relays,
     // When the last report was sent to all relays, and whether loads have changed since.
-    all_at: Mono,
-    has_news: bool,
+    all_sent_at: Mono,
+    has_changes: bool,
     // When the last report was sent to the relay that is followed closely, and whether
     // loads have changed since.
-    close_at: Mono,
+    close_sent_at: Mono,
     is_close_due: bool,
     // When all limits were last sent.
-    limits_at: Mono,
+    limits_sent_at: Mono,
     // When observations were last reported, the number of that report, and how many
     // upstreams it had.
-    paces_at: Mono,
+    paces_sent_at: Mono,
     paces_number: u32,
     paces_count: usize,
 }
 
-impl Teller {
+impl Reporter {
     /// Returns the loads of the digest with this number, or none if it isn't kept any more.
-    fn told(&self, number: u32) -> &[(Key, Load)] {
+    fn loads_of_digest(&self, number: u32) -> &[(Key, Load)] {
         let mut told = self.told.iter();
         let found = told.find(|(other, _)| *other == number);
         found.map_or(&[], |(_, loads)| loads)
@@ -66,7 +66,7 @@
 
     fn digest(&mut self, loads: Vec<(Key, Load)>) -> Digest {
         self.number = self.number.wrapping_add(1).max(1);
-        self.told.truncate(REMEMBERED - 1);
+        self.told.truncate(MAX_KEPT_DIGESTS - 1);
         self.told.push_front((self.number, loads.clone()));
         Digest {
             host: self.host,
@@ -82,23 +82,23 @@
 pub(crate) async fn run<D>(
     worker: Rc<Worker<D>>,
     socket: UdpSocket,
-    named: Vec<SocketAddr>,
+    configured: Vec<SocketAddr>,
     host: u64,
 ) where
     D: Dialect,
 {
-    let mut buffer = vec![0; DATAGRAM];
-    let mut teller = Teller {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    let mut reporter = Reporter {
         host,
         number: 0,
         told: VecDeque::new(),
         relays: Relays::default(),
-        all_at: Mono::ZERO,
-        has_news: false,
-        close_at: Mono::ZERO,
+        all_sent_at: Mono::ZERO,
+        has_changes: false,
+        close_sent_at: Mono::ZERO,
         is_close_due: false,
-        limits_at: Mono::ZERO,
-        paces_at: Mono::ZERO,
+        limits_sent_at: Mono::ZERO,
+        paces_sent_at: Mono::ZERO,
         paces_number: 0,
         paces_count: 0,
     };
@@ -106,9 +106,9 @@
     worker.permits.set_socket(Rc::clone(&socket));
     loop {
         let now = clock::mono();
-        let all_due = teller.all_at + period(&worker, &teller, now);
-        let due = match teller.is_close_due {
-            true => all_due.min(teller.close_at + GAP),
+        let all_due = reporter.all_sent_at + period(&worker, &reporter, now);
+        let due = match reporter.is_close_due {
+            true => all_due.min(reporter.close_sent_at + MIN_CLOSE_PERIOD),
             false => all_due,
         };
         tokio::select! {
@@ -116,18 +116,18 @@
                 // An error means that a relay has stopped. The other relays get each report
                 // too.
                 let Ok((length, from)) = received else { continue };
-                take_in(&worker, &mut teller, from, &buffer[..length]);
+                receive_datagram(&worker, &mut reporter, from, &buffer[..length]);
             }
-            () = worker.load_changed.notified(), if !teller.is_close_due => {
-                teller.is_close_due = true;
-                teller.has_news = true;
+            () = worker.load_changed.notified(), if !reporter.is_close_due => {
+                reporter.is_close_due = true;
+                reporter.has_changes = true;
             }
             () = worker.suspicion.noticed() => {
-                tell_losses(&worker, &socket, &named).await;
+                send_losses(&worker, &socket, &configured).await;
             }
             () = worker.permits.wait_for_change() => {
                 let news = worker.permits.take_changed();
-                tell_limits(&worker, &socket, &named, &news).await;
+                send_limits(&worker, &socket, &configured, &news).await;
             }
             () = sleep(due.since(now)) => {
                 let woken = clock::mono();
@@ -135,19 +135,19 @@
                 if due > now {
                     worker.pacing.record_late_timer(woken, woken.since(due));
                 }
-                tell(&worker, &socket, &named, &mut teller, is_all).await;
+                send_reports(&worker, &socket, &configured, &mut reporter, is_all).await;
             }
         }
     }
 }
 
 /// Returns the time between two reports to all relays at present.
-fn period<D>(worker: &Worker<D>, teller: &Teller, now: Mono) -> Duration
+fn period<D>(worker: &Worker<D>, reporter: &Reporter, now: Mono) -> Duration
 where
     D: Dialect,
 {
     let load = worker.load.borrow();
-    match teller.has_news || load.is_reading() {
+    match reporter.has_changes || load.is_reading() {
         true => report_interval(load.other_hosts(now)),
         false => IDLE_PERIOD,
     }
@@ -158,12 +158,16 @@
 pub fn report_interval(hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
     let shared = PERIOD_PER_HOST.saturating_mul(hosts);
-    PERIOD.max(shared).min(IDLE_PERIOD)
+    MIN_PERIOD.max(shared).min(IDLE_PERIOD)
 }
 
 /// Sends those of these limits that are known to all relays.
-async fn tell_limits<D>(worker: &Worker<D>, socket: &UdpSocket, named: &[SocketAddr], keys: &[Key])
-where
+async fn send_limits<D>(
+    worker: &Worker<D>,
+    socket: &UdpSocket,
+    configured: &[SocketAddr],
+    keys: &[Key],
+) where
     D: Dialect,
 {
     let now = clock::mono();
@@ -175,17 +179,17 @@
     if limits.is_empty() {
         return;
     }
-    for to in addresses(named, &worker.node.view().get().sources) {
+    for to in relay_addresses(configured, &worker.node.view().get().sources) {
         send(socket, to, &Message::Limits(limits.clone())).await;
     }
 }
 
 /// Reports to all relays which requests were lost with upstreams, or answered after that.
-async fn tell_losses<D>(worker: &Worker<D>, socket: &UdpSocket, named: &[SocketAddr])
+async fn send_losses<D>(worker: &Worker<D>, socket: &UdpSocket, configured: &[SocketAddr])
 where
     D: Dialect,
 {
-    let relays = addresses(named, &worker.node.view().get().sources);
+    let relays = relay_addresses(configured, &worker.node.view().get().sources);
     for message in worker.suspicion.take_news() {
         for to in &relays {
             send(socket, *to, &message).await;
@@ -195,33 +199,33 @@
 
 /// Sends a report to the relay that is followed closely or, if `is_all`, to every relay,
 /// and to other hosts while no relay answers.
-async fn tell<D>(
+async fn send_reports<D>(
     worker: &Worker<D>,
     socket: &UdpSocket,
-    named: &[SocketAddr],
-    teller: &mut Teller,
+    configured: &[SocketAddr],
+    reporter: &mut Reporter,
     is_all: bool,
 ) where
     D: Dialect,
 {
     let now = clock::mono();
     let loads = worker.load.borrow().own_loads(now);
-    let digest = teller.digest(loads);
-    let all = addresses(named, &worker.node.view().get().sources);
-    let listened = teller.relays.choose_relays(now, &all, teller.host);
-    teller.close_at = now;
-    teller.is_close_due = false;
+    let digest = reporter.digest(loads);
+    let all = relay_addresses(configured, &worker.node.view().get().sources);
+    let listened = reporter.relays.choose_relays(now, &all, reporter.host);
+    reporter.close_sent_at = now;
+    reporter.is_close_due = false;
     worker
         .permits
         .set_relay_order(listened.iter().map(|(relay, _)| *relay), &all);
-    if is_all && now.since(teller.limits_at) >= REPEAT {
-        teller.limits_at = now;
+    if is_all && now.since(reporter.limits_sent_at) >= REPEAT_PERIOD {
+        reporter.limits_sent_at = now;
         let limited = worker.limits.borrow().limited_keys();
-        tell_limits(worker, socket, named, &limited).await;
+        send_limits(worker, socket, configured, &limited).await;
     }
     if is_all {
-        teller.all_at = now;
-        teller.has_news = false;
+        reporter.all_sent_at = now;
+        reporter.has_changes = false;
         if let Some(report) = worker.due_share_report(now) {
             let message = Message::Shares(report);
             for to in &all {
@@ -230,10 +234,10 @@
         }
         if worker.features.observed_pace {
             let closely = listened.first().map(|(relay, _)| *relay);
-            tell_paces(worker, socket, teller, &all, closely).await;
+            send_paces(worker, socket, reporter, &all, closely).await;
         }
     }
-    let directly = teller.relays.direct_peers(now);
+    let directly = reporter.relays.direct_peers(now);
     for to in all.into_iter().chain(directly) {
         let listens = listened.iter().find(|(relay, _)| *relay == to);
         let listens = listens.map_or(Subscription::No, |(_, pace)| *pace);
@@ -249,31 +253,31 @@
 
 /// Reports to all relays what this host observed of upstreams, if that is due. `closely` is
 /// the relay that this host asks for the observations of all hosts.
-async fn tell_paces<D>(
+async fn send_paces<D>(
     worker: &Worker<D>,
     socket: &UdpSocket,
-    teller: &mut Teller,
+    reporter: &mut Reporter,
     relays: &[SocketAddr],
     closely: Option<SocketAddr>,
 ) where
     D: Dialect,
 {
     let now = clock::mono();
-    if now.since(teller.paces_at) < report_period(teller.paces_count) {
+    if now.since(reporter.paces_sent_at) < report_period(reporter.paces_count) {
         return;
     }
     let paces = worker.own_paces(now);
-    let is_quiet = paces.is_empty() && teller.paces_count == 0;
-    if is_quiet && now.since(teller.paces_at) < IDLE_REPORT {
+    let is_quiet = paces.is_empty() && reporter.paces_count == 0;
+    if is_quiet && now.since(reporter.paces_sent_at) < IDLE_REPORT_PERIOD {
         return;
     }
-    teller.paces_at = now;
-    teller.paces_number = teller.paces_number.wrapping_add(1);
-    teller.paces_count = paces.len();
+    reporter.paces_sent_at = now;
+    reporter.paces_number = reporter.paces_number.wrapping_add(1);
+    reporter.paces_count = paces.len();
     for to in relays {
         let report = Observation {
-            host: teller.host,
-            number: teller.paces_number,
+            host: reporter.host,
+            number: reporter.paces_number,
             follows: closely == Some(*to),
             paces: paces.clone(),
         };
@@ -281,7 +285,7 @@
     }
 }
 
-fn take_in<D>(worker: &Worker<D>, teller: &mut Teller, from: SocketAddr, bytes: &[u8])
+fn receive_datagram<D>(worker: &Worker<D>, reporter: &mut Reporter, from: SocketAddr, bytes: &[u8])
 where
     D: Dialect,
 {
@@ -289,17 +293,17 @@
     let read = postcard::take_from_bytes(bytes).and_then(|(message, rest)| match message {
         Message::Sum { included } => {
             let sum: Sum = postcard::from_bytes(rest)?;
-            teller.relays.receive(now, from, sum.hosts);
-            let own = teller.told(included);
+            reporter.relays.receive(now, from, sum.hosts);
+            let own = reporter.loads_of_digest(included);
             worker.load.borrow_mut().receive_sum(now, from, sum, own);
             Ok(())
         }
         Message::Beacon { hosts } => {
-            teller.relays.receive(now, from, hosts);
+            reporter.relays.receive(now, from, hosts);
             Ok(())
         }
         Message::Introduction(told) => {
-            teller
+            reporter
                 .relays
                 .receive_introduction(now, from, &worker.domain, &told);
             Ok(())
@@ -347,9 +351,9 @@
 
 /// Returns the relays: those of the settings, and one beside each present replica, on the
 /// same port.
-fn addresses(named: &[SocketAddr], replicas: &[SocketAddr]) -> Vec<SocketAddr> {
-    let mut relays = named.to_vec();
-    if let Some(port) = named.first().map(SocketAddr::port) {
+fn relay_addresses(configured: &[SocketAddr], replicas: &[SocketAddr]) -> Vec<SocketAddr> {
+    let mut relays = configured.to_vec();
+    if let Some(port) = configured.first().map(SocketAddr::port) {
         let beside = replicas
             .iter()
             .map(|replica| SocketAddr::new(replica.ip(), port));
--- a/almondlock-gateway/src/exchange/limiter.rs
+++ b/almondlock-gateway/src/exchange/limiter.rs
@@ -13,37 +13,37 @@
 use crate::load::Key;
 
 /// Time after which all limits are sent again, in case a datagram was lost.
-pub(super) const REPEAT: Duration = Duration::from_secs(1);
+pub(super) const REPEAT_PERIOD: Duration = Duration::from_secs(1);
 /// A limit that no host has reported for this time is forgotten: the upstream is gone, or
 /// no host sends to it.
-const FORGET: Duration = Duration::from_secs(5);
+const REPORT_MAX_AGE: Duration = Duration::from_secs(5);
 /// Time after which to ask again a relay that doesn't know the number of relays yet.
-const UNREADY: Duration = Duration::from_millis(500);
+const UNREADY_RETRY: Duration = Duration::from_millis(500);
 
 /// Limits and permits at one relay.
 #[derive(Debug, Default)]
 pub struct Limiter {
     limits: Limits<Key>,
     // When each limit was last reported.
-    told: HashMap<Key, Mono>,
+    reported: HashMap<Key, Mono>,
     issuer: Issuer<Key>,
     // Limits that have changed and were not sent to hosts yet.
-    news: BTreeSet<Key>,
-    repeated: Mono,
+    changed: BTreeSet<Key>,
+    all_sent_at: Mono,
 }
 
 impl Limiter {
     /// Takes in limits that a host reported.
     pub fn receive(&mut self, now: Mono, limits: &[Limit]) {
         for limit in limits {
-            self.told.insert(limit.key, now);
+            self.reported.insert(limit.key, now);
             if self.limits.learn(&limit.key, limit.notice(now)) {
                 let rate = limit.rate.map(Rate::per_second);
                 tracing::info!(
                     upstream = %limit.key, per_second = rate, source = "host",
                     age_ms = limit.age_ms, "limit changed"
                 );
-                self.news.insert(limit.key);
+                self.changed.insert(limit.key);
             }
         }
     }
@@ -57,7 +57,7 @@
         let rate = Bound::of(named, ask.cold).map(|bound| bound.rate());
         let taken = match (rate, parts) {
             (None, _) => Ok(()),
-            (Some(_), 0) => Err(UNREADY),
+            (Some(_), 0) => Err(UNREADY_RETRY),
             (Some(rate), parts) => self.issuer.take(now, ask.limit.key, rate, parts),
         };
         Permit {
@@ -69,18 +69,19 @@
     /// Returns what to send to hosts in this round: the limits that have changed, or
     /// periodically all of them.
     pub fn take_updates(&mut self, now: Mono) -> Vec<Limit> {
-        if now.since(self.repeated) < REPEAT {
-            let news = std::mem::take(&mut self.news).into_iter();
-            let news = news.filter_map(|key| Some((key, self.limits.notice(&key)?)));
-            return news
+        if now.since(self.all_sent_at) < REPEAT_PERIOD {
+            let changed = std::mem::take(&mut self.changed).into_iter();
+            let changed = changed.filter_map(|key| Some((key, self.limits.notice(&key)?)));
+            return changed
                 .map(|(key, notice)| Limit::of(now, key, &notice))
                 .collect();
         }
-        self.repeated = now;
-        self.news.clear();
-        self.told.retain(|_, at| now.since(*at) < FORGET);
-        self.limits.retain(|key| self.told.contains_key(key));
-        self.issuer.retain(|key| self.told.contains_key(key));
+        self.all_sent_at = now;
+        self.changed.clear();
+        self.reported
+            .retain(|_, at| now.since(*at) < REPORT_MAX_AGE);
+        self.limits.retain(|key| self.reported.contains_key(key));
+        self.issuer.retain(|key| self.reported.contains_key(key));
         self.all(now)
     }
 
--- a/almondlock-gateway/src/exchange/message.rs
+++ b/almondlock-gateway/src/exchange/message.rs
@@ -17,7 +17,7 @@
 use crate::load::{Key, Load};
 
 /// Maximum number of loads in one datagram. Each takes up to 20 bytes.
-const LOADS: usize = 2_500;
+const MAX_LOADS: usize = 2_500;
 
 /// A datagram, or the head of one.
 #[derive(Clone, Debug, PartialEq)]
@@ -195,7 +195,7 @@
     pub fn parts(&self) -> Vec<Sum> {
         let mut parts: Vec<Sum> = self
             .loads
-            .chunks(LOADS)
+            .chunks(MAX_LOADS)
             .map(|loads| Sum {
                 hosts: self.hosts,
                 is_whole: false,
--- a/almondlock-gateway/src/exchange/mod.rs
+++ b/almondlock-gateway/src/exchange/mod.rs
@@ -62,7 +62,7 @@
 };
 
 /// Maximum size of a datagram, in bytes.
-const DATAGRAM: usize = 60 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
 
 pub(crate) async fn send(socket: &UdpSocket, to: SocketAddr, message: &Message) {
     match postcard::to_stdvec(message) {
--- a/almondlock-gateway/src/exchange/observed.rs
+++ b/almondlock-gateway/src/exchange/observed.rs
@@ -18,17 +18,17 @@
 /// Maximum number of upstreams in one datagram. Each takes up to 25 bytes.
 pub const MAX_PACES: usize = 2_000;
 /// Time between two reports of a host with nothing to report, which show that it listens.
-pub(super) const IDLE_REPORT: Duration = Duration::from_millis(1_000);
+pub(super) const IDLE_REPORT_PERIOD: Duration = Duration::from_millis(1_000);
 /// Minimum and maximum time between two reports of a host, and between two rounds of a
 /// relay.
-const ROUND: Duration = Duration::from_millis(200);
-const ROUND_MOST: Duration = Duration::from_millis(1_000);
+const MIN_ROUND: Duration = Duration::from_millis(200);
+const MAX_ROUND: Duration = Duration::from_millis(1_000);
 /// Minimum time between two reports or rounds for each upstream in them, so that a relay
 /// and a host send each other at most 20 kB a second with a thousand upstreams.
 const ROUND_PER_UPSTREAM: Duration = Duration::from_millis(1);
 /// Number of steps of the slowness scale for each doubling, and the step of a slowness of
 /// 1.
-const STEPS: f64 = 16.0;
+const STEPS_PER_DOUBLING: f64 = 16.0;
 const STEP_OF_ONE: f64 = 64.0;
 
 /// Returns the time until the next report or round, after one with this number of
@@ -36,7 +36,7 @@
 pub(super) fn period(upstreams: usize) -> Duration {
     let upstreams = u32::try_from(upstreams).unwrap_or(u32::MAX);
     let period = ROUND_PER_UPSTREAM.saturating_mul(upstreams);
-    period.clamp(ROUND, ROUND_MOST)
+    period.clamp(MIN_ROUND, MAX_ROUND)
 }
 
 /// What was observed of an upstream within the window.
@@ -67,7 +67,7 @@
     /// Makes the message for an account, as sent at `now`.
     pub fn of(now: Mono, key: Key, birth: Birth, account: &Summary) -> Pace {
         let count = |count: u32| u8::try_from(count).unwrap_or(u8::MAX);
-        let step = account.slowness.max(1e-3).log2() * STEPS + STEP_OF_ONE;
+        let step = account.slowness.max(1e-3).log2() * STEPS_PER_DOUBLING + STEP_OF_ONE;
         Pace {
             key,
             birth,
@@ -90,7 +90,7 @@
             failures: self.failures.into(),
             capped_failures: self.witnessed.into(),
             time_weight: self.samples.into(),
-            slowness: ((f64::from(self.slowness) - STEP_OF_ONE) / STEPS).exp2(),
+            slowness: ((f64::from(self.slowness) - STEP_OF_ONE) / STEPS_PER_DOUBLING).exp2(),
             newest: now - Duration::from_millis(self.age_ms.into()),
         }
     }
@@ -111,7 +111,7 @@
 }
 
 #[derive(Debug)]
-struct Told {
+struct Received {
     at: Mono,
     report: Observation,
 }
@@ -119,7 +119,7 @@
 /// The hosts' observations that one relay knows.
 #[derive(Debug, Default)]
 pub struct Paces {
-    hosts: HashMap<SocketAddr, Told>,
+    hosts: HashMap<SocketAddr, Received>,
     next: Mono,
 }
 
@@ -131,7 +131,7 @@
         let is_late =
             last.is_some_and(|last| last.host == report.host && last.number > report.number);
         if !is_late {
-            self.hosts.insert(from, Told { at: now, report });
+            self.hosts.insert(from, Received { at: now, report });
         }
     }
 
@@ -141,7 +141,7 @@
             return None;
         }
         self.hosts.retain(|_, told| now.since(told.at) < WINDOW);
-        let paces = self.pooled(now);
+        let paces = self.pool_reports(now);
         self.next = now + period(paces.len());
         let followers = self.hosts.iter().filter(|(_, told)| told.report.follows);
         let followers = followers.map(|(host, _)| *host).collect();
@@ -150,7 +150,7 @@
 
     /// Pools the reports of all hosts. If they differ in which process of an upstream they
     /// observed, the one that most hosts observed counts.
-    fn pooled(&self, now: Mono) -> Vec<Pace> {
+    fn pool_reports(&self, now: Mono) -> Vec<Pace> {
         let mut lives: BTreeMap<(Key, Birth), Vec<Summary>> = BTreeMap::new();
         for told in self.hosts.values() {
             for pace in &told.report.paces {
--- a/almondlock-gateway/src/exchange/relay.rs
+++ b/almondlock-gateway/src/exchange/relay.rs
@@ -7,15 +7,15 @@
 use tokio::{net::UdpSocket, time::sleep};
 
 use super::{
-    Aggregator, DATAGRAM, Limiter, Message, Paces, Round, Sum, Suspects, send, send_bytes,
-    shares::Tally,
+    Aggregator, Limiter, MAX_DATAGRAM_BYTES, Message, Paces, Round, Sum, Suspects, send,
+    send_bytes, shares::Tally,
 };
 
 /// What a relay knows from the hosts' reports.
 #[derive(Default)]
 struct State {
-    gather: Aggregator,
-    ration: Limiter,
+    aggregator: Aggregator,
+    limiter: Limiter,
     suspects: Suspects,
     shares: Tally,
     paces: Paces,
@@ -29,7 +29,7 @@
     F: Fn() -> u32,
 {
     let mut state = State::default();
-    let mut buffer = vec![0; DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut next = clock::mono();
     loop {
         tokio::select! {
@@ -39,16 +39,16 @@
                     continue;
                 };
                 match postcard::from_bytes(&buffer[..length]) {
-                    Ok(message) => take_in(&socket, &mut state, from, message, relays()).await,
+                    Ok(message) => receive_message(&socket, &mut state, from, message, relays()).await,
                     Err(error) => tracing::debug!(%from, %error, "unreadable datagram"),
                 }
             }
             () = sleep(next.since(clock::mono())) => {
                 let now = clock::mono();
-                let round = state.gather.next_round(now, &domain);
-                next = now + state.gather.period();
+                let round = state.aggregator.next_round(now, &domain);
+                next = now + state.aggregator.period();
                 send_round(&socket, &round).await;
-                send_news(&socket, &mut state, &round).await;
+                send_updates(&socket, &mut state, &round).await;
                 send_totals(&socket, &mut state).await;
                 send_paces(&socket, &mut state).await;
             }
@@ -56,7 +56,7 @@
     }
 }
 
-async fn take_in(
+async fn receive_message(
     socket: &UdpSocket,
     state: &mut State,
     from: SocketAddr,
@@ -65,10 +65,10 @@
 ) {
     let now = clock::mono();
     match message {
-        Message::Tell(digest) => state.gather.receive_report(now, from, digest),
-        Message::Limits(limits) => state.ration.receive(now, &limits),
+        Message::Tell(digest) => state.aggregator.receive_report(now, from, digest),
+        Message::Limits(limits) => state.limiter.receive(now, &limits),
         Message::Ask(ask) => {
-            let permit = state.ration.request_permit(now, &ask, relays);
+            let permit = state.limiter.request_permit(now, &ask, relays);
             send(socket, from, &Message::Permit(permit)).await;
         }
         Message::Lost(loss) => state.suspects.record_loss(now, &loss),
@@ -89,20 +89,20 @@
 
 /// Sends the changes of limits and suspected requests to all hosts, and all of them to new
 /// hosts.
-async fn send_news(socket: &UdpSocket, state: &mut State, round: &Round) {
+async fn send_updates(socket: &UdpSocket, state: &mut State, round: &Round) {
     let now = clock::mono();
-    let news = [
-        some(state.ration.take_updates(now), Message::Limits),
-        some(state.suspects.take_updates(now), Message::Suspects),
+    let updates = [
+        nonempty_message(state.limiter.take_updates(now), Message::Limits),
+        nonempty_message(state.suspects.take_updates(now), Message::Suspects),
     ];
-    for message in news.iter().flatten() {
-        for to in state.gather.hosts() {
+    for message in updates.iter().flatten() {
+        for to in state.aggregator.hosts() {
             send(socket, to, message).await;
         }
     }
     let all = [
-        some(state.ration.all(now), Message::Limits),
-        some(state.suspects.all(now), Message::Suspects),
+        nonempty_message(state.limiter.all(now), Message::Limits),
+        nonempty_message(state.suspects.all(now), Message::Suspects),
     ];
     for message in all.iter().flatten() {
         for (to, _) in &round.newcomers {
@@ -119,7 +119,7 @@
     };
     let message = Message::ShareTotals(envelope);
     for to in hosts {
-        if state.gather.is_followed_by(&to) {
+        if state.aggregator.is_followed_by(&to) {
             send(socket, to, &message).await;
         }
     }
@@ -137,7 +137,7 @@
 }
 
 /// Makes a message of all entries, if there are any.
-fn some<T, F>(entries: Vec<T>, message: F) -> Option<Message>
+fn nonempty_message<T, F>(entries: Vec<T>, message: F) -> Option<Message>
 where
     F: FnOnce(Vec<T>) -> Message,
 {
--- a/almondlock-gateway/src/exchange/relays.rs
+++ b/almondlock-gateway/src/exchange/relays.rs
@@ -12,15 +12,15 @@
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(160);
 /// A relay that is listened to seldom is left after this silence: three of its usual
 /// beacons.
-const SILENCE_SELDOM: Duration = Duration::from_millis(1_500);
+const BEACON_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Number of relays that a host listens to. One of them may be cut off from other hosts
 /// without knowing it.
-const LISTENED: usize = 2;
+const MAX_LISTENED: usize = 2;
 /// Another relay is followed closely if it knows this number of times as many hosts.
-const FAR_MORE: f64 = 1.2;
+const MORE_HOSTS_FACTOR: f64 = 1.2;
 /// Relays in this host's failure domain and other hosts are forgotten if no introduction
 /// named them for this time.
-const FORGET: Duration = Duration::from_secs(4);
+const INTRODUCTION_MAX_AGE: Duration = Duration::from_secs(4);
 
 /// The relays as one host knows them.
 #[derive(Debug, Default)]
@@ -60,10 +60,12 @@
         if told.domain == *own {
             self.near.insert(from, now);
         }
-        self.near.retain(|_, at| now.since(*at) < FORGET);
+        self.near
+            .retain(|_, at| now.since(*at) < INTRODUCTION_MAX_AGE);
         self.peers
             .extend(told.peers.iter().map(|peer| (*peer, now)));
-        self.peers.retain(|_, at| now.since(*at) < FORGET);
+        self.peers
+            .retain(|_, at| now.since(*at) < INTRODUCTION_MAX_AGE);
     }
 
     /// Chooses the relays to listen to from now on. The first is followed closely: one in
@@ -76,15 +78,15 @@
         all: &[SocketAddr],
         first: u64,
     ) -> Vec<(SocketAddr, Subscription)> {
-        let left = self.leave(now, all);
-        for relay in self.order(all, first, &left) {
+        let left = self.remove_silent(now, all);
+        for relay in self.order_relays(all, first, &left) {
             let taken = self.listened.iter().any(|(other, _)| *other == relay);
-            if self.listened.len() < LISTENED && !taken {
+            if self.listened.len() < MAX_LISTENED && !taken {
                 self.listened.push((relay, now));
             }
         }
         self.prefer_near(now, all, &left);
-        self.prefer_far_more(now);
+        self.prefer_more_hosts(now);
         let paces = [Subscription::Closely, Subscription::Seldom];
         let listened = self.listened.iter().zip(paces);
         listened.map(|((relay, _), pace)| (*relay, pace)).collect()
@@ -93,8 +95,8 @@
     /// Leaves relays that are gone or silent, and returns them. One in this failure domain
     /// doesn't count as such until its next introduction: otherwise it would be taken back
     /// at once.
-    fn leave(&mut self, now: Mono, all: &[SocketAddr]) -> Vec<SocketAddr> {
-        let bounds = [RELAY_TIMEOUT, SILENCE_SELDOM];
+    fn remove_silent(&mut self, now: Mono, all: &[SocketAddr]) -> Vec<SocketAddr> {
+        let bounds = [RELAY_TIMEOUT, BEACON_TIMEOUT];
         let listened = std::mem::take(&mut self.listened).into_iter().zip(bounds);
         let (kept, left): (Vec<_>, Vec<_>) = listened
             .partition(|((relay, at), bound)| all.contains(relay) && now.since(*at) < *bound);
@@ -108,26 +110,26 @@
 
     /// Follows the other relay closely if it knows far more hosts: the first one is cut off
     /// from some of them, though not from this host.
-    fn prefer_far_more(&mut self, now: Mono) {
+    fn prefer_more_hosts(&mut self, now: Mono) {
         let [(first, _), (other, _)] = self.listened[..] else {
             return;
         };
-        if self.knows_far_less(first, other) {
+        if self.knows_far_fewer(first, other) {
             self.listened.swap(0, 1);
             self.listened[0].1 = now;
         }
     }
 
     /// Returns whether a relay knows far fewer hosts than another one.
-    fn knows_far_less(&self, relay: SocketAddr, other: SocketAddr) -> bool {
+    fn knows_far_fewer(&self, relay: SocketAddr, other: SocketAddr) -> bool {
         let count = |relay| self.counts.get(&relay).copied().map(f64::from);
         let counts = count(relay).zip(count(other));
-        counts.is_some_and(|(known, more)| more > known * FAR_MORE)
+        counts.is_some_and(|(known, more)| more > known * MORE_HOSTS_FACTOR)
     }
 
     /// Returns all relays in the order in which to take them. Those that were just left
     /// come last.
-    fn order(&self, all: &[SocketAddr], first: u64, left: &[SocketAddr]) -> Vec<SocketAddr> {
+    fn order_relays(&self, all: &[SocketAddr], first: u64, left: &[SocketAddr]) -> Vec<SocketAddr> {
         let start = usize::try_from(first % all.len().max(1) as u64).unwrap_or(0);
         let turned = all.iter().cycle().skip(start).take(all.len());
         let mut order: Vec<SocketAddr> = turned.copied().collect();
@@ -145,7 +147,7 @@
             return;
         }
         let is_near = |relay: &SocketAddr| {
-            self.near.contains_key(relay) && !self.knows_far_less(*relay, first)
+            self.near.contains_key(relay) && !self.knows_far_fewer(*relay, first)
         };
         if let Some(place) = self.listened.iter().position(|(relay, _)| is_near(relay)) {
             self.listened.swap(0, place);
@@ -155,7 +157,7 @@
         let mut near = all.iter().filter(|relay| is_near(relay));
         if let Some(relay) = near.find(|relay| !left.contains(relay)).copied() {
             self.listened.insert(0, (relay, now));
-            self.listened.truncate(LISTENED);
+            self.listened.truncate(MAX_LISTENED);
         }
     }
 
--- a/almondlock-gateway/src/exchange/shares.rs
+++ b/almondlock-gateway/src/exchange/shares.rs
@@ -33,7 +33,7 @@
 /// others are summed up.
 pub const MAX_LISTED: usize = 64;
 /// Maximum number of services for which a datagram has a sum of unlisted organisations.
-const SERVICES: usize = 16;
+const MAX_SERVICES: usize = 16;
 
 /// Contents with the version of their format. A receiver ignores contents of another
 /// format.
@@ -127,7 +127,7 @@
         }
         let mut rests: Vec<(Key, Unlisted)> = rests.into_iter().collect();
         rests.sort_by_key(|(_, rest)| Reverse(rest.usage.sort_key()));
-        rests.truncate(SERVICES);
+        rests.truncate(MAX_SERVICES);
         Counts { listed, rests }
     }
 
@@ -173,8 +173,8 @@
 /// Adds up the hosts' reports at a relay. Does no I/O.
 #[derive(Debug, Default)]
 pub struct Tally {
-    told: HashMap<SocketAddr, (Mono, Report)>,
-    taken: Mono,
+    reports: HashMap<SocketAddr, (Mono, Report)>,
+    taken_at: Mono,
 }
 
 impl Tally {
@@ -185,31 +185,31 @@
         };
         // A datagram that arrives after a later one is out of date.
         let is_late = self
-            .told
+            .reports
             .get(&from)
             .is_some_and(|(_, last)| last.host == report.host && last.number > report.number);
         if !is_late {
-            self.told.insert(from, (now, report));
+            self.reports.insert(from, (now, report));
         }
     }
 
     /// If it is time to send them, returns the sums and the hosts that reported.
     pub fn take_updates(&mut self, now: Mono) -> Option<(Envelope, Vec<SocketAddr>)> {
-        if self.told.is_empty() || now.since(self.taken) < PERIOD {
+        if self.reports.is_empty() || now.since(self.taken_at) < PERIOD {
             return None;
         }
-        self.taken = now;
+        self.taken_at = now;
         let totals = self.totals(now);
-        let hosts = self.told.keys().copied().collect();
+        let hosts = self.reports.keys().copied().collect();
         Envelope::encode(&totals).map(|envelope| (envelope, hosts))
     }
 
     fn totals(&mut self, now: Mono) -> Totals {
-        self.told.retain(|_, (at, _)| now.since(*at) < MAX_AGE);
+        self.reports.retain(|_, (at, _)| now.since(*at) < MAX_AGE);
         let mut all: BTreeMap<Tag, Usage> = BTreeMap::new();
         let mut rests: BTreeMap<Key, Unlisted> = BTreeMap::new();
         let mut oldest = Duration::ZERO;
-        for (at, report) in self.told.values() {
+        for (at, report) in self.reports.values() {
             oldest = oldest.max(now.since(*at));
             for (tag, count) in &report.counts.listed {
                 all.entry(*tag).or_default().add(count);
--- a/almondlock-gateway/src/exchange/suspects.rs
+++ b/almondlock-gateway/src/exchange/suspects.rs
@@ -10,17 +10,17 @@
 use crate::load::Key;
 
 /// Time after which all suspected requests are sent again, in case a datagram was lost.
-const REPEAT: Duration = Duration::from_secs(1);
+const REPEAT_PERIOD: Duration = Duration::from_secs(1);
 /// Maximum number of requests in one datagram.
-const TOLD: usize = 512;
+const MAX_SUSPECTS: usize = 512;
 
 /// The suspected requests that one relay knows.
 #[derive(Debug, Default)]
 pub struct Suspects {
     tally: Tally<(Key, Birth)>,
     // Requests whose state has changed and was not sent to hosts yet.
-    news: BTreeSet<Fingerprint>,
-    repeated: Mono,
+    changed: BTreeSet<Fingerprint>,
+    all_sent_at: Mono,
 }
 
 impl Suspects {
@@ -34,7 +34,7 @@
                 fingerprint = %loss.print, upstream = %loss.key, age_ms = loss.age_ms,
                 ?standing, "upstreams lost with a request"
             );
-            self.news.insert(loss.print);
+            self.changed.insert(loss.print);
         }
     }
 
@@ -42,24 +42,26 @@
     pub fn record_answer(&mut self, now: Mono, print: Fingerprint) {
         if self.tally.record_answer(now, &print) {
             tracing::info!(fingerprint = %print, "a suspected request was answered");
-            self.news.insert(print);
+            self.changed.insert(print);
         }
     }
 
     /// Returns what to send to hosts in this round: the requests whose state has changed,
     /// or periodically all of them.
     pub fn take_updates(&mut self, now: Mono) -> Vec<Suspect> {
-        if now.since(self.repeated) >= REPEAT {
-            self.repeated = now;
-            self.news.extend(self.tally.watched());
+        if now.since(self.all_sent_at) >= REPEAT_PERIOD {
+            self.all_sent_at = now;
+            self.changed.extend(self.tally.watched());
         }
-        let news = std::mem::take(&mut self.news).into_iter().take(TOLD);
-        news.map(|print| self.suspect(now, print)).collect()
+        let changed = std::mem::take(&mut self.changed)
+            .into_iter()
+            .take(MAX_SUSPECTS);
+        changed.map(|print| self.suspect(now, print)).collect()
     }
 
     /// Returns all suspected requests, for new hosts.
     pub fn all(&self, now: Mono) -> Vec<Suspect> {
-        let known = self.tally.watched().into_iter().take(TOLD);
+        let known = self.tally.watched().into_iter().take(MAX_SUSPECTS);
         known.map(|print| self.suspect(now, print)).collect()
     }
 
--- a/almondlock-gateway/src/load.rs
+++ b/almondlock-gateway/src/load.rs
@@ -20,27 +20,27 @@
 
 /// Maximum age of another entry host's direct report: ten of its usual reports. By then its
 /// work has ended by itself, or the host has stopped.
-const FORGET: Duration = Duration::from_millis(1000);
+const REPORT_MAX_AGE: Duration = Duration::from_millis(1000);
 
 /// Maximum age of an upstream's load in a relay's sum. The relay repeats each load within a
 /// second, or 2.5 s with hundreds of followers.
-const OUTDATED: Duration = Duration::from_secs(4);
+const LOAD_MAX_AGE: Duration = Duration::from_secs(4);
 
 /// Another relay's sum is used if it includes this number of times as many hosts: the relay
 /// that is followed closely is cut off from some of them.
-const FAR_MORE: f64 = 1.2;
+const MORE_HOSTS_FACTOR: f64 = 1.2;
 
 /// Number of tokens in a block, the unit in which hosts report memory: 0.01% of an engine's
 /// memory.
-const BLOCK: u64 = 64;
+const BLOCK_TOKENS: u64 = 64;
 
 /// Time for which requests count that an upstream reported and no host knows of. A stream
 /// of a few dozen events takes about as long, and the next answer brings a new report.
-const REMEMBER: Duration = Duration::from_millis(1500);
+const UNKNOWN_MAX_AGE: Duration = Duration::from_millis(1500);
 
 /// Fraction of a prompt's reading time that counts as left until its first event proves
 /// that it was read. Estimates run out before the engine is done if it also serves others.
-const DOUBT: f32 = 0.25;
+const MIN_FRACTION_LEFT: f32 = 0.25;
 
 /// The work that one request asks of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -172,7 +172,7 @@
             waiting: count(total.waiting),
             streams: count(total.streams),
             short: count(total.short),
-            memory: u16::try_from(total.memory.div_ceil(BLOCK)).unwrap_or(u16::MAX),
+            memory: u16::try_from(total.memory.div_ceil(BLOCK_TOKENS)).unwrap_or(u16::MAX),
         }
     }
 }
@@ -184,7 +184,7 @@
             waiting: load.waiting.into(),
             streams: load.streams.into(),
             short: load.short.into(),
-            memory: u64::from(load.memory) * BLOCK,
+            memory: u64::from(load.memory) * BLOCK_TOKENS,
         }
     }
 }
@@ -205,10 +205,10 @@
 
 impl Item {
     /// Milliseconds of reading that are left.
-    fn left(&self, now: Mono) -> f32 {
+    fn reading_left_ms(&self, now: Mono) -> f32 {
         let all = self.work.reading.as_secs_f32() * 1e3;
         let spent = now.since(self.start).as_secs_f32() * 1e3;
-        (all - spent).max(all * DOUBT)
+        (all - spent).max(all * MIN_FRACTION_LEFT)
     }
 }
 
@@ -221,13 +221,13 @@
     // Loads that entry hosts reported directly, by host.
     told: HashMap<u64, (Mono, HashMap<Key, Load>)>,
     // Sums by the relay that sent them.
-    sums: HashMap<SocketAddr, Summed>,
+    sums: HashMap<SocketAddr, Received>,
     next: u64,
 }
 
 /// Sum of the work of all entry hosts that a relay knows.
 #[derive(Debug, Default)]
-struct Summed {
+struct Received {
     at: Mono,
     // Number of hosts that the relay knows, including this one.
     hosts: u32,
@@ -237,10 +237,10 @@
     own: HashMap<Key, Load>,
 }
 
-impl Summed {
+impl Received {
     fn others(&self, now: Mono, key: Key) -> Load {
         let told = self.loads.get(&key);
-        let fresh = told.filter(|(at, _)| now.since(*at) < OUTDATED);
+        let fresh = told.filter(|(at, _)| now.since(*at) < LOAD_MAX_AGE);
         let mut load = fresh.map(|(_, load)| *load).unwrap_or_default();
         if let Some(own) = self.own.get(&key) {
             load.subtract(own);
@@ -306,7 +306,8 @@
     /// Takes in the direct report of another entry host.
     pub fn receive_report(&mut self, now: Mono, host: u64, loads: Vec<(Key, Load)>) {
         self.told.insert(host, (now, loads.into_iter().collect()));
-        self.told.retain(|_, (at, _)| now.since(*at) < FORGET);
+        self.told
+            .retain(|_, (at, _)| now.since(*at) < REPORT_MAX_AGE);
     }
 
     /// Takes in a relay's sum of the work of all entry hosts that it knows. `own` is this
@@ -323,34 +324,39 @@
         known
             .loads
             .extend(loads.map(|(key, load)| (key, (now, load))));
-        self.sums.retain(|_, sum| now.since(sum.at) < FORGET);
+        self.sums
+            .retain(|_, sum| now.since(sum.at) < REPORT_MAX_AGE);
     }
 
     /// Returns the last sum received, unless another relay knows far more hosts. Once no
     /// relay answers any more, returns `None` if hosts report to each other directly.
-    fn sum(&self, now: Mono) -> Option<&Summed> {
-        self.relayed(now).map(|(_, sum)| sum)
+    fn sum(&self, now: Mono) -> Option<&Received> {
+        self.newest_sum(now).map(|(_, sum)| sum)
     }
 
     /// Returns the relay whose sums are used at present, if any.
     pub fn current_relay(&self, now: Mono) -> Option<SocketAddr> {
-        self.relayed(now).map(|(relay, _)| relay)
+        self.newest_sum(now).map(|(relay, _)| relay)
     }
 
-    fn relayed(&self, now: Mono) -> Option<(SocketAddr, &Summed)> {
-        let directly = self.fresh(now).next().is_some();
-        let age = if directly { RELAY_TIMEOUT } else { FORGET };
+    fn newest_sum(&self, now: Mono) -> Option<(SocketAddr, &Received)> {
+        let directly = self.fresh_reports(now).next().is_some();
+        let age = if directly {
+            RELAY_TIMEOUT
+        } else {
+            REPORT_MAX_AGE
+        };
         let sums = self.sums.iter().map(|(relay, sum)| (*relay, sum));
         let fresh = sums.filter(|(_, sum)| now.since(sum.at) < age);
         let last = fresh.clone().max_by_key(|(_, sum)| (sum.at, sum.hosts))?;
         let most = fresh.max_by_key(|(_, sum)| (sum.hosts, sum.at))?;
-        let is_far_more = f64::from(most.1.hosts) > f64::from(last.1.hosts) * FAR_MORE;
+        let is_far_more = f64::from(most.1.hosts) > f64::from(last.1.hosts) * MORE_HOSTS_FACTOR;
         Some(if is_far_more { most } else { last })
     }
 
-    fn fresh(&self, now: Mono) -> impl Iterator<Item = &HashMap<Key, Load>> {
+    fn fresh_reports(&self, now: Mono) -> impl Iterator<Item = &HashMap<Key, Load>> {
         let told = self.told.values();
-        let fresh = told.filter(move |(at, _)| now.since(*at) < FORGET);
+        let fresh = told.filter(move |(at, _)| now.since(*at) < REPORT_MAX_AGE);
         fresh.map(|(_, loads)| loads)
     }
 
@@ -361,7 +367,7 @@
             return Total::from(&sum.others(now, key));
         }
         let mut load = Load::default();
-        for told in self.fresh(now).filter_map(|loads| loads.get(&key)) {
+        for told in self.fresh_reports(now).filter_map(|loads| loads.get(&key)) {
             load.add(told);
         }
         Total::from(&load)
@@ -375,7 +381,7 @@
             .map(|items| sum(now, items))
             .unwrap_or_default();
         total.add(&self.others(now, upstream));
-        total.streams += self.unknown(now, upstream);
+        total.streams += self.unknown_requests(now, upstream);
         total
     }
 
@@ -383,21 +389,22 @@
     /// hosts lost power, the upstream still works for callers that are gone, of which no
     /// host knows. Without this record the next requests would be sent there first.
     pub fn record_reported(&mut self, now: Mono, upstream: &Upstream, requests: u32) {
-        let known = self.total(now, upstream).requests() - self.unknown(now, upstream);
+        let known = self.total(now, upstream).requests() - self.unknown_requests(now, upstream);
         let unknown = requests.saturating_sub(known);
         self.unknown.insert(upstream.clone(), (now, unknown));
-        self.unknown.retain(|_, (at, _)| now.since(*at) < REMEMBER);
+        self.unknown
+            .retain(|_, (at, _)| now.since(*at) < UNKNOWN_MAX_AGE);
     }
 
-    fn unknown(&self, now: Mono, upstream: &Upstream) -> u32 {
+    fn unknown_requests(&self, now: Mono, upstream: &Upstream) -> u32 {
         let known = self.unknown.get(upstream);
-        let fresh = known.filter(|(at, _)| now.since(*at) < REMEMBER);
+        let fresh = known.filter(|(at, _)| now.since(*at) < UNKNOWN_MAX_AGE);
         fresh.map_or(0, |(_, count)| *count)
     }
 
     /// Returns whether the other hosts' work is known.
     pub fn is_informed(&self, now: Mono) -> bool {
-        self.sum(now).is_some() || self.fresh(now).next().is_some()
+        self.sum(now).is_some() || self.fresh_reports(now).next().is_some()
     }
 
     /// Returns the age of the relay's last sum, if sums come from a relay.
@@ -410,7 +417,7 @@
         let summed = self
             .sum(now)
             .map(|sum| sum.hosts.saturating_sub(1) as usize);
-        summed.unwrap_or_else(|| self.fresh(now).count())
+        summed.unwrap_or_else(|| self.fresh_reports(now).count())
     }
 }
 
@@ -424,7 +431,7 @@
             continue;
         }
         total.waiting += u32::from(item.work.writes);
-        total.reading += item.left(now);
+        total.reading += item.reading_left_ms(now);
     }
     total
 }
--- a/almondlock-gateway/src/pace.rs
+++ b/almondlock-gateway/src/pace.rs
@@ -28,7 +28,7 @@
 };
 
 /// Minimum time between two reviews of a service's upstreams.
-const REVIEW: Duration = Duration::from_millis(200);
+const REVIEW_PERIOD: Duration = Duration::from_millis(200);
 /// Time by which a first event is usually later than expected while the fleet is loaded.
 const FIRST_SLACK: Duration = Duration::from_millis(100);
 /// Time by which a few events of a stream are usually later: a short prompt is read
@@ -38,18 +38,18 @@
 const PLAIN_SLACK: Duration = Duration::from_millis(20);
 /// A shorter silence is due to the request's own short timeout, and not the upstream's
 /// fault.
-const SILENT: Duration = Duration::from_millis(500);
+const MIN_SILENCE: Duration = Duration::from_millis(500);
 /// Number of events that are timed together, so that the pause of a single pass doesn't
 /// count.
 pub(crate) const EVENTS: u64 = 3;
 /// A probe passes if it takes less than this number of times the expected time.
-const PASSES: f64 = 2.0;
+const MAX_PROBE_MULTIPLE: f64 = 2.0;
 /// Maximum and minimum number of times of a service's plain answers that its median is
 /// taken over. With fewer there is no median.
-const PLAIN_KEPT: usize = 48;
-const PLAIN_LEAST: usize = 8;
+const MAX_PLAIN_TIMES: usize = 48;
+const MIN_PLAIN_TIMES: usize = 8;
 /// Maximum number of log lines within a time span. The metrics count all changes.
-const LINES: u32 = 32;
+const MAX_LINES: u32 = 32;
 const LINES_SPAN: Duration = Duration::from_secs(10);
 
 /// What this host knows of the upstreams' pace.
@@ -88,14 +88,14 @@
     }
 
     /// Adds the time of a plain answer of a service, and returns the median time.
-    fn median(&self, service: &Service, spent: Duration) -> Option<Duration> {
+    fn update_median(&self, service: &Service, spent: Duration) -> Option<Duration> {
         let mut plain = self.plain.borrow_mut();
         let times = plain.entry(service.clone()).or_default();
-        if times.len() >= PLAIN_KEPT {
+        if times.len() >= MAX_PLAIN_TIMES {
             times.pop_front();
         }
         times.push_back(spent.as_secs_f64());
-        if times.len() < PLAIN_LEAST {
+        if times.len() < MIN_PLAIN_TIMES {
             return None;
         }
         let mut sorted: Vec<f64> = times.iter().copied().collect();
@@ -110,7 +110,7 @@
             *lines = (now, 0);
         }
         lines.1 += 1;
-        lines.1 <= LINES
+        lines.1 <= MAX_LINES
     }
 }
 
@@ -160,7 +160,7 @@
         if due.is_some_and(|due| now < due) {
             return;
         }
-        let next = now + REVIEW;
+        let next = now + REVIEW_PERIOD;
         self.pacing.due.borrow_mut().insert(service.clone(), next);
         let known = self.snapshot();
         let targets = known.instances.get(service).into_iter().flatten();
@@ -169,11 +169,11 @@
         let mut table = self.pacing.table.borrow_mut();
         let changes = table.review(now, &members, &mut *rng);
         for change in &changes {
-            self.tell_change(now, service, change);
+            self.log_change(now, service, change);
         }
     }
 
-    fn tell_change(&self, now: Mono, service: &Service, change: &Change<Upstream>) {
+    fn log_change(&self, now: Mono, service: &Service, change: &Change<Upstream>) {
         let kind = if change.is_ejected {
             "ejected"
         } else {
@@ -264,7 +264,7 @@
         let time = match (request.route.kind.is_stream(), sent.expected) {
             (true, Some(expected)) => Some(Sample::time(spent, expected, FIRST_SLACK)),
             (false, None) => {
-                let usual = self.pacing.median(&request.service, spent);
+                let usual = self.pacing.update_median(&request.service, spent);
                 usual.map(|usual| Sample::time(spent, usual, PLAIN_SLACK))
             }
             _ => None,
@@ -273,7 +273,7 @@
         table.observe(now, upstream, Sample::Answer);
         let mut is_passed = true;
         if let Some(Sample::Time(multiple)) = time {
-            is_passed = multiple < PASSES;
+            is_passed = multiple < MAX_PROBE_MULTIPLE;
             table.observe(now, upstream, Sample::Time(multiple));
         }
         let is_probe = table.record_probe(upstream, sent.at, is_passed);
@@ -311,7 +311,7 @@
         };
         let now = clock::mono();
         let is_probe = self.is_probe(upstream);
-        let is_silent = is_probe || now.since(begun) >= SILENT;
+        let is_silent = is_probe || now.since(begun) >= MIN_SILENCE;
         let mut table = self.pacing.table.borrow_mut();
         let sample = match broken.failure {
             Failure::Limited | Failure::Misdirected => return,
--- a/almondlock-gateway/src/pick/groups.rs
+++ b/almondlock-gateway/src/pick/groups.rs
@@ -10,24 +10,24 @@
 /// Fraction of an engine's slots that short streams fill before another engine is taken. A
 /// pass takes longer the more streams it writes, and the remaining slots are for requests
 /// that arrive at the same moment.
-const PACKED: f64 = 0.82;
+const SLOT_FILL_RATIO: f64 = 0.82;
 
 /// Mean backlog of the engines for short streams above which other engines join them: three
 /// short prompts, a third of the shortest objectives.
-const WAIT_MOST: Duration = Duration::from_millis(100);
+const MAX_MEAN_BACKLOG: Duration = Duration::from_millis(100);
 
 /// Number of streams of long prompts that share a writer.
-const PACKED_LONG: u32 = 4;
+const LONG_STREAMS_PER_WRITER: u32 = 4;
 
 /// Minimum number of writers. With only one, prompts that arrive at the same moment queue
 /// at it.
-const WRITERS_LEAST: usize = 2;
+const MIN_WRITERS: usize = 2;
 
 /// At most one in this number of the engines for long prompts is a writer.
-const READERS_LEAST: usize = 3;
+const ENGINES_PER_WRITER: usize = 3;
 
 /// At least one engine in this number is left for long prompts.
-const LONG_LEAST: usize = 7;
+const ENGINES_PER_LONG_ENGINE: usize = 7;
 
 /// The engines by their present use, each list in the order of the candidates.
 pub(super) struct Groups<'a> {
@@ -47,11 +47,14 @@
 impl<'a> Groups<'a> {
     pub(super) fn divide(speed: &Speed, all: &'a [usize], candidates: &[Candidate]) -> Groups<'a> {
         let streams = all.iter().map(|i| candidates[*i].total.short).sum();
-        let needed = short_side(speed, streams, all.len());
+        let needed = short_engines_for_slots(speed, streams, all.len());
         let backlogs = all.iter().map(|i| candidates[*i].total.backlog());
-        let (short, long) = all.split_at(relieved(needed, &backlogs.collect::<Vec<_>>()));
+        let (short, long) = all.split_at(short_engines_for_backlog(
+            needed,
+            &backlogs.collect::<Vec<_>>(),
+        ));
         let streams = long.iter().map(|i| candidates[*i].total.long()).sum();
-        let (readers, writers) = long.split_at(long.len() - writers(streams, long.len()));
+        let (readers, writers) = long.split_at(long.len() - writers_needed(streams, long.len()));
         Groups {
             all,
             short,
@@ -68,20 +71,22 @@
 pub(super) fn order_by_limits(engines: &[usize], candidates: &[Candidate]) -> Vec<usize> {
     let is_free = |i: &&usize| candidates[**i].takes_orders();
     let (free, limited): (Vec<usize>, Vec<usize>) = engines.iter().partition(is_free);
-    let last = free.len() / LONG_LEAST + 1;
+    let last = free.len() / ENGINES_PER_LONG_ENGINE + 1;
     let (front, back) = free.split_at(free.len().saturating_sub(last));
     [front, &limited, back].concat()
 }
 
 /// Returns the number of engines that the short streams need for their slots.
-fn short_side(speed: &Speed, streams: u32, engines: usize) -> usize {
-    let needed = (streams + 1).div_ceil(packed(speed.slots)) as usize;
-    needed.clamp(1, most_short(engines))
+fn short_engines_for_slots(speed: &Speed, streams: u32, engines: usize) -> usize {
+    let needed = (streams + 1).div_ceil(streams_per_engine(speed.slots)) as usize;
+    needed.clamp(1, max_short_engines(engines))
 }
 
 /// Returns the maximum number of engines for short streams.
-fn most_short(engines: usize) -> usize {
-    engines.saturating_sub(engines / LONG_LEAST).max(1)
+fn max_short_engines(engines: usize) -> usize {
+    engines
+        .saturating_sub(engines / ENGINES_PER_LONG_ENGINE)
+        .max(1)
 }
 
 /// Returns the number of engines for short streams, given that their slots need `needed`.
@@ -92,11 +97,11 @@
 /// nine times out of ten. When as many arrive at once, as at the start of a burst or when
 /// callers return after a power loss, the last one waits until the prompts of all others
 /// are read: nearly half a second on an engine with 13 of them.
-fn relieved(needed: usize, backlogs: &[Duration]) -> usize {
+fn short_engines_for_backlog(needed: usize, backlogs: &[Duration]) -> usize {
     let mut side = needed;
     let mut sum: Duration = backlogs[..side].iter().sum();
     let mean = |sum: Duration, side: usize| sum / u32::try_from(side).unwrap_or(u32::MAX).max(1);
-    while side < most_short(backlogs.len()) && mean(sum, side) > WAIT_MOST {
+    while side < max_short_engines(backlogs.len()) && mean(sum, side) > MAX_MEAN_BACKLOG {
         let next = backlogs[side];
         if next > mean(sum, side) {
             break;
@@ -109,13 +114,13 @@
 
 /// Returns the number of short streams that an engine with `slots` slots writes without
 /// delay.
-fn packed(slots: u32) -> u32 {
+fn streams_per_engine(slots: u32) -> u32 {
     // Engines have few slots, so the product fits any integer.
-    (f64::from(slots) * PACKED).max(1.0) as u32
+    (f64::from(slots) * SLOT_FILL_RATIO).max(1.0) as u32
 }
 
 /// Returns the number of engines for long prompts that write answers.
-fn writers(streams: u32, engines: usize) -> usize {
-    let needed = (streams + 1).div_ceil(PACKED_LONG) as usize;
-    needed.max(WRITERS_LEAST).min(engines / READERS_LEAST)
+fn writers_needed(streams: u32, engines: usize) -> usize {
+    let needed = (streams + 1).div_ceil(LONG_STREAMS_PER_WRITER) as usize;
+    needed.max(MIN_WRITERS).min(engines / ENGINES_PER_WRITER)
 }
--- a/almondlock-gateway/src/pick/mod.rs
+++ b/almondlock-gateway/src/pick/mod.rs
@@ -58,7 +58,7 @@
 
 /// Maximum reading time of a part that any engine may read. Together with a pass it stays
 /// within the shortest pauses that streams allow.
-const SHORT_PART: Duration = Duration::from_millis(35);
+const MAX_SMALL_PART: Duration = Duration::from_millis(35);
 
 /// Maximum number of engines that read parts of one prompt. The engines' protocol takes a
 /// list of this length, in which the answering engine is listed for its memory.
@@ -190,7 +190,7 @@
 where
     R: RngCore,
 {
-    let open = open(candidates)?;
+    let open = open_candidates(candidates)?;
     let first = find_cheapest(candidates, &open, rng, |candidate| {
         let requests = f64::from(candidate.total.requests());
         // The request itself also takes longer where the rate is below 1.
@@ -230,10 +230,10 @@
     let mut cells = cells.into_values();
     let own = cells.next().ok_or(Shortage::Upstream)?;
     let others: Vec<Vec<usize>> = cells.collect();
-    let own = field.place(&own, rng);
+    let own = field.choose_in_cell(&own, rng);
     let others = cell::sample_others(others.len(), rng)
         .into_iter()
-        .filter_map(|i| field.place(&others[i], rng).ok());
+        .filter_map(|i| field.choose_in_cell(&others[i], rng).ok());
     let other = others.min_by_key(|choice| choice.expected);
     match (own, other) {
         (Ok(own), Some(other)) if other.expected + cell::OVERFLOW_MARGIN < own.expected => {
@@ -246,14 +246,15 @@
 
 impl Selection<'_> {
     /// Chooses among the engines of one cell.
-    fn place<R>(&self, engines: &[usize], rng: &mut R) -> Result<Choice, Shortage>
+    fn choose_in_cell<R>(&self, engines: &[usize], rng: &mut R) -> Result<Choice, Shortage>
     where
         R: RngCore,
     {
         let (speed, prompt) = (self.speed, self.demand.prompt);
         let engines = &order_by_limits(engines, self.candidates);
         let groups = Groups::divide(speed, engines, self.candidates);
-        let thin = speed.part_reading_time(prompt, engines.len().min(MAX_READERS)) <= SHORT_PART;
+        let thin =
+            speed.part_reading_time(prompt, engines.len().min(MAX_READERS)) <= MAX_SMALL_PART;
         let is_short = speed.reading_time(prompt) <= MAX_SHORT_READING;
         let choice = match (is_short, thin && !groups.long.is_empty()) {
             (true, _) => self.choose_short(&groups, rng).ok_or(Shortage::Upstream),
@@ -277,7 +278,7 @@
     R: RngCore,
 {
     let whole = speed.reading_time(demand.prompt);
-    let open = open(candidates)?;
+    let open = open_candidates(candidates)?;
     let first = find_cheapest(candidates, &open, rng, |candidate| {
         let full = if candidate.full { f64::MAX } else { 0.0 };
         read_delay(speed, candidate) + full
@@ -302,7 +303,7 @@
 }
 
 /// Returns the candidates that a request may be sent to.
-fn open(candidates: &[Candidate]) -> Result<Vec<usize>, Shortage> {
+fn open_candidates(candidates: &[Candidate]) -> Result<Vec<usize>, Shortage> {
     let open = (0..candidates.len()).filter(|i| candidates[*i].may_answer());
     let open: Vec<usize> = open.collect();
     match open.is_empty() && !candidates.is_empty() {
--- a/almondlock-gateway/src/pick/selection.rs
+++ b/almondlock-gateway/src/pick/selection.rs
@@ -7,37 +7,37 @@
 use rand::{Rng, RngCore};
 
 use super::{
-    Candidate, Choice, Demand, MAX_READERS, MAX_SHORT_READING, SHORT_PART, groups::Groups,
+    Candidate, Choice, Demand, MAX_READERS, MAX_SHORT_READING, MAX_SMALL_PART, groups::Groups,
 };
 use crate::memory;
 
 /// Time by which an engine for long prompts must be sooner before it is given a short
 /// prompt: several passes. A stream on such an engine pauses while parts of long prompts
 /// are read beside it.
-const CROSSING: Duration = Duration::from_millis(60);
+const CROSSING_PENALTY: Duration = Duration::from_millis(60);
 
 /// Additional waiting time that counts against an upstream in another failure domain. The
 /// round trip within a region takes a millisecond or two, and traffic between domains is
 /// charged for.
-const ELSEWHERE: Duration = Duration::from_millis(2);
+const OTHER_DOMAIN_PENALTY: Duration = Duration::from_millis(2);
 
 /// Waiting time that each request beyond an upstream's slots adds, since it waits for
 /// another request to end. With 16 slots and streams of two seconds each, a stream ends
 /// every eighth of a second, and other requests wait for that slot too.
-const OVERFLOW: Duration = Duration::from_millis(250);
+const NO_SLOT_PENALTY: Duration = Duration::from_millis(250);
 
 /// Age of a host's information about the other hosts: up to 10 ms until a host reports, 20
 /// ms until the relay sends the sum, and the time on the network.
-const AGE: Duration = Duration::from_millis(40);
+const INFORMATION_AGE: Duration = Duration::from_millis(40);
 
 /// Number of engine passes until the first event of a short prompt: on average half of the
 /// pass in progress, and the prompt's own.
-const PASSES: f64 = 1.5;
+const PASSES_TO_FIRST_EVENT: f64 = 1.5;
 
 /// Costs that differ by less than this number of seconds count as equal, and a random draw
 /// decides. Until new work is visible to others, dozens of hosts choose from the same
 /// information and would all take the same engine.
-const LOT: f64 = 0.04;
+const TIE_SECONDS: f64 = 0.04;
 
 /// The input for choosing engines for one request. Engines are identified by their index in
 /// `candidates`.
@@ -55,20 +55,20 @@
     where
         R: RngCore,
     {
-        let crossing = CROSSING.as_secs_f64();
+        let crossing = CROSSING_PENALTY.as_secs_f64();
         let open = |i: &&usize| self.may_answer(**i);
         let is_limited = |i: &&usize| !self.takes_orders(**i);
         let long = groups.long.iter().filter(open);
         let limited = long.clone().filter(is_limited);
         let own = groups.short.iter().filter(open).chain(limited);
-        let own = own.map(|i| (self.whole_cost(*i), *i));
+        let own = own.map(|i| (self.cost_with_memory(*i), *i));
         let other = long.filter(|i| !is_limited(i));
-        let other = other.map(|i| (self.whole_cost(*i) + crossing, *i));
+        let other = other.map(|i| (self.cost_with_memory(*i) + crossing, *i));
         let mut costs: Vec<(f64, usize)> = own.collect();
         let least = costs.iter().map(|(cost, _)| *cost).fold(f64::MAX, f64::min);
         costs.extend(other.filter(|(cost, _)| *cost < least));
         let part = self.speed.reading_time(self.demand.prompt);
-        let (cost, first) = fill::draw(&costs, self.unseen(groups.short, part), rng)?;
+        let (cost, first) = fill::draw(&costs, self.unseen_seconds(groups.short, part), rng)?;
         Some(Choice {
             expected: self.expected(cost, part),
             part,
@@ -99,17 +99,17 @@
         let part = self
             .speed
             .part_reading_time(self.demand.prompt, MAX_READERS);
-        let (_, first) = fill::draw(&costs, self.unseen(groups.short, part), rng)?;
+        let (_, first) = fill::draw(&costs, self.unseen_seconds(groups.short, part), rng)?;
         let own = memory::answering_share(first, self.free_memory(first), needed);
         let others = groups.all.iter().filter(|i| **i != first);
         let mut order: Vec<(f64, usize)> = others
-            .map(|i| (self.cost(*i) + rng.random::<f64>() * LOT, *i))
+            .map(|i| (self.cost(*i) + rng.random::<f64>() * TIE_SECONDS, *i))
             .collect();
         order.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
         let part = |count: usize| self.speed.part_reading_time(self.demand.prompt, count);
         let most = (order.len() + 1).min(MAX_READERS);
         let count = (1..=most)
-            .find(|count| part(*count) <= SHORT_PART)
+            .find(|count| part(*count) <= MAX_SMALL_PART)
             .unwrap_or(most);
         let helpers = &order[..count - 1];
         let slowest = helpers.last().map_or(0.0, |(cost, _)| *cost);
@@ -126,15 +126,17 @@
     /// them, including this prompt's part. By Little's law, the number of prompts that
     /// arrive within the age of the information is the number waiting, divided by how long
     /// each waits, times that age.
-    fn unseen(&self, engines: &[usize], part: Duration) -> f64 {
+    fn unseen_seconds(&self, engines: &[usize], part: Duration) -> f64 {
         let waiting = engines.iter().map(|i| self.candidates[*i].total.waiting);
         let waiting: u32 = waiting.sum();
-        let wait = PASSES * self.speed.pass_time(1, self.demand.prompt).as_secs_f64();
-        let others = f64::from(waiting) * AGE.as_secs_f64() / wait.max(AGE.as_secs_f64());
+        let wait =
+            PASSES_TO_FIRST_EVENT * self.speed.pass_time(1, self.demand.prompt).as_secs_f64();
+        let others = f64::from(waiting) * INFORMATION_AGE.as_secs_f64()
+            / wait.max(INFORMATION_AGE.as_secs_f64());
         part.as_secs_f64() * (1.0 + others)
     }
 
-    pub(super) fn has_place(&self, i: usize) -> bool {
+    pub(super) fn has_free_slot(&self, i: usize) -> bool {
         let candidate = &self.candidates[i];
         candidate.total.requests() < candidate.slots
     }
@@ -170,12 +172,12 @@
         if candidate.rate >= 1.0 {
             return cost;
         }
-        let own = self.own_work();
+        let own = self.prompt_seconds();
         (cost + own) / candidate.rate - own
     }
 
     /// Returns the seconds that the prompt itself takes an engine at the full rate.
-    fn own_work(&self) -> f64 {
+    fn prompt_seconds(&self) -> f64 {
         let (speed, prompt) = (self.speed, self.demand.prompt);
         let whole = speed.reading_time(prompt);
         let part = match whole <= MAX_SHORT_READING {
@@ -186,9 +188,13 @@
     }
 
     /// Returns the cost of an engine that also has to hold the prompt's memory.
-    pub(super) fn whole_cost(&self, i: usize) -> f64 {
+    pub(super) fn cost_with_memory(&self, i: usize) -> f64 {
         let has_room = self.free_memory(i) >= self.memory_needed();
-        let wait = if has_room { Duration::ZERO } else { OVERFLOW };
+        let wait = if has_room {
+            Duration::ZERO
+        } else {
+            NO_SLOT_PENALTY
+        };
         self.cost(i) + wait.as_secs_f64()
     }
 
@@ -205,7 +211,7 @@
     R: RngCore,
 {
     costs
-        .map(|(cost, i)| (cost + rng.random::<f64>() * LOT, i))
+        .map(|(cost, i)| (cost + rng.random::<f64>() * TIE_SECONDS, i))
         .min_by(|a, b| a.0.total_cmp(&b.0))
 }
 
@@ -217,10 +223,10 @@
         cost += speed.pass_time(total.streams, total.memory) / 2;
     }
     if total.requests() >= candidate.slots {
-        cost += OVERFLOW * (total.requests() - candidate.slots + 1);
+        cost += NO_SLOT_PENALTY * (total.requests() - candidate.slots + 1);
     }
     if !candidate.near {
-        cost += ELSEWHERE;
+        cost += OTHER_DOMAIN_PENALTY;
     }
     cost.as_secs_f64()
 }
--- a/almondlock-gateway/src/pick/slots.rs
+++ b/almondlock-gateway/src/pick/slots.rs
@@ -10,7 +10,7 @@
 
 /// Fraction of its objective for which a short prompt may wait until an engine begins to
 /// read it. The rest is for the first pass and the network.
-const BACKLOG_SHARE: f64 = 0.5;
+const MAX_BACKLOG_SHARE: f64 = 0.5;
 
 /// Returns the slots of these engines, except those that are suspect, ejected or at a
 /// limit.
@@ -33,7 +33,7 @@
 
 /// Returns whether an engine has so much to read that a short prompt would be late there.
 pub(crate) fn is_backlogged(total: &Total, objective: Duration) -> bool {
-    total.backlog() >= objective.mul_f64(BACKLOG_SHARE)
+    total.backlog() >= objective.mul_f64(MAX_BACKLOG_SHARE)
 }
 
 /// Returns how long a stream occupies its slot on an engine that writes `streams` streams.
@@ -79,7 +79,8 @@
         true => free(candidate),
         false => 0.0,
     };
-    let place = draw(candidates, in_cell, rng).or_else(|| draw(candidates, free, rng));
+    let place =
+        draw_weighted(candidates, in_cell, rng).or_else(|| draw_weighted(candidates, free, rng));
     place.unwrap_or(chosen)
 }
 
@@ -101,11 +102,11 @@
         candidates,
     };
     choice.primary = place;
-    choice.expected = field.expected(field.whole_cost(place), choice.part);
+    choice.expected = field.expected(field.cost_with_memory(place), choice.part);
 }
 
 /// Draws a candidate with a probability in proportion to its weight.
-fn draw<F, R>(candidates: &[Candidate], weight: F, rng: &mut R) -> Option<usize>
+fn draw_weighted<F, R>(candidates: &[Candidate], weight: F, rng: &mut R) -> Option<usize>
 where
     F: Fn(&Candidate) -> f64,
     R: RngCore,
--- a/almondlock-gateway/src/reading/current.rs
+++ b/almondlock-gateway/src/reading/current.rs
@@ -14,7 +14,7 @@
 
 /// A version that waits for longer than this is overdue. This is less than half of the time
 /// within which it has to be in force.
-const BEHIND: Duration = Duration::from_secs(1);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// The versions that a host knows.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
     /// newer one is seen.
     newest: Option<Newest>,
     /// When the first of the versions that wait was seen.
-    waits: Option<Mono>,
+    waiting_since: Option<Mono>,
 }
 
 #[derive(Debug)]
@@ -80,7 +80,7 @@
         if newest.or(held) == Some(document.version) {
             return;
         }
-        self.waits.get_or_insert(now);
+        self.waiting_since.get_or_insert(now);
         let mut newest = Newest {
             document: document.clone(),
             outline: dialect.parse_outline(&document.pieces),
@@ -148,7 +148,7 @@
     {
         let is_newest = |newest: &Newest| newest.document.version == version;
         let newest = self.newest.take();
-        self.waits = newest
+        self.waiting_since = newest
             .as_ref()
             .filter(|newest| !is_newest(newest))
             .map(|newest| newest.seen.min(now));
@@ -172,7 +172,7 @@
 
     /// Returns for how long versions have waited, if that is too long.
     pub fn overdue(&self, now: Mono) -> Option<Duration> {
-        let waited = now.since(self.waits?);
-        (waited > BEHIND).then_some(waited)
+        let waited = now.since(self.waiting_since?);
+        (waited > MAX_WAIT).then_some(waited)
     }
 }
--- a/almondlock-gateway/src/reading/mod.rs
+++ b/almondlock-gateway/src/reading/mod.rs
@@ -93,8 +93,8 @@
     /// Removes and then adds pieces, from the end of each list.
     Change {
         edit: Box<Edit>,
-        gone: Vec<(Section, Piece)>,
-        fresh: Vec<(Section, Piece)>,
+        removed: Vec<(Section, Piece)>,
+        added: Vec<(Section, Piece)>,
     },
     /// The version was read, or can't be read.
     Finished,
@@ -103,8 +103,8 @@
 /// Pieces that differ between the versions.
 #[derive(Debug, Default)]
 struct Found {
-    gone: Vec<(Section, Piece)>,
-    fresh: Vec<(Section, Piece)>,
+    removed: Vec<(Section, Piece)>,
+    added: Vec<(Section, Piece)>,
 }
 
 impl Reader {
@@ -181,17 +181,21 @@
             }
             Phase::Change {
                 mut edit,
-                mut gone,
-                mut fresh,
+                mut removed,
+                mut added,
             } => {
-                if let Some((section, piece)) = gone.pop() {
+                if let Some((section, piece)) = removed.pop() {
                     edit.remove(dialect.parse_entry(section, piece.as_str())?);
-                } else if let Some((section, piece)) = fresh.pop() {
+                } else if let Some((section, piece)) = added.pop() {
                     edit.add(dialect.parse_entry(section, piece.as_str())?)?;
                 } else {
                     return edit.build().map(Some);
                 }
-                self.phase = Phase::Change { edit, gone, fresh };
+                self.phase = Phase::Change {
+                    edit,
+                    removed,
+                    added,
+                };
                 Ok(None)
             }
         }
@@ -212,8 +216,10 @@
         let difference = comparison.step(old, new);
         self.count.kept += difference.kept;
         let mark = |piece| (*section, piece);
-        found.gone.extend(difference.gone.into_iter().map(mark));
-        found.fresh.extend(difference.fresh.into_iter().map(mark));
+        found
+            .removed
+            .extend(difference.removed.into_iter().map(mark));
+        found.added.extend(difference.added.into_iter().map(mark));
         let (place, comparison) = match difference.is_last {
             true => (place + 1, Comparison::default()),
             false => (place, comparison),
@@ -231,31 +237,31 @@
             return Err(Error::new("no outline"));
         };
         let (version, limits) = (outline.version, outline.limits);
-        let Found { gone, fresh } = found;
+        let Found { removed, added } = found;
         let held = self.held.as_ref().filter(|held| held.outline.is_some());
         // If more pieces were removed than kept, it is faster to read all pieces anew.
-        let (edit, gone, mut fresh) = match held {
-            Some(held) if gone.len() <= self.count.kept => {
-                (held.rules.edit(version, limits), gone, fresh)
+        let (edit, removed, mut added) = match held {
+            Some(held) if removed.len() <= self.count.kept => {
+                (held.rules.edit(version, limits), removed, added)
             }
             _ => {
                 let sections = (0..).zip(Section::ALL).flat_map(|(place, section)| {
                     let pieces = self::section(&self.document, Some(outline), place);
                     pieces.iter().map(move |piece| (section, piece.clone()))
                 });
-                let fresh = sections.collect();
+                let added = sections.collect();
                 self.count.kept = 0;
                 let edit = Rules::empty(version, limits).edit(version, limits);
-                (edit, Vec::new(), fresh)
+                (edit, Vec::new(), added)
             }
         };
-        self.count.read = fresh.len();
+        self.count.read = added.len();
         // The pieces are taken from the end of the list.
-        fresh.reverse();
+        added.reverse();
         Ok(Phase::Change {
             edit: Box::new(edit),
-            gone,
-            fresh,
+            removed,
+            added,
         })
     }
 }
--- a/almondlock-gateway/src/reading/pace.rs
+++ b/almondlock-gateway/src/reading/pace.rs
@@ -5,14 +5,14 @@
 use almondlock_base::time::Mono;
 
 /// The shortest slice. A pause costs a few microseconds.
-const SHORTEST: Duration = Duration::from_millis(1);
+const MIN_SLICE: Duration = Duration::from_millis(1);
 /// The longest slice: a tenth of the shortest gap that callers allow between two events.
-const LONGEST: Duration = Duration::from_millis(20);
+const MAX_SLICE: Duration = Duration::from_millis(20);
 /// The longest slice of a late version: half of that gap.
-const LONGEST_LATE: Duration = Duration::from_millis(100);
+const MAX_LATE_SLICE: Duration = Duration::from_millis(100);
 /// Time after which a version is late. It has to be in force after 2.5 s, of which its way
 /// to the host takes some tenths of a second.
-const LATE: Duration = Duration::from_secs(1);
+const LATE_AFTER: Duration = Duration::from_secs(1);
 
 /// Divides the reading of one version into slices of time.
 ///
@@ -35,9 +35,9 @@
         self.slices += 1;
         let began = *self.began.get_or_insert(now);
         let others = self.ended.map_or(Duration::ZERO, |ended| now.since(ended));
-        let slice = match now.since(began) > LATE {
-            false => (others / 2).clamp(SHORTEST, LONGEST),
-            true => others.clamp(SHORTEST, LONGEST_LATE),
+        let slice = match now.since(began) > LATE_AFTER {
+            false => (others / 2).clamp(MIN_SLICE, MAX_SLICE),
+            true => others.clamp(MIN_SLICE, MAX_LATE_SLICE),
         };
         now + slice
     }
--- a/almondlock-gateway/src/rules.rs
+++ b/almondlock-gateway/src/rules.rs
@@ -183,7 +183,7 @@
     // Number of prefixes of each length.
     lengths: BTreeMap<usize, usize>,
     services: Table<Served>,
-    keys: Table<Owned>,
+    keys: Table<Credential>,
     // Number of organisations. If there are none, requests need no key.
     organisations: usize,
 }
@@ -200,7 +200,7 @@
 
 /// A key and its organisation.
 #[derive(Clone, Debug, PartialEq)]
-struct Owned {
+struct Credential {
     key: Arc<str>,
     organisation: Arc<Organisation>,
     // Number of times that the key is in the configuration. At least 1.
@@ -219,7 +219,7 @@
     }
 }
 
-impl table::Entry for Owned {
+impl table::Entry for Credential {
     fn key(&self) -> table::Key<'_> {
         (&self.key, "")
     }
--- a/almondlock-gateway/src/rules/edit.rs
+++ b/almondlock-gateway/src/rules/edit.rs
@@ -5,7 +5,7 @@
 
 use almondlock_base::id::Service;
 
-use super::{Error, Limits, Organisation, Owned, Route, Rules, Served, Target};
+use super::{Credential, Error, Limits, Organisation, Route, Rules, Served, Target};
 
 /// The content of one piece of a published configuration.
 #[derive(Clone, Debug, PartialEq)]
@@ -196,7 +196,7 @@
                 return Err(Error::new("two organisations share a key"));
             }
             let entries = held.map_or(0, |held| held.entries);
-            self.keys.insert(Owned {
+            self.keys.insert(Credential {
                 key: Arc::clone(key),
                 organisation: Arc::clone(&organisation),
                 entries: entries + 1,
@@ -212,7 +212,7 @@
                 && held.entries > 1
             {
                 let entries = held.entries - 1;
-                self.keys.insert(Owned { entries, ..held });
+                self.keys.insert(Credential { entries, ..held });
             }
         }
     }
--- a/almondlock-gateway/src/rules/table.rs
+++ b/almondlock-gateway/src/rules/table.rs
@@ -53,14 +53,14 @@
 
     pub(super) fn get(&self, key: Key<'_>) -> Option<&V> {
         let hash = hash(key);
-        let mut shard = self.shards.get(place(hash))?.iter();
+        let mut shard = self.shards.get(shard_index(hash))?.iter();
         shard.find_map(|(other, entry)| (*other == hash && entry.key() == key).then_some(entry))
     }
 
     /// Adds an entry, and replaces one with the same key.
     pub(super) fn insert(&mut self, entry: V) {
         let hash = hash(entry.key());
-        let Some(shard) = self.shards.get_mut(place(hash)) else {
+        let Some(shard) = self.shards.get_mut(shard_index(hash)) else {
             return;
         };
         let shard = Arc::make_mut(shard);
@@ -76,7 +76,7 @@
 
     pub(super) fn remove(&mut self, key: Key<'_>) -> Option<V> {
         let hash = hash(key);
-        let shard = self.shards.get_mut(place(hash))?;
+        let shard = self.shards.get_mut(shard_index(hash))?;
         let is_it = |(other, entry): &(u64, V)| *other == hash && entry.key() == key;
         let at = shard.iter().position(is_it)?;
         self.len -= 1;
@@ -108,7 +108,7 @@
     hasher.finish()
 }
 
-fn place(hash: u64) -> usize {
+fn shard_index(hash: u64) -> usize {
     // The remainder is less than the number of shards, which fits a `usize`.
     usize::try_from(hash % SHARDS as u64).unwrap_or(0)
 }
--- a/almondlock-gateway/src/share/findings.rs
+++ b/almondlock-gateway/src/share/findings.rs
@@ -16,16 +16,16 @@
 };
 
 /// Older counts are ignored, wherever the time was spent.
-const OUTDATED: Duration = Duration::from_secs(1);
+const MAX_COUNT_AGE: Duration = Duration::from_secs(1);
 
 /// The last sums of the relays.
 #[derive(Debug, Default)]
 pub struct Findings {
-    heard: HashMap<SocketAddr, Heard>,
+    received: HashMap<SocketAddr, Received>,
 }
 
 #[derive(Debug)]
-struct Heard {
+struct Received {
     at: Mono,
     age: Duration,
     // Rulings by service, where an organisation is over its share.
@@ -57,32 +57,33 @@
             let (listed, rest) = counts.at(service);
             (service, Assessment::new(capacity(service), &listed, rest))
         });
-        let heard = Heard {
+        let received = Received {
             at: now,
             age: Duration::from_millis(totals.age_ms.into()),
             rulings: rulings.filter(|(_, ruling)| !ruling.is_empty()).collect(),
             largest: counts.listed.iter().map(|(tag, _)| *tag).collect(),
         };
-        self.heard.insert(relay, heard);
-        self.heard.retain(|_, heard| now.since(heard.at) < MAX_AGE);
+        self.received.insert(relay, received);
+        self.received
+            .retain(|_, received| now.since(received.at) < MAX_AGE);
     }
 
     /// Returns the finding if an organisation is over its share by this relay's sums.
     /// `None` means that it is within its share or that this isn't known.
     pub fn excess(&self, now: Mono, relay: SocketAddr, tag: Tag) -> Option<Finding> {
-        let heard = self.heard.get(&relay)?;
-        let since = now.since(heard.at);
-        let age = heard.age + since;
-        if since >= MAX_AGE || age >= OUTDATED {
+        let received = self.received.get(&relay)?;
+        let since = now.since(received.at);
+        let age = received.age + since;
+        if since >= MAX_AGE || age >= MAX_COUNT_AGE {
             return None;
         }
-        let ruling = heard.rulings.get(&tag.service)?;
+        let ruling = received.rulings.get(&tag.service)?;
         let excess = *ruling.excess(&tag.organisation)?;
-        let place = heard.largest.iter().position(|other| *other == tag);
+        let place = received.largest.iter().position(|other| *other == tag);
         Some(Finding {
             excess,
             age,
-            place: place.unwrap_or(heard.largest.len()),
+            place: place.unwrap_or(received.largest.len()),
         })
     }
 }
--- a/almondlock-gateway/src/share/notice.rs
+++ b/almondlock-gateway/src/share/notice.rs
@@ -7,11 +7,11 @@
 /// Label of organisations that metrics don't name.
 pub const OTHERS: &str = "others";
 /// Maximum number of log lines in a second.
-const LINES: u32 = 5;
+const MAX_LINES_PER_SECOND: u32 = 5;
 /// Number of organisations that metrics name at one time: those with the most in flight.
-const LARGEST: usize = 8;
+const MAX_LARGEST: usize = 8;
 /// Maximum number of organisations that metrics name while the process runs.
-const NAMED: usize = 64;
+const MAX_NAMED: usize = 64;
 
 /// The recent log lines, and the organisations that metrics name.
 #[derive(Clone, Debug, Default)]
@@ -31,7 +31,7 @@
         if now.since(self.since) >= Duration::from_secs(1) {
             (self.since, self.lines) = (now, 0);
         }
-        if self.lines >= LINES {
+        if self.lines >= MAX_LINES_PER_SECOND {
             self.suppressed += 1;
             return None;
         }
@@ -41,11 +41,11 @@
 
     /// Returns the metric label of an organisation, given how many have more in flight.
     pub fn label<'a>(&mut self, name: &'a Arc<str>, place: usize) -> &'a str {
-        if place >= LARGEST {
+        if place >= MAX_LARGEST {
             return OTHERS;
         }
         if !self.named.contains(name) {
-            if self.named.len() >= NAMED {
+            if self.named.len() >= MAX_NAMED {
                 return OTHERS;
             }
             self.named.insert(Arc::clone(name));
--- a/almondlock-gateway/src/slots.rs
+++ b/almondlock-gateway/src/slots.rs
@@ -33,15 +33,15 @@
 
 /// Time after which a waiting prompt checks for free slots again: twice within the age of
 /// the information.
-const LOOK: Duration = Duration::from_millis(20);
+const CHECK_PERIOD: Duration = Duration::from_millis(20);
 
 /// Age of the account of slots at which it is made anew while prompts wait. Placements
 /// usually do so more often.
-const REFRESH: Duration = STATE_AGE.saturating_mul(2);
+const REFRESH_AGE: Duration = STATE_AGE.saturating_mul(2);
 
 /// Maximum number of engine passes from getting a slot to the first event: the pass in
 /// progress, and the prompt's own.
-const PASSES: u32 = 2;
+const MAX_PASSES_TO_FIRST_EVENT: u32 = 2;
 
 /// A slot that a prompt was granted.
 #[derive(Debug, Default)]
@@ -55,7 +55,7 @@
 struct Queue {
     desk: Allocator,
     waiters: BTreeMap<Ticket, oneshot::Sender<Grant>>,
-    looked: Mono,
+    checked_at: Mono,
     /// The objective of the service's prompts.
     objective: Duration,
 }
@@ -80,7 +80,7 @@
 pub(crate) struct Queues(RefCell<HashMap<Service, Queue>>);
 
 impl Queues {
-    fn with<T, F>(&self, service: &Service, act: F) -> T
+    fn with_queue<T, F>(&self, service: &Service, act: F) -> T
     where
         F: FnOnce(&mut Queue) -> T,
     {
@@ -130,7 +130,7 @@
 {
     pub(crate) fn new(worker: &Rc<Worker<D>>, request: &Request, ticket: Ticket) -> Waiter<D> {
         let (sender, granted) = oneshot::channel();
-        worker.waiting_prompts.with(&request.service, |line| {
+        worker.waiting_prompts.with_queue(&request.service, |line| {
             line.waiters.insert(ticket, sender);
         });
         worker.shared.metrics.rise("slots", "waiting");
@@ -150,7 +150,7 @@
             tokio::select! {
                 biased;
                 grant = &mut self.granted => break grant.unwrap_or_default(),
-                () = sleep(LOOK) => self.worker.check_slots(&self.service, request.route.objective),
+                () = sleep(CHECK_PERIOD) => self.worker.check_slots(&self.service, request.route.objective),
             }
         };
         tracing::info!(
@@ -169,15 +169,17 @@
     fn drop(&mut self) {
         self.worker.shared.metrics.fall("slots", "waiting");
         let unused = self.granted.try_recv();
-        self.worker.waiting_prompts.with(&self.service, |line| {
-            line.waiters.remove(&self.ticket);
-            line.desk.cancel(self.ticket);
-            if let Ok(grant) = unused
-                && let Some(next) = line.desk.grant_next(clock::mono())
-            {
-                line.wake(next, grant);
-            }
-        });
+        self.worker
+            .waiting_prompts
+            .with_queue(&self.service, |line| {
+                line.waiters.remove(&self.ticket);
+                line.desk.cancel(self.ticket);
+                if let Ok(grant) = unused
+                    && let Some(next) = line.desk.grant_next(clock::mono())
+                {
+                    line.wake(next, grant);
+                }
+            });
     }
 }
 
@@ -211,7 +213,7 @@
             )
         };
         let hold = pick::slot_duration(speed, demand, speed.slots);
-        let is_scarce = self.waiting_prompts.with(&request.service, |line| {
+        let is_scarce = self.waiting_prompts.with_queue(&request.service, |line| {
             let rows = pick::slot_usage(candidates, request.route.objective);
             line.desk.update(now, rows, hold, hosts);
             line.objective = request.route.objective;
@@ -240,13 +242,14 @@
             deadline: request.deadline,
             objective: request.route.objective,
             expected_delay: speed.reading_time(demand.prompt)
-                + speed.pass_time(speed.slots, demand.prompt * u64::from(speed.slots)) * PASSES,
+                + speed.pass_time(speed.slots, demand.prompt * u64::from(speed.slots))
+                    * MAX_PASSES_TO_FIRST_EVENT,
             priority: request.priority(),
             standing: self.standing(now, request),
         };
         let first = has_slot(choice.primary);
         let rng = &mut *self.rng.borrow_mut();
-        self.waiting_prompts.with(&request.service, |line| {
+        self.waiting_prompts.with_queue(&request.service, |line| {
             let verdict = line.desk.decide(now, &case, first, rng);
             let outcome = match verdict {
                 Verdict::Send => "sent",
@@ -298,7 +301,7 @@
         let service = request.service.clone();
         let commitment = self
             .waiting_prompts
-            .with(&service, |line| line.desk.commit(now + hold));
+            .with_queue(&service, |line| line.desk.commit(now + hold));
         Some(Slot {
             service,
             commitment,
@@ -314,7 +317,7 @@
             self.is_suspect(now, upstream) || self.pacing.rate_and_ejection(upstream).1;
         let is_closed = is_avoided || self.backoff(now, upstream).is_some();
         let is_open = total.requests() < slot.slots && !is_closed;
-        self.waiting_prompts.with(&slot.service, |line| {
+        self.waiting_prompts.with_queue(&slot.service, |line| {
             let has_slot = is_open && !pick::is_backlogged(&total, line.objective);
             if let Some(next) = line.desk.release(now, slot.commitment, has_slot) {
                 let upstream = Some(upstream.clone());
@@ -327,9 +330,9 @@
     /// long as they may.
     fn check_slots(&self, service: &Service, objective: Duration) {
         let now = clock::mono();
-        let is_due = self.waiting_prompts.with(service, |line| {
-            let is_due = now.since(line.looked) >= LOOK;
-            line.looked = if is_due { now } else { line.looked };
+        let is_due = self.waiting_prompts.with_queue(service, |line| {
+            let is_due = now.since(line.checked_at) >= CHECK_PERIOD;
+            line.checked_at = if is_due { now } else { line.checked_at };
             is_due
         });
         if !is_due {
@@ -340,8 +343,8 @@
         }
         let account = self
             .waiting_prompts
-            .with(service, |line| *line.desk.occupancy());
-        if now.since(account.seen_at) >= REFRESH {
+            .with_queue(service, |line| *line.desk.occupancy());
+        if now.since(account.seen_at) >= REFRESH_AGE {
             let known = self.snapshot();
             let targets = known.instances.get(service).into_iter().flatten();
             let open = targets.filter(|target| self.backoff(now, &target.name).is_none());
@@ -349,13 +352,13 @@
                 .map(|target| self.candidate(now, target, &[], &[]))
                 .collect();
             let rows = pick::slot_usage(&candidates, objective);
-            self.waiting_prompts.with(service, |line| {
+            self.waiting_prompts.with_queue(service, |line| {
                 line.desk
                     .update(now, rows, account.hold_time, account.other_hosts);
             });
         }
         let rng = &mut *self.rng.borrow_mut();
-        self.waiting_prompts.with(service, |line| {
+        self.waiting_prompts.with_queue(service, |line| {
             let granted = line.desk.grant(now, rng);
             line.wake_all(granted);
         });
@@ -363,7 +366,7 @@
 
     /// Wakes all waiting prompts of a service.
     fn release_all(&self, service: &Service) {
-        self.waiting_prompts.with(service, |line| {
+        self.waiting_prompts.with_queue(service, |line| {
             let all = line.desk.drain();
             line.wake_all(all);
         });
--- a/almondlock-gateway/src/standing.rs
+++ b/almondlock-gateway/src/standing.rs
@@ -24,10 +24,10 @@
 
 /// Maximum number of refused requests that count as waiting. Beyond it the oldest are
 /// dropped.
-const REFUSED: usize = 256;
+const MAX_REFUSED: usize = 256;
 /// Maximum time for which a refused request counts as waiting, since its caller may not
 /// return.
-const RETURNS: Duration = Duration::from_secs(1);
+const MAX_RETURN_WAIT: Duration = Duration::from_secs(1);
 
 /// What this host knows of organisations' shares.
 #[derive(Debug, Default)]
@@ -113,9 +113,9 @@
         let Some(claim) = self.claim_waiting(request, resource) else {
             return;
         };
-        let until = now + returns.unwrap_or(RETURNS).min(RETURNS);
+        let until = now + returns.unwrap_or(MAX_RETURN_WAIT).min(MAX_RETURN_WAIT);
         let mut refused = self.shares.refused.borrow_mut();
-        if refused.len() >= REFUSED {
+        if refused.len() >= MAX_REFUSED {
             refused.pop_front();
         }
         refused.push_back((until, claim));
@@ -194,8 +194,8 @@
                 slots: targets.iter().map(|target| target.slots).sum(),
             }
         };
-        let mut heard = self.shares.known.borrow_mut();
-        heard.receive(now, relay, &totals, capacity);
+        let mut findings = self.shares.known.borrow_mut();
+        findings.receive(now, relay, &totals, capacity);
     }
 
     /// Returns whether shares are computed: the settings ask for it, and there are several
--- a/almondlock-gateway/src/suspicion.rs
+++ b/almondlock-gateway/src/suspicion.rs
@@ -29,9 +29,9 @@
 };
 
 /// Maximum number of requests that this host watches, and of those that it refuses.
-const KEPT: usize = 4_096;
+const MAX_TRACKED: usize = 4_096;
 /// Maximum number of messages that wait to be sent. Further losses are not reported.
-const QUEUED: usize = 256;
+const MAX_QUEUED: usize = 256;
 /// Organisation of requests without a key, for fingerprints.
 const PUBLIC: &str = "public";
 
@@ -55,7 +55,7 @@
         for suspect in suspects {
             if let Some(left) = suspect.refused_ms {
                 let until = now + Duration::from_millis(left.into());
-                if refused.len() < KEPT && refused.insert(suspect.print, until).is_none() {
+                if refused.len() < MAX_TRACKED && refused.insert(suspect.print, until).is_none() {
                     tracing::warn!(
                         fingerprint = %suspect.print, for_ms = left, source = "relay",
                         "requests refused that upstreams were lost with"
@@ -63,7 +63,7 @@
                 }
             }
             match suspect.watched {
-                true => watch(&mut watched, suspect.print),
+                true => add_watched(&mut watched, suspect.print),
                 false => {
                     watched.remove(&suspect.print);
                 }
@@ -80,9 +80,9 @@
         self.news.take()
     }
 
-    fn tell(&self, message: Message) {
+    fn enqueue(&self, message: Message) {
         let mut news = self.news.borrow_mut();
-        if news.len() < QUEUED {
+        if news.len() < MAX_QUEUED {
             news.push(message);
             self.noticed.notify_one();
         }
@@ -147,8 +147,8 @@
             birth: self.birth(upstream),
             age_ms: age_ms(clock::mono().since(since)),
         };
-        watch(&mut self.suspicion.watched.borrow_mut(), print);
-        self.suspicion.tell(Message::Lost(loss));
+        add_watched(&mut self.suspicion.watched.borrow_mut(), print);
+        self.suspicion.enqueue(Message::Lost(loss));
     }
 
     /// Reports to the relays that a watched request was answered.
@@ -159,7 +159,7 @@
         let print = request.fingerprint();
         let watched = print.filter(|print| self.suspicion.watched.borrow_mut().remove(print));
         if let Some(print) = watched {
-            self.suspicion.tell(Message::Harmless(print));
+            self.suspicion.enqueue(Message::Harmless(print));
         }
     }
 
@@ -173,8 +173,8 @@
 
 /// Adds a request to the watched ones. If there is no room, all others are forgotten;
 /// relays periodically send again those that matter.
-fn watch(watched: &mut HashSet<Fingerprint>, print: Fingerprint) {
-    if watched.len() >= KEPT {
+fn add_watched(watched: &mut HashSet<Fingerprint>, print: Fingerprint) {
+    if watched.len() >= MAX_TRACKED {
         watched.clear();
     }
     watched.insert(print);
