--- a/almondlock-gateway/examples/exchange_growth.rs
+++ b/almondlock-gateway/examples/exchange_growth.rs
@@ -1,10 +1,11 @@
-//! What hosts and relays send each other as a fleet grows, without a network.
+//! Measures what hosts and relays send each other as a fleet grows, without a network.
 //!
-//! `cargo run --release -p almondlock-gateway --example exchange_growth` plays some seconds
-//! of the exchange with fleets of 100 to 3,000 entry hosts: as many upstreams and a twelfth
-//! more, five failure domains with two relays each, and one request in four seconds at each
-//! host. It prints datagrams and bytes a second of one relay and of one host, and by which
-//! power each grows from one size to the next. Bytes are those of the messages.
+//! `cargo run --release -p almondlock-gateway --example exchange_growth` simulates a few
+//! seconds of the exchange with fleets of 100 to 3,000 entry hosts. There are a twelfth
+//! more upstreams than hosts, five failure domains with two relays each, and one request in
+//! four seconds at each host. It prints the datagrams and bytes a second of one relay and
+//! of one host, and the power by which each grows from one size to the next. Only the bytes
+//! of the messages count.
 
 use std::{
     collections::HashMap,
@@ -25,18 +26,18 @@
 const SIZES: [usize; 5] = [100, 300, 500, 1_000, 3_000];
 const DOMAINS: usize = 5;
 const RELAYS: usize = 2 * DOMAINS;
-/// Milliseconds that are played; those of the first second don't count.
+/// Milliseconds that are simulated, and those of the warm-up, which don't count.
 const LENGTH: u64 = 4_000;
 const WARM_UP: u64 = 1_000;
-/// Milliseconds between two looks.
+/// Milliseconds of a step of the simulation.
 const STEP: u64 = 10;
-/// Requests a second at a host, and milliseconds that one takes.
+/// Requests a second at a host, and milliseconds that a request takes.
 const RATE: f64 = 0.25;
 const REQUEST: u64 = 1_500;
-/// How often a host without work tells all relays that it is there.
+/// Time between two reports of a host without work to all relays.
 const IDLE: Duration = Duration::from_millis(200);
 
-/// An entry host with its requests: when each ends, and where it runs.
+/// An entry host with its requests: the end of each, and its upstream.
 #[derive(Default)]
 struct Host {
     running: Vec<(u64, Key)>,
@@ -57,7 +58,7 @@
     }
 }
 
-/// Counts of one kind of message.
+/// Numbers of datagrams and bytes of one kind of message.
 #[derive(Clone, Copy, Default)]
 struct Count {
     datagrams: usize,
@@ -71,7 +72,7 @@
     }
 }
 
-/// What relays get, and what they send to hosts that follow them and to all others.
+/// What relays receive, and what they send to hosts that follow them and to all others.
 #[derive(Clone, Copy, Default)]
 struct Totals {
     told: Count,
@@ -98,7 +99,7 @@
     }
 }
 
-/// Datagrams and kilobytes a second of one process, by column.
+/// Returns the columns: datagrams and kilobytes a second of one process.
 fn figures(hosts: usize, totals: &Totals) -> Vec<f64> {
     let seconds = (LENGTH - WARM_UP) as f64 / 1e3;
     let pair = |count: Count, processes: usize| {
@@ -156,7 +157,7 @@
     totals
 }
 
-/// Begins and ends requests. Whether any did.
+/// Begins and ends requests, and returns whether any began or ended.
 fn work(host: &mut Host, at: u64, keys: &[Key], rng: &mut SmallRng) -> bool {
     let before = host.running.len();
     host.running.retain(|(end, _)| at < *end);
@@ -169,7 +170,7 @@
     is_changed
 }
 
-/// Tells the close relay what has changed, and all of them in their time.
+/// Reports changes to the relay that is followed closely, and periodically to all relays.
 fn tell(
     host: &mut Host,
     (place, count): (usize, usize),
@@ -238,7 +239,7 @@
     SocketAddr::from((Ipv4Addr::from(place), 9))
 }
 
-/// The place of the host with this address.
+/// Returns the index of the host with this address.
 fn place(address: &SocketAddr) -> usize {
     match address {
         SocketAddr::V4(address) => u32::from(*address.ip()) as usize,
--- a/almondlock-gateway/examples/pace_cost.rs
+++ b/almondlock-gateway/examples/pace_cost.rs
@@ -1,4 +1,4 @@
-//! The processor time that judging upstreams takes, at a host and at a relay.
+//! Measures the processor time that judging upstreams takes at a host and at a relay.
 //!
 //! `cargo run --release -p almondlock-gateway --example pace_cost`
 
@@ -25,7 +25,7 @@
     Ok(Upstream::new(&format!("i-{upstream}"))?)
 }
 
-/// Microseconds of each of these.
+/// Returns the microseconds of each of `count` steps.
 fn each(spent: Duration, count: u32) -> f64 {
     spent.as_secs_f64() * 1e6 / f64::from(count)
 }
--- a/almondlock-gateway/examples/share_cost.rs
+++ b/almondlock-gateway/examples/share_cost.rs
@@ -1,8 +1,8 @@
-//! What fair shares cost a host and a relay, without a network.
+//! Measures the cost of fair shares at a host and a relay, without a network.
 //!
-//! `cargo run --release -p almondlock-gateway --example share_cost` prints, for some numbers
-//! of organisations at 31 hosts, the bytes of a host's report and of a relay's sums, and the
-//! time that each step takes on this machine.
+//! `cargo run --release -p almondlock-gateway --example share_cost` prints, for some
+//! numbers of organisations at 31 hosts, the bytes of a host's report and of a relay's
+//! sums, and the time that each step takes on this machine.
 
 use std::{
     collections::BTreeMap,
@@ -96,7 +96,7 @@
     );
 }
 
-/// What a host reports that has all organisations' requests.
+/// Returns the report of a host that has requests of all organisations.
 fn busy(host: u8, names: &[Arc<str>]) -> Envelope {
     let counts = (0_u32..).zip(names).map(|(n, name)| {
         let count = Usage {
@@ -116,7 +116,7 @@
     Envelope::encode(&report).expect("a report can be written")
 }
 
-/// What a step gives, and how many microseconds it takes in the mean.
+/// Returns the result of a step, and the mean microseconds that it takes.
 fn timed<T, F>(mut step: F) -> (T, f64)
 where
     F: FnMut() -> T,
--- a/almondlock-gateway/src/slots.rs
+++ b/almondlock-gateway/src/slots.rs
@@ -53,7 +53,7 @@
 /// The waiting prompts of one service.
 #[derive(Debug, Default)]
 struct Queue {
-    desk: Allocator,
+    allocator: Allocator,
     waiters: BTreeMap<Ticket, oneshot::Sender<Grant>>,
     checked_at: Mono,
     /// The objective of the service's prompts.
@@ -86,7 +86,7 @@
     {
         let mut lines = self.0.borrow_mut();
         match lines.get_mut(service) {
-            Some(line) => act(line),
+            Some(queue) => act(queue),
             None => act(lines.entry(service.clone()).or_default()),
         }
     }
@@ -130,9 +130,11 @@
 {
     pub(crate) fn new(worker: &Rc<Worker<D>>, request: &Request, ticket: Ticket) -> Waiter<D> {
         let (sender, granted) = oneshot::channel();
-        worker.waiting_prompts.with_queue(&request.service, |line| {
-            line.waiters.insert(ticket, sender);
-        });
+        worker
+            .waiting_prompts
+            .with_queue(&request.service, |queue| {
+                queue.waiters.insert(ticket, sender);
+            });
         worker.shared.metrics.rise("slots", "waiting");
         Waiter {
             worker: Rc::clone(worker),
@@ -171,13 +173,13 @@
         let unused = self.granted.try_recv();
         self.worker
             .waiting_prompts
-            .with_queue(&self.service, |line| {
-                line.waiters.remove(&self.ticket);
-                line.desk.cancel(self.ticket);
+            .with_queue(&self.service, |queue| {
+                queue.waiters.remove(&self.ticket);
+                queue.allocator.cancel(self.ticket);
                 if let Ok(grant) = unused
-                    && let Some(next) = line.desk.grant_next(clock::mono())
+                    && let Some(next) = queue.allocator.grant_next(clock::mono())
                 {
-                    line.wake(next, grant);
+                    queue.wake(next, grant);
                 }
             });
     }
@@ -213,11 +215,11 @@
             )
         };
         let hold = pick::slot_duration(speed, demand, speed.slots);
-        let is_scarce = self.waiting_prompts.with_queue(&request.service, |line| {
+        let is_scarce = self.waiting_prompts.with_queue(&request.service, |queue| {
             let rows = pick::slot_usage(candidates, request.route.objective);
-            line.desk.update(now, rows, hold, hosts);
-            line.objective = request.route.objective;
-            line.desk.is_scarce()
+            queue.allocator.update(now, rows, hold, hosts);
+            queue.objective = request.route.objective;
+            queue.allocator.is_scarce()
         });
         if !is_informed || self.shared.is_stopping() {
             self.release_all(&request.service);
@@ -249,8 +251,8 @@
         };
         let first = has_slot(choice.primary);
         let rng = &mut *self.rng.borrow_mut();
-        self.waiting_prompts.with_queue(&request.service, |line| {
-            let verdict = line.desk.decide(now, &case, first, rng);
+        self.waiting_prompts.with_queue(&request.service, |queue| {
+            let verdict = queue.allocator.decide(now, &case, first, rng);
             let outcome = match verdict {
                 Verdict::Send => "sent",
                 Verdict::Wait(_) => "waited",
@@ -267,11 +269,11 @@
                 self.note_deprioritised(request, now, "queued behind");
             }
             if verdict != Verdict::Send {
-                let account = line.desk.occupancy();
+                let account = queue.allocator.occupancy();
                 tracing::info!(
                     request = %request.id, outcome, slots = account.slots, free = account.free,
                     used = account.in_use, queued = account.queued, hosts,
-                    waiting = line.desk.waiting(), per_second = line.desk.slot_rate(now, case.objective),
+                    waiting = queue.allocator.waiting(), per_second = queue.allocator.slot_rate(now, case.objective),
                     age_ms = age.map(|age| age.as_millis()), "no free slot"
                 );
             }
@@ -301,7 +303,7 @@
         let service = request.service.clone();
         let commitment = self
             .waiting_prompts
-            .with_queue(&service, |line| line.desk.commit(now + hold));
+            .with_queue(&service, |queue| queue.allocator.commit(now + hold));
         Some(Slot {
             service,
             commitment,
@@ -317,11 +319,11 @@
             self.is_suspect(now, upstream) || self.pacing.rate_and_ejection(upstream).1;
         let is_closed = is_avoided || self.backoff(now, upstream).is_some();
         let is_open = total.requests() < slot.slots && !is_closed;
-        self.waiting_prompts.with_queue(&slot.service, |line| {
-            let has_slot = is_open && !pick::is_backlogged(&total, line.objective);
-            if let Some(next) = line.desk.release(now, slot.commitment, has_slot) {
+        self.waiting_prompts.with_queue(&slot.service, |queue| {
+            let has_slot = is_open && !pick::is_backlogged(&total, queue.objective);
+            if let Some(next) = queue.allocator.release(now, slot.commitment, has_slot) {
                 let upstream = Some(upstream.clone());
-                line.wake(next, Grant { upstream });
+                queue.wake(next, Grant { upstream });
             }
         });
     }
@@ -330,9 +332,9 @@
     /// long as they may.
     fn check_slots(&self, service: &Service, objective: Duration) {
         let now = clock::mono();
-        let is_due = self.waiting_prompts.with_queue(service, |line| {
-            let is_due = now.since(line.checked_at) >= CHECK_PERIOD;
-            line.checked_at = if is_due { now } else { line.checked_at };
+        let is_due = self.waiting_prompts.with_queue(service, |queue| {
+            let is_due = now.since(queue.checked_at) >= CHECK_PERIOD;
+            queue.checked_at = if is_due { now } else { queue.checked_at };
             is_due
         });
         if !is_due {
@@ -343,7 +345,7 @@
         }
         let account = self
             .waiting_prompts
-            .with_queue(service, |line| *line.desk.occupancy());
+            .with_queue(service, |queue| *queue.allocator.occupancy());
         if now.since(account.seen_at) >= REFRESH_AGE {
             let known = self.snapshot();
             let targets = known.instances.get(service).into_iter().flatten();
@@ -352,23 +354,24 @@
                 .map(|target| self.candidate(now, target, &[], &[]))
                 .collect();
             let rows = pick::slot_usage(&candidates, objective);
-            self.waiting_prompts.with_queue(service, |line| {
-                line.desk
+            self.waiting_prompts.with_queue(service, |queue| {
+                queue
+                    .allocator
                     .update(now, rows, account.hold_time, account.other_hosts);
             });
         }
         let rng = &mut *self.rng.borrow_mut();
-        self.waiting_prompts.with_queue(service, |line| {
-            let granted = line.desk.grant(now, rng);
-            line.wake_all(granted);
+        self.waiting_prompts.with_queue(service, |queue| {
+            let granted = queue.allocator.grant(now, rng);
+            queue.wake_all(granted);
         });
     }
 
     /// Wakes all waiting prompts of a service.
     fn release_all(&self, service: &Service) {
-        self.waiting_prompts.with_queue(service, |line| {
-            let all = line.desk.drain();
-            line.wake_all(all);
+        self.waiting_prompts.with_queue(service, |queue| {
+            let all = queue.allocator.drain();
+            queue.wake_all(all);
         });
     }
 }
--- a/almondlock-gateway/tests/burst/mod.rs
+++ b/almondlock-gateway/tests/burst/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts and engines without a network, in steps of a millisecond.
+//! Simulates hosts and engines without a network, in steps of a millisecond.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -18,24 +18,24 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 const SLOTS: u32 = 12;
-/// Milliseconds until a host learns of another one's requests.
+/// Milliseconds until a host learns of another host's requests.
 const AGE: usize = 40;
-/// Milliseconds that a stream has its slot.
+/// Milliseconds for which a stream occupies its slot.
 const HOLD: u64 = 2_100;
-/// Milliseconds of a pass of an engine.
+/// Milliseconds of an engine's pass.
 const PASS: u64 = 50;
-/// Milliseconds from a slot to the first event at least: reading, and its own pass. It
-/// waits for the end of the pass that runs before.
+/// Minimum number of milliseconds from getting a slot to the first event: reading, and the
+/// prompt's own pass. Before that it waits for the end of the pass in progress.
 const FIRST: u64 = 70;
-/// Milliseconds that an engine reads for a prompt.
+/// Milliseconds that an engine takes to read a prompt.
 const READING: f32 = 20.0;
 const OBJECTIVE: u64 = 300;
-/// Milliseconds that callers have.
+/// Milliseconds until a caller's deadline.
 const DEADLINE: u64 = 12_000;
-/// Callers that are refused so often don't come back.
+/// Number of refusals after which a caller doesn't return.
 const REFUSALS: u32 = 2;
 const PATIENCE: u64 = 2_000;
-/// The load before the burst, the burst and the load after it, in milliseconds.
+/// Milliseconds of the load before the burst, of the burst, and of the load after it.
 const PHASES: [u64; 3] = [3_000, 5_000, 6_000];
 const USUAL: f64 = 0.7;
 
@@ -47,7 +47,7 @@
     pub seed: u64,
 }
 
-/// What became of the prompts of the burst.
+/// Outcome of the burst's prompts.
 #[derive(Debug, Default)]
 pub struct Outcome {
     pub in_time: f64,
@@ -81,7 +81,7 @@
 
 struct Engine {
     queue: VecDeque<usize>,
-    // When the stream ends, when its first event comes, and which one it is.
+    // End of each stream, time of its first event, and the prompt's index.
     running: Vec<(u64, u64, usize)>,
 }
 
@@ -201,7 +201,7 @@
         self.past.pop_front();
     }
 
-    /// Six of ten prompts come to the first half of the hosts.
+    /// Draws a host. Six of ten prompts arrive at the first half of the hosts.
     fn host(&mut self) -> usize {
         let hosts = self.counts.len();
         let half = hosts / 2;
@@ -211,7 +211,7 @@
         }
     }
 
-    /// The engines end streams, and begin others.
+    /// Ends streams at the engines, and begins others.
     fn work(&mut self) {
         let now = self.now;
         for e in 0..self.engines.len() {
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Hosts with prompts that wait look whether one may be sent.
+    /// Lets hosts with waiting prompts check whether one may be sent.
     fn look(&mut self) {
         for host in 0..self.desks.len() {
             if self.desks[host].waiting() == 0 || !(self.now as usize + host).is_multiple_of(20) {
@@ -276,7 +276,7 @@
         self.desks[host].update(Mono::from_millis(self.now), rows, hold, hosts);
     }
 
-    /// What a host knows of an engine.
+    /// Returns the work on an engine that a host knows of.
     fn known(&self, host: usize, e: usize) -> Total {
         let mut total = Total::default();
         for (other, counts) in self.past[0].iter().enumerate() {
@@ -311,7 +311,8 @@
         candidates.collect()
     }
 
-    /// `freed`: it was granted a slot, and perhaps that of a stream of this engine.
+    /// Places a prompt. `freed` is `Some` if it was granted a slot, and has an engine if
+    /// the slot was left by one of that engine's streams.
     fn place(&mut self, id: usize, freed: Option<Option<usize>>) {
         let host = self.prompts[id].host;
         let candidates = self.candidates(host);
--- a/almondlock-gateway/tests/changed_rules.rs
+++ b/almondlock-gateway/tests/changed_rules.rs
@@ -1,5 +1,5 @@
-//! A version is made of the one before it by what differs, with the checks of one that is
-//! read by itself.
+//! The rules of a version are made from those of the one before by applying the
+//! differences, with the same checks as for a version that is read whole.
 
 mod versions;
 
@@ -45,7 +45,7 @@
     Count { read, kept }
 }
 
-/// Guards against reading what is known: elements have no order.
+/// Guards against reading known pieces again if only their order has changed.
 #[test]
 fn other_order() {
     let pieces = [
@@ -80,7 +80,8 @@
     assert_eq!((before.rules.routes(), after.routes()), (3, 3));
 }
 
-/// Guards against a route that stays away, or stays, after it was removed and added again.
+/// Guards against a route that is missing after it was removed and added again, or is still
+/// there after it was removed.
 #[test]
 fn removed_and_added() {
     let without: Vec<&str> = FIRST.into_iter().filter(|p| *p != "r a one 0").collect();
@@ -94,8 +95,8 @@
     assert_eq!(*back.unwrap().rules, alone);
 }
 
-/// Guards against an invalid version in force: each of these is refused when it is read by
-/// itself, and as a change.
+/// Guards against an invalid version that comes into force: each of these is refused both
+/// when it is read whole and when it is read as a change.
 #[parameterized(
     service_gone = { &["s one", "r a one 0", "r b two 0", "r c one 0", "k org key-1", "k other key-2"] },
     service_twice = { &["s one", "s two", "s two", "r a one 0", "r b two 0", "r c one 0", "k org key-1", "k other key-2"] },
@@ -112,7 +113,7 @@
     assert_eq!(before.rules, first().rules);
 }
 
-/// Guards against a service that can't be taken away together with its routes, or replaced
+/// Guards against a service that can't be removed together with its routes, or replaced
 /// while routes name it.
 #[test]
 fn services_changed() {
@@ -128,8 +129,8 @@
     assert_eq!(after.rules, read(None, 2, &pieces).0.unwrap().rules);
 }
 
-/// Guards against versions that all wait for one another: the one that is read is finished,
-/// then the newest follows, and a wait is told.
+/// Guards against versions that never come into force because newer ones are published: the
+/// one being read is finished, the newest follows, and a long wait is reported.
 #[test]
 fn overtaken() {
     let dialect = Lines::new();
@@ -143,7 +144,7 @@
     current.observe(at(10), &dialect, &document(2, &FIRST[..6]));
     let mut job = current.job().unwrap();
     assert!(current.rules().unwrap().organisation("key-2").is_none());
-    // The third one has the key again, and lacks the other.
+    // The third version has the key again, and lacks the other one.
     let third = ["s one", "r a one 0", "k other key-2"];
     current.observe(at(20), &dialect, &document(3, &third));
     let rules = current.rules().unwrap();
--- a/almondlock-gateway/tests/ejected_engines.rs
+++ b/almondlock-gateway/tests/ejected_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that are ejected, or slower than their figures say, when a prompt is placed.
+//! Placement of prompts while engines are ejected, or slower than their figures say.
 
 mod engines;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Idle engines, of which the first is as given.
+/// Returns idle engines, except that the first is as given.
 fn candidates(first: Candidate) -> Vec<Candidate> {
     let idle = engine(Total::default());
     (0..ENGINES)
@@ -30,7 +30,7 @@
         .collect()
 }
 
-/// Guards against prompts, or parts of them, that an ejected engine gets while others are left.
+/// Guards against prompts or parts for an ejected engine while others are left.
 #[parameterized(
     short = { 5_000 },
     middling = { 45_000 },
@@ -50,8 +50,8 @@
     }
 }
 
-/// Guards against a refusal where only ejected engines are left, and against an ejected one
-/// taken before one that merely failed lately.
+/// Guards against a refusal if only ejected engines are left, and against an ejected engine
+/// that is taken before one that merely failed recently.
 #[test]
 fn nothing_else() {
     let mut rng = SmallRng::seed_from_u64(1);
@@ -71,8 +71,8 @@
     assert_eq!(pick::choose_plain(&both, &mut rng).unwrap().primary, 1);
 }
 
-/// Guards against an idle slow engine that gets as many prompts as others, and against first
-/// events that are expected of it as if it were as fast.
+/// Guards against an idle slow engine that gets as many prompts as others, and against an
+/// expected time of the first event as if it were as fast as others.
 #[test]
 fn slower() {
     let mut rng = SmallRng::seed_from_u64(1);
@@ -95,8 +95,9 @@
     assert!((3.5..4.5).contains(&times), "{times}");
 }
 
-/// Guards against a first event that is expected of the engine that was chosen first, after
-/// another one with a free slot was drawn: that one would be judged by it.
+/// Guards against an expected time of the first event that is still the one of the engine
+/// chosen first, after another one with a free slot was drawn: that one would be judged by
+/// it.
 #[test]
 fn redirected() {
     let mut rng = SmallRng::seed_from_u64(1);
@@ -115,7 +116,7 @@
     assert!((0.9..1.1).contains(&times), "{times}");
 }
 
-/// Guards against slots that are drawn without regard to their engine's rate: while slots are
+/// Guards against drawing slots without regard to the engines' rates: while slots are
 /// scarce, a slow engine would get as many prompts as any other.
 #[test]
 fn slow_slots() {
@@ -127,7 +128,7 @@
     let all = candidates(slow);
     let drawn =
         (0..1_200).map(|_| pick::draw_engine_with_slot(&speed(), demand(5_000), &all, 1, &mut rng));
-    // 100 if all were alike, 27 by their rates.
+    // The expected number is 100 if all rates are equal, and 27 with these rates.
     let count = drawn.filter(|place| *place == 0).count();
     assert!((10..50).contains(&count), "{count}");
 }
--- a/almondlock-gateway/tests/engine_choice.rs
+++ b/almondlock-gateway/tests/engine_choice.rs
@@ -1,5 +1,5 @@
-//! Short prompts come all the time, long ones in bursts, on the same engines. A
-//! short stream stands still while a part of a long prompt is read beside it.
+//! Choice of engines while short prompts arrive steadily and long ones in bursts. A short
+//! stream stands still while a part of a long prompt is read on its engine.
 
 mod engines;
 
@@ -19,7 +19,7 @@
     vec![engine(Total::default()); ENGINES]
 }
 
-/// The first engines write short streams.
+/// Returns engines of which the first ones write short streams.
 fn writing(engines: usize, streams: u32) -> Vec<Candidate> {
     let mut candidates = idle();
     for candidate in &mut candidates[..engines] {
@@ -53,7 +53,7 @@
 fn reading_time() {
     let speed = speed();
     let millis = |tokens| speed.reading_time(tokens).as_millis();
-    // Tokens, and pairs of a token and any earlier one, by their own rates.
+    // Tokens, and pairs of a token and an earlier one, have separate rates.
     assert_eq!(millis(5_000), 20);
     assert_eq!(millis(45_000), 268);
     assert_eq!(millis(210_000), 2_842);
@@ -69,7 +69,7 @@
     }
 }
 
-/// Engines without a free place are left alone, however the lot falls.
+/// Guards against short prompts for engines without a free slot, whatever is drawn.
 #[test]
 fn short_overflow() {
     let candidates = writing(3, 16);
@@ -80,7 +80,7 @@
     }
 }
 
-/// The parts of a long prompt leave the short streams alone.
+/// Guards against parts of long prompts on engines that write short streams.
 #[parameterized(
     usual = { 210_000 },
     large = { 420_000 },
@@ -93,9 +93,9 @@
     assert!(choice.expected < Duration::from_secs(3));
 }
 
-/// The mix has turned to long prompts, and some engines that were packed with short
-/// streams still write the last ones. One that writes a single stream is a better
-/// reader than a full one, and than those that have much to read already.
+/// Guards against readers with many short streams or a large backlog, while an engine is
+/// left that writes only one. The mix has changed to long prompts, and some engines that
+/// were packed with short streams still write the last of them.
 #[test]
 fn full_ones_last() {
     let mut candidates = writing(2, 10);
@@ -112,10 +112,10 @@
     assert!(helpers.contains(&5) && !helpers.contains(&4), "{helpers:?}");
 }
 
-/// The mix turns from short prompts to long ones. Five engines write the last short
-/// streams, the others are readers and have some tenths of a second to read. Twenty
-/// prompts of which each part takes longer than such a stream may pause come after
-/// each other: they must wait for the readers, not stop streams that can be spared.
+/// Guards against parts of long prompts that stop short streams when the mix changes. Five
+/// engines write the last short streams; the others are readers with a backlog of some
+/// tenths of a second. Twenty prompts follow each other, each with parts that take longer
+/// than a short stream may pause: they must wait for the readers.
 #[test]
 fn turn_spares_streams() {
     let mut candidates = writing(2, 10);
@@ -135,9 +135,10 @@
     }
 }
 
-/// The same turn, and the readers have much to read. One engine with streams reads a
-/// large part already, so its streams will pause for too long whatever comes: it is
-/// taken before those whose streams are in time.
+/// Guards against delaying further streams after the same change of the mix, when the
+/// readers have large backlogs. One engine with streams already reads a large part, so its
+/// streams will pause for too long in any case: it is taken before those whose streams are
+/// in time.
 #[test]
 fn stopped_ones_first() {
     let mut candidates = writing(2, 10);
@@ -156,8 +157,8 @@
     assert!(!choice.helpers.iter().any(spared), "{choice:?}");
 }
 
-/// Parts of a prompt stop no stream but those of its own writer: readers write
-/// nothing, and the last engines write for long prompts and read no other's parts.
+/// Guards against parts of a prompt that stop other streams than those of its own writer.
+/// Readers write nothing, and writers read no parts of prompts that others answer.
 #[test]
 fn readers_write_nothing() {
     let mut candidates = writing(2, 10);
@@ -171,8 +172,8 @@
     assert!(usual.part < Duration::from_millis(320));
 }
 
-/// More streams of long prompts take more writers, and at most a third of the
-/// engines for them.
+/// The number of writers grows with the streams of long prompts, up to a third of the
+/// engines for long prompts.
 #[parameterized(
     none = { 0, 2 },
     some = { 8, 3 },
@@ -188,8 +189,8 @@
     );
 }
 
-/// A part of a second beside a writer's streams would make all of them late: a
-/// reader without streams answers.
+/// Guards against a part of a second beside a writer's streams, which would make all of
+/// them late: a reader without streams answers.
 #[test]
 fn largest_written_apart() {
     let mut candidates = writing(2, 10);
@@ -204,8 +205,8 @@
     assert!(choice.part > Duration::from_millis(600));
 }
 
-/// A middling prompt is read by both sides in parts that no stream notices, and
-/// written where the short ones are.
+/// A medium prompt is read by engines of both groups in parts that no stream notices, and
+/// answered by an engine for short streams.
 #[test]
 fn middling_on_short_side() {
     let candidates = writing(3, 8);
@@ -214,8 +215,8 @@
     assert!(choice.part <= Duration::from_millis(35));
 }
 
-/// All entry hosts see the same idle engines at the same moment; their lots
-/// differ, among the writers and among the readers.
+/// Guards against entry hosts that all choose the same engine. All see the same idle
+/// engines at the same moment, so their draws among writers and among readers must differ.
 #[test]
 fn no_herd() {
     let mut candidates = vec![idle()[0]; 60];
--- a/almondlock-gateway/tests/engines/mod.rs
+++ b/almondlock-gateway/tests/engines/mod.rs
@@ -1,4 +1,4 @@
-//! The figures of an engine, for decisions without a network.
+//! Engines for tests of decisions without a network.
 
 use almondlock_gateway::{
     load::Total,
@@ -6,7 +6,7 @@
 };
 use almondlock_policy::engine::Speed;
 
-/// Reads 256 tokens in a millisecond and holds 450,000.
+/// Speed of an engine that reads 256 tokens in a millisecond and holds 450,000.
 pub fn speed() -> Speed {
     Speed {
         slots: 16,
@@ -21,7 +21,7 @@
     }
 }
 
-/// An engine of sixteen places with this under way.
+/// Returns an engine with sixteen slots and this work in progress.
 pub fn engine(total: Total) -> Candidate {
     Candidate {
         total,
--- a/almondlock-gateway/tests/fleet/mod.rs
+++ b/almondlock-gateway/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! Hosts, a relay and upstreams that misbehave, without a network and with virtual time.
+//! Simulates hosts, a relay and faulty upstreams without a network and in virtual time.
 //!
-//! Short streams come at random hosts. Each host chooses among three upstreams by what it has
-//! under way there, as far as its judgement leaves them; a failed request is sent once more.
+//! Short streams arrive at random hosts. Each host chooses among three upstreams by its own
+//! work in progress there, unless it has ejected them. A failed request is sent once more.
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
@@ -26,21 +26,23 @@
 #[allow(unused_imports, reason = "each test uses a part of it")]
 pub use self::setup::{Fault, Outcome, Setup};
 
-/// The first event of a short prompt, as expected and as it is in the median.
+/// Expected and median seconds until the first event of a short prompt.
 const FIRST: f64 = 0.11;
-/// Three passes.
+/// Seconds of three passes.
 const EVENTS: f64 = 0.15;
-/// Times of three events in a stream.
+/// Number of groups of three events in a stream.
 const PIECES: u32 = 10;
-/// Until a silent upstream is given up; a probe, after its objective.
+/// Seconds after which a silent upstream is given up. A probe is given up after its
+/// objective.
 const PATIENCE: f64 = 1.2;
-/// Above the usual errors of expectations, so that only faults make a response late.
+/// Objective in seconds. It is above the usual errors of estimates, so that only faults
+/// make a response late.
 pub const OBJECTIVE: f64 = 0.45;
 const FIRST_SLACK: Duration = Duration::from_millis(100);
 const EVENTS_SLACK: Duration = Duration::from_millis(60);
-/// Between reports, and between rounds of judging.
+/// Milliseconds between reports, and between reviews of the upstreams.
 const ROUND: u64 = 200;
-/// From a report to the hosts' knowledge.
+/// Milliseconds from a report until the hosts know of it.
 const WAY: u64 = 40;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -72,7 +74,7 @@
     setup: Setup,
     rng: SmallRng,
     hosts: Vec<Detector<usize>>,
-    // Requests of a host under way at an upstream.
+    // Number of a host's requests in progress at an upstream.
     loads: HashMap<(usize, usize), u32>,
     relay: Paces,
     told: Vec<(u64, Vec<Pace>)>,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Runs for so many seconds.
+    /// Runs for this number of seconds.
     pub fn run(mut self, seconds: f64) -> Outcome {
         while let Some(Reverse((now, event))) = self.events.pop() {
             if now > millis(seconds) {
@@ -193,7 +195,8 @@
         }
     }
 
-    /// How much later than usual something is: a few hundred milliseconds for one in ten.
+    /// Returns how much later than usual an event is, in seconds: a few tenths for one in
+    /// ten.
     fn error(&mut self, host: usize) -> f64 {
         let late = self.setup.late.filter(|(other, _)| *other == host);
         let tail = match self.rng.random::<f64>() < 0.1 {
@@ -281,7 +284,7 @@
         self.at(at, event);
     }
 
-    /// The upstream for a request, and whether that probes it.
+    /// Returns the upstream for a request, and whether the request probes it.
     fn choose(&mut self, now: u64, host: usize, tried: Option<usize>) -> (usize, bool) {
         let table = &mut self.hosts[host];
         let (all, hosts) = (self.setup.upstreams, self.setup.hosts);
@@ -377,7 +380,8 @@
     }
 }
 
-/// A report that an upstream always fails and is thirty times slower than it should be.
+/// Returns a report that an upstream always fails and is thirty times slower than it should
+/// be.
 pub fn lie(upstream: usize) -> Pace {
     Pace {
         key: key(upstream),
--- a/almondlock-gateway/tests/fleet/setup.rs
+++ b/almondlock-gateway/tests/fleet/setup.rs
@@ -1,32 +1,32 @@
-//! What befalls a fleet, and what comes of it.
+//! Settings and outcome of a simulated fleet.
 
-/// What an upstream does to a request.
+/// Fault of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
-    /// So many times slower.
+    /// The upstream is slower by this factor.
     Slow(f64),
-    /// This part of the requests is answered with an error at once.
+    /// This fraction of requests is answered with an error at once.
     Error(f64),
-    /// This part is never answered.
+    /// This fraction of requests is never answered.
     Hang(f64),
 }
 
-/// A fleet and what befalls it.
+/// Size, load and faults of a fleet.
 pub struct Setup {
     pub hosts: usize,
     pub upstreams: usize,
     pub per_second: f64,
     pub seed: u64,
-    /// Hosts judge.
+    /// Whether hosts eject upstreams.
     pub is_judging: bool,
-    /// Reports get through.
+    /// Whether reports get through.
     pub has_relays: bool,
-    /// This host reports that all upstreams fail and are slow.
+    /// Host that reports that all upstreams fail and are slow.
     pub liar: Option<usize>,
-    /// This host sees everything so much later.
+    /// Host that sees every event later, and by how much.
     pub late: Option<(usize, f64)>,
-    /// What an upstream does at a time, in seconds.
+    /// Returns the fault of an upstream at a time in seconds.
     pub fault: fn(usize, f64) -> Fault,
 }
 
@@ -46,21 +46,21 @@
     }
 }
 
-/// What came of a run.
+/// Outcome of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
     pub requests: u32,
-    /// First events within the objective.
+    /// Number of first events within the objective.
     pub in_time: u32,
-    /// Attempts that failed.
+    /// Number of attempts that failed.
     pub failures: u32,
-    /// Requests that went to ejected upstreams to probe them.
+    /// Number of requests that probed ejected upstreams.
     pub probes: u32,
-    /// Changes of belief: time, host, upstream, ejected.
+    /// Ejections and reinstatements: time, host, upstream, and whether it was ejected.
     pub changes: Vec<(f64, usize, usize, bool)>,
-    /// The most upstreams that one host had ejected.
+    /// Maximum number of upstreams that one host had ejected.
     pub most_ejected: usize,
-    /// Upstreams that the host had ejected at the end, for each.
+    /// Upstreams that each host had ejected at the end.
     pub ejected: Vec<Vec<usize>>,
 }
 
--- a/almondlock-gateway/tests/greedy_long.rs
+++ b/almondlock-gateway/tests/greedy_long.rs
@@ -1,7 +1,8 @@
-//! One of 24 organisations sends long prompts at three times its usual rate over all hosts,
-//! and repeats at once what is refused. Whoever repeats fastest meets the moments in which
-//! the engines take a prompt, and the others are refused. No network: engines are the time
-//! that they have left to read.
+//! Guards against an organisation that crowds out others with long prompts. One of 24
+//! organisations sends them at three times its usual rate over all hosts, and repeats
+//! refused ones at once. Whoever repeats fastest finds the moments in which the engines
+//! accept a prompt, and the others are refused. Runs without a network; an engine is only
+//! the time that it has left to read.
 
 mod organisations;
 
@@ -25,13 +26,13 @@
     engines: ENGINES as u32,
     slots: ENGINES as u32 * 12,
 };
-/// Engines that read a prompt together.
+/// Number of engines that read a prompt together.
 const READERS: usize = 8;
 const PROMPT: u64 = 300_000;
 const OBJECTIVE: Duration = Duration::from_secs(4);
-/// Callers leave after this.
+/// Time after which callers give up.
 const PATIENCE: Duration = Duration::from_secs(8);
-/// When the greedy organisation comes back, whatever it was told.
+/// Time after which the greedy organisation repeats a request, whatever it was told.
 const REPEAT: Duration = Duration::from_millis(50);
 const STEP: Duration = Duration::from_millis(10);
 const LENGTH: Duration = Duration::from_secs(600);
@@ -44,10 +45,11 @@
 
 struct World {
     fleet: Fleet,
-    /// When each engine has read what it has.
+    /// Time at which each engine has read all of its prompts.
     free: Vec<Mono>,
     backlog: Backlog,
-    /// Claims of prompts that are read, and of those that were refused, until they end.
+    /// Claims of prompts that are being read or were refused, with the time at which they
+    /// end.
     claims: Vec<(Mono, Claim)>,
     returns: Vec<Attempt>,
     outcomes: Vec<Outcome>,
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Places a prompt, or refuses it and tells when to return.
+    /// Places a prompt, or refuses it and returns when to repeat it.
     fn send(
         &mut self,
         now: Mono,
@@ -144,7 +146,7 @@
 fn play(load: f64, greedy: Option<usize>, shares: bool, seed: u64) -> World {
     let mut world = World::new();
     let mut rng = SmallRng::seed_from_u64(seed);
-    // Apart, so that the same requests come with shares and without.
+    // A separate generator, so that the same requests arrive with shares and without.
     let mut arrivals = SmallRng::seed_from_u64(seed + 1_000);
     let sustained = ENGINES as f64 / speed().reading_time(PROMPT).as_secs_f64();
     let rates = rates(sustained * load, greedy);
@@ -189,7 +191,7 @@
     world
 }
 
-/// The others' worst-served tenth get more of their requests' worth with shares.
+/// The worst-served tenth of the other organisations has a higher utility with shares.
 #[parameterized(
     largest = { 0.8, 0, 1 },
     largest_again = { 0.8, 0, 2 },
@@ -209,7 +211,7 @@
     assert!(worst[1] > worst[0], "{worst:?}");
 }
 
-/// Few long prompts: none is refused that wouldn't be without shares.
+/// With few long prompts, shares cause no additional refusal.
 #[test]
 fn no_contention() {
     let [without, with] = [false, true].map(|shares| play(0.3, None, shares, 1));
--- a/almondlock-gateway/tests/greedy_organisation.rs
+++ b/almondlock-gateway/tests/greedy_organisation.rs
@@ -1,7 +1,8 @@
-//! One of 24 organisations sends short prompts at three times its usual rate over all hosts
-//! and repeats at once what isn't served. First come, first served, the others' prompts wait
-//! behind its own. No network: hosts' ledgers, a relay's tally and what hosts know of it run
-//! by a clock of the test's; engines are queues.
+//! Guards against an organisation that crowds out others with short prompts. One of 24
+//! organisations sends them at three times its usual rate over all hosts, and repeats at
+//! once what isn't served. If prompts are served in the order of arrival, those of the
+//! others wait behind its own. Runs without a network: the hosts' ledgers, a relay's tally
+//! and the hosts' findings run on a simulated clock, and engines are queues.
 
 mod organisations;
 
@@ -22,22 +23,22 @@
     engines: ENGINES as u32,
     slots: (ENGINES * SLOTS) as u32,
 };
-/// How long a stream holds its slot.
+/// Time for which a stream occupies its slot.
 const STREAM: Duration = Duration::from_millis(2_200);
-/// From the slot to the first event.
+/// Time from getting a slot to the first event.
 const FIRST: Duration = Duration::from_millis(90);
 const READING: Duration = Duration::from_millis(32);
 const OBJECTIVE: Duration = Duration::from_millis(250);
-/// Callers leave after this.
+/// Time after which callers give up.
 const PATIENCE: Duration = Duration::from_secs(2);
 const STEP: Duration = Duration::from_millis(10);
 const LENGTH: Duration = Duration::from_secs(60);
-/// The rank of short prompts, and of the other kind of the service.
+/// Rank of short prompts, and the bits of the ranks of the service's kinds of requests.
 const SHORT: u32 = 1;
 const KINDS: u16 = 1 << SHORT | 1 << 3;
 
 struct Case {
-    /// The usual load, as a part of what the slots sustain.
+    /// Usual load as a fraction of what the slots sustain.
     load: f64,
     greedy: Option<usize>,
     shares: bool,
@@ -100,7 +101,7 @@
         });
     }
 
-    /// Gives free slots to prompts. Gives the organisations whose callers left.
+    /// Gives free slots to prompts, and returns the organisations whose callers gave up.
     fn step(&mut self, now: Mono) -> Vec<usize> {
         let mut left = Vec::new();
         for engine in &mut self.engines {
@@ -140,7 +141,7 @@
 fn play(case: &Case) -> World {
     let mut world = World::new();
     let mut rng = SmallRng::seed_from_u64(case.seed);
-    // Apart, so that the same requests come with shares and without.
+    // A separate generator, so that the same requests arrive with shares and without.
     let mut arrivals = SmallRng::seed_from_u64(case.seed + 1_000);
     let sustained = (ENGINES * SLOTS) as f64 / STREAM.as_secs_f64();
     let rates = rates(sustained * case.load, case.greedy);
@@ -165,8 +166,8 @@
     world
 }
 
-/// The worst-served tenth get half as much again of their requests' worth with shares, and
-/// all organisations together don't get less.
+/// With shares, the utility of the worst-served tenth is half as much again, and that of
+/// all organisations together isn't lower.
 #[parameterized(
     largest = { 0.8, 0, 1 },
     largest_again = { 0.8, 0, 2 },
@@ -194,7 +195,8 @@
     assert!(total[1] > total[0], "{total:?}");
 }
 
-/// Slots suffice: nobody is deprioritised, and each request comes out as without shares.
+/// While there are enough slots, no request is deprioritised, and each has the same outcome
+/// as without shares.
 #[parameterized(
     half = { 0.5, 1 },
     most = { 0.6, 2 },
--- a/almondlock-gateway/tests/known_loads.rs
+++ b/almondlock-gateway/tests/known_loads.rs
@@ -1,5 +1,5 @@
-//! Several entry hosts send to the same engines. What each has under way must
-//! count at the others until it is done, and no longer.
+//! Several entry hosts send to the same engines. The other hosts must count each host's
+//! work until it is done, and no longer.
 
 use std::time::Duration;
 
@@ -39,8 +39,8 @@
     assert_eq!(table.total(at(0), &name()), Total::default());
 }
 
-/// A second prompt waits behind the first. None of its reading is done by the
-/// time that the first one is read.
+/// Guards against counting a waiting prompt as read: a second prompt waits behind the
+/// first, and none of it is read by the time that the first one is.
 #[test]
 fn waiting_reads_nothing() {
     let mut table = Table::default();
@@ -51,8 +51,8 @@
     assert_eq!(table.total(at(610), &name()).reading, 200.0);
 }
 
-/// Estimates run out before an engine does that is slow: part of the reading
-/// counts until the first event proves it done.
+/// Guards against an estimate that runs out before a slow engine is done: part of the
+/// reading time counts until the first event proves that the prompt was read.
 #[test]
 fn doubt_remains() {
     let mut table = Table::default();
@@ -77,7 +77,8 @@
     assert_eq!(table.other_hosts(at(1_100)), 0);
 }
 
-/// After a loss of power an engine still works for callers that are gone.
+/// Guards against ignoring requests that no host knows of: after a power loss, an engine
+/// still works for callers that are gone.
 #[test]
 fn reported_beyond_known() {
     let mut table = Table::default();
@@ -90,9 +91,9 @@
     assert_eq!(table.total(at(1_800), &name()).requests(), 1);
 }
 
-/// An upstream crashes and starts again before its connections are found broken.
-/// What its earlier life had under way counts no more, and its end is no end of
-/// anything that the new life does.
+/// Guards against counting work of an upstream that has restarted before its connections
+/// were found broken. The earlier process's work counts no more, and the end of that work
+/// doesn't end any work of the new process.
 #[test]
 fn started_again() {
     let mut table = Table::default();
--- a/almondlock-gateway/tests/limited_engines.rs
+++ b/almondlock-gateway/tests/limited_engines.rs
@@ -1,6 +1,6 @@
-//! Some engines name limits on the requests of all hosts. An engine that is sent requests
-//! beyond its limit, or orders for memory on top of them, gets more than it named; one that
-//! is left out altogether wastes what it could still read.
+//! Choice of engines while some name limits on the requests of all hosts. An engine that is
+//! sent requests beyond its limit, or orders for memory in addition, gets more than it
+//! allows. One that is avoided altogether wastes its capacity to read.
 
 mod engines;
 
@@ -19,7 +19,7 @@
 const LONG: u64 = 210_000;
 const HUGE: u64 = 700_000;
 
-/// Idle engines, of which the first ones stand with their limits like this.
+/// Returns idle engines, of which the first ones have these states of their limits.
 fn engines(limited: &[Quota]) -> Vec<Candidate> {
     let mut engines = vec![engine(Total::default()); 18];
     for (engine, limited) in engines.iter_mut().zip(limited) {
@@ -38,7 +38,8 @@
     pick::choose_engine(&speed(), demand, candidates, &mut rng)
 }
 
-/// Guards against requests to engines at their limits, and orders to any that name one.
+/// Guards against requests to engines at their limits, and against orders for memory to any
+/// engine that names a limit.
 #[parameterized(
     short = { SHORT },
     middling = { MIDDLING },
@@ -56,8 +57,8 @@
     }
 }
 
-/// Guards against short streams that are spread over the readers because the engines that
-/// are theirs by order are at their limits.
+/// Guards against short streams that are spread over the readers because the engines for
+/// short streams are at their limits.
 #[parameterized(
     first = { 0 },
     amid = { 3 },
@@ -81,8 +82,8 @@
     }
 }
 
-/// Guards against answers to long prompts that nobody may write, because the writers by order
-/// name limits.
+/// Guards against long prompts without a writer because the last engines, which would be
+/// writers, name limits.
 #[test]
 fn writers_beside() {
     let mut limited = [Quota::Unlimited; 18];
@@ -95,7 +96,8 @@
     }
 }
 
-/// Parts that are read for another engine are no requests of hosts.
+/// Engines at their limits still read parts for other engines, since these are not requests
+/// of hosts.
 #[test]
 fn still_read() {
     let candidates = engines(&[Quota::Exhausted; 10]);
@@ -104,7 +106,7 @@
     assert!(helpers.any(|place| candidates[*place].quota == Quota::Exhausted));
 }
 
-/// Where every engine is at its limit the request is refused and not sent all the same.
+/// Guards against a request that is sent although every engine is at its limit.
 #[parameterized(
     short = { SHORT },
     middling = { MIDDLING },
@@ -115,7 +117,8 @@
     assert_eq!(choose(prompt, &candidates, 1), Err(Shortage::Limit));
 }
 
-/// A prompt that fits into one engine is served where all of them name limits.
+/// Guards against refusing a prompt that fits into one engine because all engines name
+/// limits.
 #[parameterized(
     short = { SHORT },
     middling = { MIDDLING },
@@ -130,7 +133,7 @@
     assert!(choice.shares.is_empty());
 }
 
-/// An engine that failed lately is taken before one at its limit.
+/// An engine that failed recently is taken before one at its limit.
 #[test]
 fn suspect_first() {
     let mut candidates = engines(&[Quota::Exhausted; 18]);
@@ -139,7 +142,7 @@
     assert_eq!(choose(SHORT, &candidates, 1).unwrap().primary, 3);
 }
 
-/// Plain upstreams at their limits are passed over as well.
+/// Upstreams that are not engines are passed over too if they are at their limits.
 #[test]
 fn plain_spared() {
     let mut candidates = engines(&[Quota::Exhausted; 17]);
--- a/almondlock-gateway/tests/many_hosts.rs
+++ b/almondlock-gateway/tests/many_hosts.rs
@@ -1,6 +1,7 @@
-//! A hundred entry hosts place short prompts on a hundred engines, each knowing what
-//! the others sent some time ago. Prompts that come within that time see the same idle
-//! engine; those that take it together wait for each other, and are late.
+//! Guards against entry hosts that all choose the same idle engine. A hundred of them place
+//! short prompts on a hundred engines, and each learns late what the others sent. Prompts
+//! that arrive meanwhile see the same idle engine; those that take it together wait for
+//! each other and are late.
 
 mod engines;
 
@@ -18,23 +19,23 @@
 const DOMAINS: usize = 5;
 const ENGINES: usize = 110;
 const HOSTS: usize = 103;
-/// Requests that an engine works on at one time.
+/// Number of requests that an engine processes at the same time.
 const SLOTS: u32 = 10;
 /// Milliseconds until a host knows what another one has sent.
 const AGE: usize = 60;
-/// Milliseconds that an engine reads for a short prompt.
+/// Milliseconds that an engine takes to read a short prompt.
 const READING: f32 = 20.0;
-/// Short prompts come at twice their usual rate, as after a turn of the mix.
+/// Short prompts in a millisecond: twice their usual rate, as after a change of the mix.
 const PER_MILLISECOND: f64 = 0.4;
-/// Milliseconds until its first event.
+/// Milliseconds until the first event of a short prompt.
 const FIRST_EVENT: usize = 130;
-/// Milliseconds that a stream is written for.
+/// Milliseconds for which a stream is written.
 const WRITING: usize = 1_600;
 
-/// What was sent: when, by which host, to which engine.
+/// A request that was sent: the time, the host and the engine.
 type Sent = (usize, usize, usize);
 
-/// Hosts and engines in as many failure domains, and the cells as each host sees them.
+/// Hosts and engines in several failure domains, and the cells as each host sees them.
 struct Fleet {
     cells: Vec<Vec<usize>>,
     sent: Vec<Sent>,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The engines as one host knows them.
+    /// Returns the engines as one host knows them.
     fn candidates(&self, now: usize, host: usize) -> Vec<Candidate> {
         let mut totals = vec![Total::default(); ENGINES];
         let known = |sent: &&Sent| sent.1 == host || sent.0 + AGE <= now;
@@ -81,7 +82,7 @@
         candidates.collect()
     }
 
-    /// Sends short prompts for a second, after one of running in.
+    /// Sends short prompts for a second, after a second of warm-up.
     fn run(&mut self, rng: &mut SmallRng) {
         let demand = Demand {
             prompt: 5_000,
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Of the prompts of the last second, the share that came to an engine which got
-    /// more than `most` within the age of what hosts know.
+    /// Returns the fraction of the last second's prompts that were sent to an engine which
+    /// got more than `most` within the age of the hosts' information.
     fn crowded(&self, most: usize) -> f64 {
         let last: Vec<&Sent> = self.sent.iter().filter(|sent| sent.0 >= 1_000).collect();
         let crowded = last.iter().filter(|(at, _, engine)| {
@@ -127,8 +128,8 @@
     shares.sum::<f64>() / 6.0
 }
 
-/// A short prompt may wait for three others (60 ms) and a pass (some 70 ms), and is
-/// still there within 300 ms. Nearly none may find more before it.
+/// A short prompt may wait for three others (60 ms) and a pass (about 70 ms), and its first
+/// event still comes within 300 ms. Hardly any prompt may find more before it.
 #[test]
 fn not_crowded() {
     let share = crowded(DOMAINS, 4);
--- a/almondlock-gateway/tests/organisations/mod.rs
+++ b/almondlock-gateway/tests/organisations/mod.rs
@@ -1,5 +1,5 @@
-//! Organisations of unequal size at several hosts, which report to a relay, by a clock of the
-//! test's.
+//! Simulates organisations of unequal size at several hosts that report to a relay, on a
+//! simulated clock.
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
@@ -16,10 +16,10 @@
 pub const ORGANISATIONS: usize = 24;
 pub const SERVICE: &str = "e";
 const SKEW: f64 = 1.2;
-/// What the greedy organisation sends, as a multiple of its usual rate.
+/// Rate of the greedy organisation as a multiple of its usual rate.
 const GREED: f64 = 3.0;
 
-/// What became of an organisation's requests.
+/// Outcome of an organisation's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Outcome {
     pub sent: u32,
@@ -28,7 +28,7 @@
 }
 
 impl Outcome {
-    /// What callers got of what their requests were worth.
+    /// Returns the utility of the responses divided by the number of requests.
     pub fn utility(&self) -> f64 {
         self.served() / f64::from(self.sent.max(1))
     }
@@ -38,7 +38,8 @@
     }
 }
 
-/// What each organisation sends in a second, out of `total` in usual times.
+/// Returns each organisation's requests a second. Without a greedy one they add up to
+/// `total`.
 pub fn rates(total: f64, greedy: Option<usize>) -> Vec<f64> {
     let weights = (1..=ORGANISATIONS).map(|n| (n as f64).powf(-SKEW));
     let weights: Vec<f64> = weights.collect();
@@ -50,15 +51,15 @@
     weights.iter().enumerate().map(rate).collect()
 }
 
-/// The mean utility of the tenth of organisations that are served worst. The greedy one is
-/// left out: it can't get what it asks for.
+/// Returns the mean utility of the worst-served tenth of organisations. The greedy one is
+/// left out, since it can't get what it asks for.
 pub fn worst_tenth(outcomes: &[Outcome], greedy: usize) -> f64 {
     let mut utilities = others(outcomes, greedy);
     utilities.sort_by(f64::total_cmp);
     utilities[..ORGANISATIONS / 10].iter().sum::<f64>() / (ORGANISATIONS / 10) as f64
 }
 
-/// The mean utility of all but the greedy organisation.
+/// Returns the mean utility of all organisations but the greedy one.
 pub fn mean(outcomes: &[Outcome], greedy: usize) -> f64 {
     let utilities = others(outcomes, greedy);
     utilities.iter().sum::<f64>() / utilities.len() as f64
@@ -70,8 +71,8 @@
     others.map(|(_, outcome)| outcome.utility()).collect()
 }
 
-/// The utility of all responses together. Not relative to what was sent: most of that are
-/// the greedy organisation's repetitions.
+/// Returns the utility of all responses together. It isn't divided by the number of
+/// requests, since most of these are the greedy organisation's repetitions.
 pub fn served(outcomes: &[Outcome]) -> f64 {
     outcomes.iter().map(Outcome::served).sum()
 }
@@ -83,7 +84,7 @@
 }
 
 impl Host {
-    /// Whether an organisation is over its share.
+    /// Returns the finding if an organisation is over its share.
     pub fn finding(&self, now: Mono, organisation: &str) -> Option<Finding> {
         let tag = Tag::of(SERVICE, organisation);
         self.known.excess(now, address(99), tag)
@@ -97,7 +98,7 @@
     capacity: Capacity,
     relay: Tally,
     reported: Mono,
-    /// Sums on their way, and when they arrive.
+    /// Sums on their way, with the time of their arrival.
     under_way: VecDeque<(Mono, Envelope)>,
 }
 
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Hosts report each period, and hear the sums half a period later.
+    /// Sends the hosts' reports each period, and delivers the sums half a period later.
     pub fn exchange(&mut self, now: Mono) {
         if now.since(self.reported) >= PERIOD {
             self.reported = now;
--- a/almondlock-gateway/tests/outlier_ejection.rs
+++ b/almondlock-gateway/tests/outlier_ejection.rs
@@ -1,4 +1,5 @@
-//! Hosts that judge upstreams by what they observe of them, and tell each other by relays.
+//! Ejection of upstreams by hosts that observe them and exchange their observations through
+//! relays.
 
 mod fake;
 mod gateway;
@@ -16,7 +17,7 @@
 
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// An upstream with one response to all requests.
+/// Starts an upstream with one response to all requests.
 fn upstream(step: Step) -> (SocketAddr, Receiver<String>) {
     serve(move |_| vec![step.clone()])
 }
@@ -29,7 +30,7 @@
     answer("500 X", "no")
 }
 
-/// A refusal that promises nothing.
+/// A refusal that doesn't state whether the request ran.
 fn refusal() -> Step {
     Step::Write("HTTP/1.1 503 X\r\nx-id: ID\r\ncontent-length: 0\r\n\r\n".into())
 }
@@ -39,7 +40,8 @@
     Step::Write("HTTP/1.1 503 X\r\nx-id: ID\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n".into())
 }
 
-/// Starts a failing upstream and five that are well; gives what reaches the first one.
+/// Starts a failing upstream and five healthy ones. Returns the requests that reach the
+/// failing one.
 fn upstreams(failing: Step) -> (Vec<SocketAddr>, Receiver<String>) {
     let (first, heads) = upstream(failing);
     let others = [0; 5].map(|_| upstream(well()).0);
@@ -55,8 +57,8 @@
     responses.collect()
 }
 
-/// Guards against requests that keep going to an upstream that fails all of them, though it is
-/// enrolled and its health check passes.
+/// Guards against requests that are still sent to an upstream that fails all of them, since
+/// it is enrolled and its health check passes.
 #[parameterized(
     with_500 = { error(), false },
     with_503 = { refusal(), true },
@@ -72,16 +74,18 @@
         heads.try_iter().count()
     });
     println!("reached {reached:?}");
-    // A probe in two seconds on average, and the requests took some two seconds.
+    // There is a probe every two seconds on average, and the requests took about two
+    // seconds.
     assert!(reached[1] <= 6, "{reached:?}");
-    // One that is passed over anyway, for longer than that, may get nothing without it.
+    // Without ejection, an upstream that is passed over for longer than that may get no
+    // request.
     match is_passed_over {
         true => assert!(reached[0] <= 6, "{reached:?}"),
         false => assert!(reached[1] <= reached[0], "{reached:?}"),
     }
 }
 
-/// Guards against calls that may run only once and are sent to an ejected upstream.
+/// Guards against requests that may run only once and are sent to an ejected upstream.
 #[test]
 fn once_elsewhere() {
     let (upstreams, heads) = upstreams(error());
@@ -93,9 +97,9 @@
     assert_eq!(heads.try_iter().count(), 0);
 }
 
-/// Guards against a probe with a call whose route allows one attempt: its failure would be the
-/// caller's. A probe comes every 2 s in the mean; without any for 10 s, the upstream is
-/// reinstated.
+/// Guards against a probe with a request whose route allows only one attempt: a failure
+/// would reach the caller. A probe is sent every 2 s on average; without one for 10 s, the
+/// upstream is reinstated.
 #[test]
 fn single_attempt() {
     let (upstreams, heads) = upstreams(error());
@@ -109,8 +113,8 @@
     assert_eq!(heads.try_iter().count(), 0);
 }
 
-/// Guards against calls that keep going to an upstream that answers seven times later than the
-/// others of its service.
+/// Guards against requests that are still sent to an upstream that answers seven times
+/// later than the others of its service.
 #[test]
 fn slow_upstream() {
     let reached = [false, true].map(|judges| {
@@ -130,7 +134,7 @@
     assert!(reached[1] * 2 <= reached[0], "{reached:?}");
 }
 
-/// Guards against failures that each host has to learn by its own requests.
+/// Guards against hosts that learn of a failing upstream only by their own requests.
 #[test]
 fn learned_from_others() {
     let relays = [start_relay(), start_relay()];
@@ -138,8 +142,8 @@
     let start = || start_observing_pace(&upstreams, Some(relays), true);
     let hosts = [start(), start(), start()];
     sleep(Duration::from_millis(500));
-    // Upstreams are drawn: until each of two hosts has met the failing one, and then the others
-    // to compare it with.
+    // Upstreams are drawn at random: sends requests until each of two hosts has reached the
+    // failing one, and then the others to compare it with.
     for host in [hosts[0], hosts[1]] {
         while !ask_often(host, "/unsafe/", 1).contains(&500) {}
     }
@@ -154,8 +158,8 @@
     assert_eq!(heads.try_iter().count(), 0);
 }
 
-/// Guards against messages on the wire from hosts whose settings don't ask for them, and
-/// against datagrams that a host doesn't send though they do.
+/// Guards against messages from hosts whose settings don't ask for them, and against
+/// messages missing from hosts whose settings do.
 #[parameterized(
     off = { false },
     on = { true },
@@ -168,7 +172,7 @@
     let (upstreams, heads) = upstreams(error());
     let gateway = start_observing_pace(&upstreams, Some(addresses), judges);
     ask_often(gateway, "/safe/", 10);
-    // Upstreams are drawn: until the failing one was.
+    // Upstreams are drawn at random: sends requests until the failing one is reached.
     while heads.try_iter().count() == 0 {
         ask_often(gateway, "/safe/", 5);
     }
--- a/almondlock-gateway/tests/outlier_load.rs
+++ b/almondlock-gateway/tests/outlier_load.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are slow or fail, under load, with and without the judgement.
+//! Slow and failing upstreams under load, with and without ejection.
 
 mod fleet;
 
@@ -6,11 +6,11 @@
 use yare::parameterized;
 
 const SEEDS: [u64; 8] = [1, 2, 3, 4, 5, 6, 7, 8];
-/// How long a fault lasts in most variants, from 2 s on.
+/// Seconds between which most faults last.
 const FAULT: std::ops::Range<f64> = 2.0..8.5;
 const RUN: f64 = 14.0;
-/// All upstreams are back so long after the end of a fault: the window, and a few probes of
-/// which the first one takes longest.
+/// Seconds after the end of a fault by which all upstreams are reinstated: the window, and
+/// a few probes of which the first takes longest.
 const BACK: f64 = 14.0;
 
 mod fault {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Sums over the seeds, without and with the judgement.
+/// Returns the outcomes for all seeds, without and with ejection.
 fn both(fault: fn(usize, f64) -> Fault, has_relays: bool) -> [Vec<Outcome>; 2] {
     [false, true].map(|is_judging| {
         let runs = SEEDS.map(|seed| {
@@ -92,8 +92,9 @@
     runs.iter().map(|run| run.failures).sum()
 }
 
-/// Guards against a judgement that does harm, or none that is needed: requests in time must be
-/// more by `gain` at least, and attempts that fail at most `left` of those without it.
+/// Guards against ejection that does harm, and against ejection missing where it is needed.
+/// The share of requests in time must rise by at least `gain`, and failed attempts must be
+/// at most `left` of those without ejection.
 #[parameterized(
     one_slow = { fault::one_slow, 0.001, 1.0 },
     nine_slow = { fault::nine_slow, 0.012, 1.0 },
@@ -119,8 +120,8 @@
     }
 }
 
-/// Guards against hosts that decide worse on their own than without a judgement when relays are
-/// gone.
+/// Guards against hosts that fare worse with ejection than without it while no relay
+/// answers.
 #[parameterized(
     one_slow = { fault::one_slow },
     nine_slow = { fault::nine_slow },
@@ -159,7 +160,7 @@
     }
 }
 
-/// Guards against ejections in a fleet that is well, busy or slow as a whole.
+/// Guards against ejections in a fleet that is healthy, busy or slow as a whole.
 #[parameterized(
     well = { |_, _| Fault::None, 64.0 },
     busy = { |_, _| Fault::None, 400.0 },
@@ -179,7 +180,7 @@
 }
 
 /// Guards against ejections in a fleet that fails as a whole. Of 54 upstreams that fail 45
-/// requests in 100 few fail all of theirs in the first second, before much is known.
+/// % of their requests, a few fail all of them in the first second, before much is known.
 #[test]
 fn all_failing() {
     for seed in SEEDS {
@@ -193,7 +194,7 @@
     }
 }
 
-/// Guards against one host that reports wrong data, and so has others eject upstreams.
+/// Guards against one host whose wrong reports make others eject upstreams.
 #[test]
 fn lying_host() {
     for seed in SEEDS {
@@ -206,8 +207,8 @@
     }
 }
 
-/// Guards against a host that is slow itself and takes that for the upstreams' slowness, or
-/// makes other hosts do so.
+/// Guards against a slow host that takes its own slowness for that of upstreams, or makes
+/// other hosts do so.
 #[test]
 fn slow_host() {
     for seed in SEEDS {
@@ -220,8 +221,8 @@
     }
 }
 
-/// Guards against probes that come near to the usual share of requests of an upstream: all
-/// hosts together send four a second.
+/// Guards against probes that are nearly as many as an upstream's usual requests: all hosts
+/// together send four a second.
 #[test]
 fn few_probes() {
     let setup = Setup {
--- a/almondlock-gateway/tests/permit_parts.rs
+++ b/almondlock-gateway/tests/permit_parts.rs
@@ -1,7 +1,7 @@
-//! Dozens of hosts want more of a limited upstream than it takes, while links to relays are
-//! cut, datagrams are lost, hosts and relays start again, and the limit changes. Were a
-//! permit given twice, or a part counted by two relays, the upstream would get more than it
-//! named.
+//! Guards against more requests to a limited upstream than it allows. Dozens of hosts want
+//! to send more, while links to relays are cut, datagrams are lost, hosts and relays
+//! restart, and the limit changes. A permit granted twice, or a part of the limit granted
+//! by two relays, would exceed the limit.
 
 use std::collections::VecDeque;
 
@@ -15,13 +15,13 @@
 use yare::parameterized;
 
 const START: Mono = Mono::from_millis(100_000);
-/// Milliseconds that are played.
+/// Milliseconds that are simulated.
 const LENGTH: u64 = 40_000;
-/// Milliseconds until a datagram has arrived.
+/// Milliseconds until a datagram arrives.
 const WAY: u64 = 2;
 /// Milliseconds between two rounds of a relay.
 const ROUND: u64 = 20;
-/// Milliseconds from the first naming of a limit until it is to be kept.
+/// Milliseconds from when a limit is first named until it must be kept.
 const CONTACT: u64 = 3_000;
 /// Milliseconds over which requests are counted.
 const SPAN: u64 = 4_000;
@@ -32,14 +32,14 @@
 struct Host {
     limits: Limits<Key>,
     waits: Selector<Key, usize>,
-    /// The link to each relay is cut until then.
+    /// Time until which the link to each relay is cut.
     cut: Vec<u64>,
 }
 
 struct Fleet {
     hosts: Vec<Host>,
     relays: Vec<Limiter>,
-    /// Limits on their way to a host, with their arrival.
+    /// Limits on their way to a host, with the time of their arrival.
     told: VecDeque<(u64, usize, Vec<Limit>)>,
     rng: SmallRng,
 }
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Whether a datagram between these arrives.
+    /// Returns whether a datagram between this host and relay arrives.
     fn passes(&mut self, at: u64, host: usize, relay: usize) -> bool {
         self.hosts[host].cut[relay] <= at && !self.rng.random_bool(0.02)
     }
 
-    /// Restarts and cuts, a few a second.
+    /// Restarts hosts and relays and cuts links, a few times a second.
     fn trouble(&mut self, at: u64) {
         let relays = self.relays.len();
         let host = self.rng.random_range(0..self.hosts.len());
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Relays tell hosts what has changed.
+    /// Sends the relays' changes to hosts.
     fn round(&mut self, at: u64) {
         for relay in 0..self.relays.len() {
             let limits = self.relays[relay].take_updates(moment(at));
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Whether a host gets leave to send one request.
+    /// Returns whether a host gets a permit for one request.
     fn permit(&mut self, at: u64, host: usize) -> bool {
         let now = moment(at);
         let relays: Vec<usize> = (0..self.relays.len()).collect();
@@ -146,7 +146,7 @@
         }
     }
 
-    /// A host hears a limit in an answer, and tells all relays.
+    /// Lets a host learn a limit from an answer and report it to all relays.
     fn hear(&mut self, at: u64, host: usize, rate: Option<Rate>) {
         let now = moment(at);
         let notice = Notice::of(rate, now, now);
@@ -161,12 +161,12 @@
     }
 }
 
-/// The limit at a moment.
+/// Returns the limit at a time.
 fn limit(at: u64) -> f64 {
     if at < LENGTH / 2 { 6.0 } else { 3.0 }
 }
 
-/// When requests came, with the host that sent them and what the limit was.
+/// Runs the simulation, and returns the times of requests.
 fn play(hosts: usize, relays: usize, seed: u64) -> Vec<u64> {
     let mut fleet = Fleet::new(hosts, relays, seed);
     let mut arrivals = Vec::new();
@@ -180,7 +180,7 @@
             if !fleet.rng.random_bool(0.01) {
                 continue;
             }
-            // A host that doesn't know of the limit yet isn't counted before it does.
+            // A host's requests don't count until it knows of the limit.
             let is_told = fleet.hosts[host].limits.rate(&key()).is_some();
             if fleet.permit(at, host) {
                 arrivals.extend(is_told.then_some(at));
@@ -192,7 +192,7 @@
     arrivals
 }
 
-/// The most arrivals in a span that lies between two moments.
+/// Returns the maximum number of arrivals in any span between two times.
 fn most(arrivals: &[u64], from: u64, to: u64) -> usize {
     let starts = arrivals
         .iter()
@@ -210,7 +210,7 @@
     (1.5 * limit * SPAN as f64 / 1e3) as usize + 5
 }
 
-/// Guards against limits that add up to more than was named, whatever is cut or restarted.
+/// Guards against permits that add up to more than the limit, whatever is cut or restarted.
 #[parameterized(
     few = { 4, 3 },
     dozens = { 24, 5 },
--- a/almondlock-gateway/tests/reading_pace.rs
+++ b/almondlock-gateway/tests/reading_pace.rs
@@ -1,5 +1,5 @@
-//! Versions are read in slices. Requests may not wait long for one, and however many they
-//! are, a version has to be in force within 2,500 ms.
+//! Versions are read in slices. Requests must not wait long for a slice, and a version must
+//! be in force within 2,500 ms, however many requests there are.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 use almondlock_gateway::reading::Pacer;
 use yare::parameterized;
 
-/// Load pattern: a burst in which requests take the host for so long between two slices.
-/// Guards against reading that is starved by it; 0.3 s is what 1,300 routes take, read by
-/// themselves, on a host with 0.09 of a core.
+/// Guards against reading that is starved by a burst of requests, which take `others`
+/// milliseconds between two slices. Reading 1,300 routes without requests takes 0.3 s on a
+/// host with 0.09 of a core.
 #[parameterized(
     idle = { 0, 400 },
     usual = { 4, 1_000 },
--- a/almondlock-gateway/tests/restart_burst.rs
+++ b/almondlock-gateway/tests/restart_burst.rs
@@ -1,7 +1,7 @@
-//! All entry hosts start again together, and the callers that were cut off are
-//! back: as many short prompts come in a moment as otherwise in seconds. Packed
-//! onto the engines that have places for them, each waits until those before it
-//! are read, and the last ones come late.
+//! Guards against late answers after a restart of all entry hosts. The callers that were
+//! cut off return together, so as many short prompts arrive in a moment as otherwise in
+//! seconds. If they are packed onto the engines that have slots for them, each waits until
+//! those before it are read, and the last ones are late.
 
 mod engines;
 
@@ -26,8 +26,8 @@
     }
 }
 
-/// Engines of which the first two have short streams for half of their places, and
-/// so many milliseconds left to read; the others have as much as `other`.
+/// Returns engines of which the first two have short streams in half of their slots and
+/// `reading` milliseconds left to read. The others have `other` milliseconds left.
 fn engines(reading: f32, other: f32) -> Vec<Candidate> {
     let candidate = |reading, short| {
         engine(Total {
@@ -42,7 +42,7 @@
     engines
 }
 
-/// How many of a hundred choices fall on other engines than the first two.
+/// Returns how many of a hundred choices are other engines than the first two.
 fn elsewhere(known: &[Candidate]) -> usize {
     let mut rng = SmallRng::seed_from_u64(1);
     let choices =
@@ -50,7 +50,8 @@
     choices.filter(|choice| choice.primary >= 2).count()
 }
 
-/// Others join when there is much to read, and only those that have less.
+/// Guards against packing short prompts onto two engines with a large backlog: other
+/// engines join, but only those with less to read.
 #[parameterized(
     calm = { 10.0, 0.0, false },
     burst = { 160.0, 0.0, true },
--- a/almondlock-gateway/tests/route_lookup.rs
+++ b/almondlock-gateway/tests/route_lookup.rs
@@ -1,5 +1,5 @@
-//! Which requests a published configuration takes, and which configurations are
-//! refused before they do harm.
+//! Lookup of routes, services and keys in a published configuration, and refusal of invalid
+//! configurations.
 
 use std::{
     sync::Arc,
@@ -121,7 +121,7 @@
     assert!(with.organisation("other").is_none());
 }
 
-/// Guards against a lookup that finds another route than a look at all of them.
+/// Guards against a lookup that finds another route than a search through all of them.
 #[test]
 fn same_as_scan() {
     let parts = ["a", "b", "long"];
@@ -175,15 +175,15 @@
     times.min().unwrap()
 }
 
-/// Guards against a look at all routes of a host name when one is added or looked up: ten
-/// times the routes would take a hundred times the time.
+/// Guards against a search through all routes of a host name when one is added or looked
+/// up: with ten times the routes this would take a hundred times as long.
 #[test]
 fn many_routes() {
     let (few, many) = (time_of(1_000), time_of(10_000));
     assert!(many < few * 40, "{few:?} {many:?}");
 }
 
-/// Guards against a caller's path with thousands of slashes that takes long to look up.
+/// Guards against a path with thousands of slashes that takes long to look up.
 #[test]
 fn many_slashes() {
     let mut rules = builder();
@@ -194,6 +194,6 @@
     for _ in 0..1_000 {
         assert!(rules.route("h", &path).is_none());
     }
-    // Hashing each part of it would take 0.1 s or more for each lookup.
+    // Hashing each part of the path would take 0.1 s or more for each lookup.
     assert!(begin.elapsed() < Duration::from_secs(2));
 }
--- a/almondlock-gateway/tests/share_counts.rs
+++ b/almondlock-gateway/tests/share_counts.rs
@@ -1,5 +1,5 @@
-//! Counts by organisation on their way from hosts through relays. Whatever is lost, late,
-//! or of another version, organisations count as within their shares, and datagrams stay
+//! Counts by organisation that hosts exchange through relays. Whatever is lost, late or of
+//! another format, organisations must count as within their shares, and datagrams must stay
 //! small.
 
 use std::{
@@ -51,7 +51,7 @@
     Counts::new(all.collect(), BTreeMap::new())
 }
 
-/// `large` has three quarters of the slots, and `small` waits.
+/// Returns counts in which `large` has three quarters of the slots, and `small` waits.
 fn contended() -> Counts {
     counts(&[("large", 18, 2), ("small", 6, 2)])
 }
@@ -83,7 +83,8 @@
     known.receive(now, address(relay), totals, |_| CAPACITY);
 }
 
-/// Sums of two hosts make an organisation over that isn't at either.
+/// The sum of two hosts shows an organisation over its share that isn't over it at either
+/// host.
 #[test]
 fn sums_over_hosts() {
     let mut tally = Tally::default();
@@ -101,8 +102,8 @@
     assert!(!is_over(&known, START, 50, "unheard"));
 }
 
-/// Relays fall silent: what they told last counts for half a second, then all
-/// organisations are within.
+/// After relays fall silent, their last sums count for half a second. Then all
+/// organisations count as within their shares.
 #[test]
 fn relays_unavailable() {
     let mut known = Findings::default();
@@ -115,7 +116,7 @@
     assert!(!is_over(&known, START + MAX_AGE, 50, "large"));
 }
 
-/// Counts that are a second old on arrival are not acted on.
+/// Counts that are a second old on arrival are ignored.
 #[parameterized(
     fresh = { 999, true },
     stale = { 1_000, false },
@@ -130,7 +131,7 @@
     assert_eq!(is_over(&known, START, 50, "large"), over);
 }
 
-/// A host is lost: what it reported counts for half a second at the relay and as long at
+/// After a host is lost, its report counts for half a second at the relay and as long at
 /// the other hosts, a second in all.
 #[test]
 fn lost_host() {
@@ -153,7 +154,8 @@
     assert!(!is_over(&known, after(1_000), 50, "large"));
 }
 
-/// Two relays know different hosts: a host decides by the one that its loads come from.
+/// If two relays know different hosts, a host decides by the sums of the one that its loads
+/// come from.
 #[test]
 fn two_relays() {
     let mut table = Table::default();
@@ -175,7 +177,7 @@
     assert_eq!(table.current_relay(after(1_000)), None);
 }
 
-/// A message of another version is ignored, and what was told before stands.
+/// A message of another format is ignored, and earlier counts stay.
 #[test]
 fn other_version() {
     let mut tally = Tally::default();
@@ -194,7 +196,8 @@
     assert_eq!(taken(&mut tally, START).counts, contended());
 }
 
-/// A process that doesn't know the new messages reads all others as before: they come last.
+/// The messages for shares come last, so that a process that doesn't know them reads all
+/// others as before.
 #[test]
 fn known_messages_stay() {
     let bytes = |message: &Message| postcard_of(message);
@@ -208,8 +211,8 @@
     postcard::to_stdvec(message).unwrap()
 }
 
-/// A report that was overtaken by a later one of the same host doesn't count; one of the
-/// host's next life does, though its number is lower.
+/// A report that arrives after a later one of the same host doesn't count. One that the
+/// host sends after a restart does, though its number is lower.
 #[test]
 fn overtaken_report() {
     let mut tally = Tally::default();
@@ -220,14 +223,14 @@
     assert!(taken(&mut tally, after(200)).counts.is_empty());
 }
 
-/// Without reports a relay tells nothing: with the setting off nothing changes on the wire.
+/// Without reports a relay sends no sums: with the setting off nothing changes on the wire.
 #[test]
 fn silent_without_reports() {
     assert!(Tally::default().take_updates(START).is_none());
 }
 
-/// 1,500 organisations at each of 31 hosts: datagrams of hosts and relays stay bounded, and
-/// list those with the most in flight.
+/// With 1,500 organisations at each of 31 hosts, datagrams of hosts and relays stay bounded
+/// and list the organisations with the most in flight.
 #[test]
 fn bounded_size() {
     let mut tally = Tally::default();
@@ -262,7 +265,7 @@
 }
 
 /// Organisations with nothing in flight are left out, and a request counts until it ends,
-/// whoever leaves first.
+/// in whichever order requests end.
 #[test]
 fn ledger_counts() {
     let ledger = Ledger::default();
@@ -294,7 +297,8 @@
     assert!(ledger.counts().is_empty());
 }
 
-/// Unlisted organisations of all hosts are mostly the same ones.
+/// The number of unlisted organisations isn't added up over hosts, since these are mostly
+/// the same ones.
 #[test]
 fn rests_are_summed() {
     let mut tally = Tally::default();
@@ -314,8 +318,8 @@
     assert_eq!((sum.organisations, sum.usage.slots), (40, 100));
 }
 
-/// A request that is put behind others stays ahead of less urgent kinds, and is never put
-/// ahead of anything.
+/// A request that is ranked behind others stays ahead of less urgent kinds, and is never
+/// moved ahead.
 #[parameterized(
     one_behind = { 1, 1, 0b1010, 2 },
     next_kind_is_close = { 1, 1, 0b0110, 1 },
@@ -328,8 +332,8 @@
     assert_eq!(demoted_rank(own, kind, kinds, 9), expected);
 }
 
-/// Each request of 1,500 organisations is put behind others: lines stay few, and metrics name
-/// the largest organisations only.
+/// If each request of 1,500 organisations is ranked behind others, log lines stay few and
+/// metrics name only the largest organisations.
 #[test]
 fn bounded_notices() {
     let mut notices = Notices::default();
@@ -345,7 +349,7 @@
     assert_eq!(notices.allow_line(after(1_000)), Some(1_495));
 }
 
-/// Without keys, or with keys of one organisation only, there is nobody to share with.
+/// Without keys, or with the keys of only one organisation, there are no shares.
 #[parameterized(
     no_keys = { &[], false },
     one = { &["large"], false },
@@ -370,7 +374,8 @@
     assert_eq!(rules.build().has_several_organisations(), expected);
 }
 
-/// A relay starts again and has heard one of two hosts: it names nobody as over that isn't.
+/// A restarted relay that has heard only one of two hosts shows no organisation as over its
+/// share that isn't.
 #[test]
 fn relay_knows_a_part() {
     let mut tally = Tally::default();
--- a/almondlock-gateway/tests/slot_burst.rs
+++ b/almondlock-gateway/tests/slot_burst.rs
@@ -1,6 +1,6 @@
-//! Short prompts arrive for five seconds at 1.0 to 1.3 times the rate that the engines'
-//! slots sustain, at hosts that learn of each other's requests 40 ms late. Guards against
-//! serving nearly all of them slightly late.
+//! Guards against serving nearly all prompts of a burst slightly late. Short prompts arrive
+//! for five seconds at 1.0 to 1.3 times the rate that the engines' slots sustain, at hosts
+//! that learn of each other's requests 40 ms late.
 
 mod burst;
 
@@ -57,7 +57,7 @@
     assert!(mean(&desk, |o| o.in_time) >= sustained - 0.1);
 }
 
-/// While slots suffice, no prompt waits and none is refused.
+/// While there are enough slots, no prompt waits and none is refused.
 #[test]
 fn free_slots() {
     for seed in SEEDS {
--- a/almondlock-gateway/tests/told_loads.rs
+++ b/almondlock-gateway/tests/told_loads.rs
@@ -1,7 +1,6 @@
-//! Entry hosts that no longer hear of each other pack their work onto the same
-//! engines within a second. Relays stop with the control replicas beside them,
-//! one after the other or all at once; a host's own part must never be counted
-//! to it twice.
+//! Guards against entry hosts that lose touch with each other: they would pack their work
+//! onto the same engines within a second. Relays stop with the control replicas beside
+//! them, one by one or all at once. A host's own work must never be counted twice.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,7 +17,7 @@
 };
 
 const START: Mono = Mono::from_millis(10_000);
-/// Rounds in which each load is told again.
+/// Number of rounds in which each load is repeated.
 const REPEAT: usize = 50;
 
 fn host(n: u8) -> SocketAddr {
@@ -62,8 +61,7 @@
     gather.next_round(now, &domain("d"))
 }
 
-/// What a host knows of the others that listens to one relay, and has told it
-/// `own`.
+/// Returns what a host knows that gets this sum from one relay, to which it reported `own`.
 fn heard(sum: Sum, own: &[(Key, Load)]) -> Table {
     let mut table = Table::default();
     table.receive_sum(START, host(99), sum, own);
@@ -74,8 +72,8 @@
     table.total(START, &engine(n)).streams
 }
 
-/// Each host gets the same sum, and takes its own part out of it: the digest that
-/// the relay had then, which may not be its last.
+/// Each host gets the same sum and subtracts its own part: the digest that the sum
+/// includes, which may not be its last one.
 #[test]
 fn sum_of_others() {
     let mut gather = Aggregator::default();
@@ -96,8 +94,8 @@
     assert_eq!((streams(&two, 1), streams(&two, 2)), (6, 7));
 }
 
-/// Only what has changed is told, and the rest in turn within a second, since a
-/// datagram may be lost. What has ended is told as nothing.
+/// Only loads that have changed are sent, and the rest in turn within a second, since a
+/// datagram may be lost. Work that has ended is sent as an empty load.
 #[test]
 fn only_changes() {
     let mut gather = Aggregator::default();
@@ -119,8 +117,8 @@
     assert!(changes.contains(&(Key::of(&engine(6)), Load::default())));
 }
 
-/// A sum without changes is left out two times of three, but never for as long as
-/// hosts take for silence; nor when one relay is left for hundreds of them.
+/// Two of three sums without changes are left out. Guards against gaps that hosts take for
+/// silence, also when one relay is left for hundreds of hosts.
 #[test]
 fn quiet_rounds() {
     let most = |hosts: u8| {
@@ -152,7 +150,7 @@
     }
 }
 
-/// A datagram that was overtaken by a later one of the same host is no news.
+/// Guards against a datagram that arrives after a later one of the same host.
 #[test]
 fn overtaken_digest() {
     let mut gather = Aggregator::default();
@@ -162,7 +160,7 @@
         take(&mut gather, START).whole.unwrap().loads[0].1.streams,
         2
     );
-    // Started again it counts anew.
+    // A restarted host counts its digests anew.
     gather.receive_report(START, host(1), digest(2, 1, &[(1, 1)]));
     assert_eq!(
         take(&mut gather, START).whole.unwrap().loads[0].1.streams,
@@ -170,8 +168,8 @@
     );
 }
 
-/// A host that stopped, or doesn't listen to this relay, gets no sums; what it
-/// told counts until it has been silent for a second.
+/// A host that stopped, or doesn't listen to this relay, gets no sums. Its last report
+/// counts until it has been silent for a second.
 #[test]
 fn silent_host() {
     let mut gather = Aggregator::default();
@@ -192,7 +190,7 @@
     assert!(round.newcomers.is_empty() && round.followers.is_empty() && round.changes.hosts == 0);
 }
 
-/// One of two relays falls silent: another takes its place.
+/// If one of two relays falls silent, another takes its place.
 #[test]
 fn silent_relay() {
     let all = [host(1), host(2), host(3)];
@@ -203,10 +201,10 @@
     let later = START + Duration::from_millis(200);
     relays.receive(later, first[1].0, 3);
     let next = relays.choose_relays(later, &all, 7);
-    // The one that still answers is followed closely from now on.
+    // The relay that still answers is followed closely from now on.
     assert_eq!(next[0], (first[1].0, Subscription::Closely));
     assert!(next.len() == 2 && next[1].0 != first[0].0);
-    // Its host comes back with another address, which the others tell.
+    // The relay returns with another address.
     let moved = [next[0].0, host(9)];
     let addresses: Vec<SocketAddr> = relays
         .choose_relays(later, &moved, 7)
@@ -216,8 +214,8 @@
     assert_eq!(addresses, moved);
 }
 
-/// A relay in the host's own failure domain is followed closely once it has said
-/// where it is. Silent, it is left, and not taken back before it speaks again.
+/// A relay in the host's own failure domain is followed closely after its introduction. If
+/// it falls silent it is left, and not taken back before its next introduction.
 #[test]
 fn near_relay() {
     let all = [host(1), host(2), host(3), host(4), host(5)];
@@ -245,7 +243,7 @@
     assert_eq!(relays.choose_relays(back, &all, 0)[0].0, host(4));
 }
 
-/// Guards against a host that goes on following a relay which is cut off from most others.
+/// Guards against a host that still follows a relay that is cut off from most other hosts.
 #[test]
 fn cut_off_relay() {
     let all = [host(1), host(2)];
@@ -264,8 +262,9 @@
     assert_eq!(next[1], (first[0].0, Subscription::Seldom));
 }
 
-/// Guards against bytes between failure domains that grow with hosts times upstreams, or
-/// with hosts times hosts: who listens seldom gets no sums, and nobody is told of all hosts.
+/// Guards against traffic between failure domains that grows with hosts times upstreams or
+/// with hosts times hosts: hosts that listen seldom get no sums, and no host is told of all
+/// others.
 #[test]
 fn bounded_rounds() {
     let mut gather = Aggregator::default();
@@ -299,7 +298,7 @@
     assert!(heard.len() == 500 && heard.values().all(|count| *count == MAX_PEERS));
 }
 
-/// Guards against a sum that is too large for a datagram, so that no host is told anything.
+/// Guards against a sum that is too large for a datagram, so that no host gets it.
 #[test]
 fn sum_in_parts() {
     let name = |n: u32| Upstream::new(&format!("i-{n}")).unwrap();
@@ -331,8 +330,8 @@
     assert_eq!(empty.parts(), [empty]);
 }
 
-/// A new group of relays is found while all of the old ones are gone, and hosts
-/// tell each other until then.
+/// Guards against hosts without information when all relays are replaced: hosts report to
+/// each other until they find the new relays.
 #[test]
 fn direct_without_relays() {
     let mut relays = Relays::default();
@@ -355,8 +354,8 @@
     assert!(relays.direct_peers(alone).is_empty());
 }
 
-/// Of two relays the one that hears far more hosts counts; what hosts tell directly
-/// counts only once no relay answers.
+/// Of two relays' sums, the one of far more hosts is used. Direct reports count only once
+/// no relay answers.
 #[test]
 fn best_source() {
     let mut table = Table::default();
@@ -376,8 +375,8 @@
     assert_eq!(known(&table, START + Duration::from_secs(2)), 0);
 }
 
-/// Of two relays that hear about the same hosts, the one that spoke last counts: the
-/// other is listened to seldom, and has heard of one host more meanwhile.
+/// Of two relays with about the same hosts, the last sum is used. The other relay is
+/// listened to seldom, and has heard of one more host meanwhile.
 #[test]
 fn last_word() {
     let mut table = Table::default();
@@ -392,8 +391,8 @@
     assert_eq!(table.total(now, &engine(1)).streams, 3);
 }
 
-/// What a relay tells again within 2.5 s but for lost datagrams ends when it isn't told
-/// any more.
+/// Guards against loads that a relay no longer repeats: it repeats each within 2.5 s unless
+/// a datagram is lost.
 #[test]
 fn never_told_again() {
     let mut table = Table::default();
--- a/almondlock-gateway/tests/told_paces.rs
+++ b/almondlock-gateway/tests/told_paces.rs
@@ -1,4 +1,4 @@
-//! What relays make of hosts' reports on upstreams.
+//! Pooling of hosts' observations of upstreams at a relay.
 
 mod fleet;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// The failures that are told of upstream 0 after these hosts reported some.
+/// Returns the pooled number of failures of upstream 0.
 fn failures(paces: &mut Paces, now: Mono) -> Option<u8> {
     let (_, told) = paces.take_updates(now)?;
     told.iter()
@@ -45,7 +45,7 @@
         .map(|p| p.failures)
 }
 
-/// Guards against one host's report that counts alone.
+/// Guards against failures that count although only one host reports them.
 #[parameterized(
     one = { &[200], 0 },
     two = { &[2, 2], 4 },
@@ -64,8 +64,8 @@
     assert_eq!(failures(&mut paces, START), Some(told));
 }
 
-/// Guards against reports that count when they are older than 3 s, or that a later one of the
-/// same host has replaced.
+/// Guards against reports that count although they are older than 3 s, or were replaced by
+/// a later one of the same host.
 #[test]
 fn replaced_and_old() {
     let mut paces = Paces::default();
@@ -79,8 +79,8 @@
     assert_eq!(failures(&mut paces, after(3_002)), None);
 }
 
-/// Guards against an upstream that is judged by what was observed of its earlier life, and
-/// against one host that claims another life.
+/// Guards against judging an upstream by observations of its process before a restart, and
+/// against one host that claims another process.
 #[test]
 fn lives() {
     let mut paces = Paces::default();
@@ -112,8 +112,8 @@
     );
 }
 
-/// Guards against datagrams that are too large, and links that are filled: at 31 hosts and 880
-/// upstreams, and at as many upstreams as may be.
+/// Guards against datagrams that are too large and links that are overloaded, with 31 hosts
+/// and 880 upstreams, and with more upstreams than a datagram may have.
 #[parameterized(
     large = { 31, 880 },
     largest = { 3, 12_000 },
@@ -127,7 +127,7 @@
             ..lie(i)
         })
     };
-    // A birth is the time in milliseconds.
+    // A birth is a time in milliseconds.
     let birth = 1_764_000_000_000;
     let one = report(1, true, paces_of(birth).collect());
     let size = postcard::to_stdvec(&Message::Observed(one.clone()))
@@ -148,7 +148,7 @@
     );
 }
 
-/// Guards against figures that change much on the wire.
+/// Guards against large rounding errors in messages.
 #[test]
 fn rounded() {
     for slowness in [0.5, 1.0, 1.3, 7.0, 30.0] {
