--- a/almondlock-policy/src/cell.rs
+++ b/almondlock-policy/src/cell.rs
@@ -9,8 +9,8 @@
 //!
 //! **Cells.** The engines are therefore divided into cells, and a host places its
 //! prompts in the cell of its own failure domain, as long as that is not much later
-//! than another cell. A cell has a fifth of the hosts and of the engines, and only a
-//! few prompts arrive in it within the age of a host's information. A cell has at
+//! than another cell. With five domains, a cell has a fifth of the hosts and of the
+//! engines, and only a few prompts arrive in it within the age of a host's information. A cell has at
 //! least the engines that the largest prompts need, [`MIN_ENGINES`]. A failure domain
 //! with fewer shares a cell with others, and one with many more is divided.
 //!
--- a/almondlock-policy/src/choice/hint.rs
+++ b/almondlock-policy/src/choice/hint.rs
@@ -9,6 +9,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Hints {
     capacity: usize,
+    // Slot of the upstream in the table, by prefix hash.
     upstreams: HashMap<u64, u32>,
     // Prefix hashes, oldest first. Invariant: holds each key of `upstreams` once.
     order: VecDeque<u64>,
--- a/almondlock-policy/src/choice/pick.rs
+++ b/almondlock-policy/src/choice/pick.rs
@@ -93,7 +93,7 @@
 }
 
 impl Best {
-    /// Takes a candidate if it is better than the best one so far.
+    /// Replaces the best candidate if this one is better and usable.
     ///
     /// Cold candidates are compared by expected time. A hot one is taken only if
     /// all are hot, and then the one with the fewest requests in flight: with
--- a/almondlock-policy/src/slots/mod.rs
+++ b/almondlock-policy/src/slots/mod.rs
@@ -37,7 +37,8 @@
 /// 2 s; the remaining time is for engine queues, reading and the first pass.
 const MAX_WAIT: Duration = Duration::from_millis(1_400);
 
-/// Probability that two prompts are sent to the same free slot from which on slots are scarce.
+/// Slots count as scarce once the probability that two prompts are sent to the same free slot is
+/// above this.
 const MAX_COLLISION_PROBABILITY: f64 = 0.1;
 
 /// Longest time after which a refused prompt is told to return. Bursts of requests last about
@@ -263,8 +264,8 @@
         self.unseen_arrivals() > MAX_COLLISION_PROBABILITY * f64::from(self.occupancy.free)
     }
 
-    /// Whether at least twice as many slots are free as there are unseen arrivals, some of which
-    /// choose the same engine.
+    /// Whether more slots are free than twice the unseen arrivals, some of which choose the same
+    /// engine.
     fn has_plenty(&self) -> bool {
         f64::from(self.occupancy.free) > self.unseen_arrivals() * 2.0
     }
--- a/almondlock-policy/src/slots/queue.rs
+++ b/almondlock-policy/src/slots/queue.rs
@@ -79,8 +79,9 @@
 /// Waiting prompts. [`super::Allocator`] limits them to a few dozen, so that scans are short.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    // In order of arrival.
+    // Oldest first.
     entries: Vec<Entry>,
+    // Number of the ticket issued last.
     last_number: u64,
 }
 
--- a/almondlock-policy/src/startup.rs
+++ b/almondlock-policy/src/startup.rs
@@ -13,8 +13,8 @@
 
 use std::time::Duration;
 
-/// Longest time that a prompt waits until the loads of other hosts are known: twice the relay's
-/// interval and the network delay.
+/// Longest time that a prompt waits until the loads of other hosts are known: twice the sum of the
+/// relay's interval and the network delays.
 const MAX_LOADS_WAIT: Duration = Duration::from_millis(50);
 
 /// Part of its objective for which a prompt may wait.
