--- a/almondlock-gateway/src/pace.rs
+++ b/almondlock-gateway/src/pace.rs
@@ -76,7 +76,7 @@
     /// The rate of an upstream, and whether it is ejected.
     pub(crate) fn rate_and_ejection(&self, upstream: &Upstream) -> (f64, bool) {
         let table = self.table.borrow();
-        (table.rate(upstream), table.is_ejected(upstream))
+        (table.relative_rate(upstream), table.is_ejected(upstream))
     }
 
     /// A timer of this host fired so much too late.
@@ -182,7 +182,7 @@
         }
         let finding = &change.finding;
         tracing::info!(
-            upstream = %change.key, %service, change = kind, rate = finding.rate,
+            upstream = %change.key, %service, change = kind, rate = finding.relative_rate,
             slowness = finding.slowness, failures = finding.failure_share,
             observations = finding.observations, source = finding.source.as_str(),
             age_ms = now.since(finding.newest).as_millis(), "pace judged anew"
--- a/almondlock-gateway/tests/fleet/mod.rs
+++ b/almondlock-gateway/tests/fleet/mod.rs
@@ -310,7 +310,7 @@
 
     fn rate(&self, host: usize, key: usize) -> f64 {
         match self.setup.is_judging {
-            true => self.hosts[host].rate(&key),
+            true => self.hosts[host].relative_rate(&key),
             false => 1.0,
         }
     }
--- a/almondlock-policy/src/outlier/detector.rs
+++ b/almondlock-policy/src/outlier/detector.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Status {
     /// Work that the upstream does per time, as a part of what it should do.
-    rate: f64,
+    relative_rate: f64,
     ejection: Option<Ejection>,
 }
 
@@ -148,8 +148,10 @@
     }
 
     /// Returns the work that an upstream does per time, as a part of what it should do.
-    pub fn rate(&self, key: &K) -> f64 {
-        self.statuses.get(key).map_or(1.0, |status| status.rate)
+    pub fn relative_rate(&self, key: &K) -> f64 {
+        self.statuses
+            .get(key)
+            .map_or(1.0, |status| status.relative_rate)
     }
 
     /// Whether an upstream is ejected.
@@ -228,10 +230,16 @@
         }
         for (key, finding) in others.iter().copied() {
             match self.statuses.get_mut(key) {
-                Some(status) => status.rate = finding.rate,
-                None if finding.rate < 1.0 => {
-                    let (rate, ejection) = (finding.rate, None);
-                    self.statuses.insert(key.clone(), Status { rate, ejection });
+                Some(status) => status.relative_rate = finding.relative_rate,
+                None if finding.relative_rate < 1.0 => {
+                    let (relative_rate, ejection) = (finding.relative_rate, None);
+                    self.statuses.insert(
+                        key.clone(),
+                        Status {
+                            relative_rate,
+                            ejection,
+                        },
+                    );
                 }
                 None => {}
             }
@@ -239,7 +247,7 @@
         let room = members.len() / UPSTREAMS_PER_EJECTION;
         changes.extend(self.eject(now, room, others, rng));
         self.statuses
-            .retain(|_, s| s.ejection.is_some() || s.rate < 1.0);
+            .retain(|_, s| s.ejection.is_some() || s.relative_rate < 1.0);
         changes
     }
 
@@ -261,7 +269,7 @@
                 |(own, reported)| match (own.is_outlier, reported.is_outlier) {
                     (true, false) => own,
                     (false, true) => reported,
-                    _ if own.rate < reported.rate => own,
+                    _ if own.relative_rate < reported.relative_rate => own,
                     _ => reported,
                 },
             )
@@ -316,7 +324,7 @@
         let passed = summary.answers >= MIN_POOLED_PASSES && summary.capped_failures == 0;
         let is_unknown = self.fresh_report(now, key).requests() == 0 && !finding.is_outlier;
         let is_expired = now.since(ejection.last_probe) >= EJECTION_TIMEOUT && is_unknown;
-        let is_well = finding.rate >= 1.0;
+        let is_well = finding.relative_rate >= 1.0;
         let is_contradicted = finding.is_outlier && finding.source == Source::Reported;
         ejection.passes >= MIN_OWN_PASSES && !is_contradicted
             || is_over && passed && is_well
@@ -340,11 +348,11 @@
             .partition(|(key, _)| self.is_ejected(key));
         outliers.retain(|(_, finding)| finding.is_outlier);
         let room = most.saturating_sub(ejected.len());
-        outliers.sort_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
+        outliers.sort_by(|a, b| a.1.relative_rate.total_cmp(&b.1.relative_rate));
         outliers.truncate(room);
         let mut changes = Vec::new();
         // More than `most` may be ejected, since other upstreams have left or are evacuated.
-        ejected.sort_by(|a, b| a.1.rate.total_cmp(&b.1.rate));
+        ejected.sort_by(|a, b| a.1.relative_rate.total_cmp(&b.1.relative_rate));
         for (key, finding) in ejected.into_iter().skip(most) {
             if let Some(status) = self.statuses.get_mut(key) {
                 status.ejection = None;
@@ -364,7 +372,7 @@
                 is_answering: false,
             };
             let status = Status {
-                rate: finding.rate,
+                relative_rate: finding.relative_rate,
                 ejection: Some(ejection),
             };
             self.statuses.insert(key.clone(), status);
--- a/almondlock-policy/src/outlier/finding.rs
+++ b/almondlock-policy/src/outlier/finding.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finding {
     /// Work that the upstream does per time, as a part of what it should do. At most 1.
-    pub rate: f64,
+    pub relative_rate: f64,
     /// Part of the upstream's requests that failed.
     pub failure_share: f64,
     /// How many times slower the upstream is than the median of its service.
@@ -105,7 +105,7 @@
             1.0
         };
         Finding {
-            rate: (works / slowness).clamp(MIN_RATE, 1.0),
+            relative_rate: (works / slowness).clamp(MIN_RATE, 1.0),
             failure_share: summary.failure_share(),
             slowness,
             observations: summary.requests() + summary.time_weight,
--- a/almondlock-policy/tests/outlier_ejection.rs
+++ b/almondlock-policy/tests/outlier_ejection.rs
@@ -65,8 +65,8 @@
 fn rate_of_slower() {
     let mut detector = told(summary(10, 0, 2.0));
     detector.review(START, &MEMBERS, &mut rng());
-    assert!((detector.rate(&0) - 0.5).abs() < 0.01);
-    assert!((detector.rate(&1) - 1.0).abs() < f64::EPSILON);
+    assert!((detector.relative_rate(&0) - 0.5).abs() < 0.01);
+    assert!((detector.relative_rate(&1) - 1.0).abs() < f64::EPSILON);
 }
 
 /// Guards against reports that count although they are older than 3 s.
@@ -153,7 +153,7 @@
         .filter(|key| detector.is_ejected(key))
         .collect();
     assert_eq!(ejected, [1, 2]);
-    assert!(detector.rate(&0) < 0.3);
+    assert!(detector.relative_rate(&0) < 0.3);
 }
 
 /// Guards against more than a third of the upstreams staying ejected after others are evacuated or
@@ -170,7 +170,7 @@
     let changed: Vec<(u32, bool)> = changes.iter().map(|c| (c.key, c.is_ejected)).collect();
     assert_eq!(changed, [(1, false)]);
     assert!(detector.is_ejected(&0) && !detector.is_ejected(&1));
-    assert!(detector.rate(&1) < 0.3);
+    assert!(detector.relative_rate(&1) < 0.3);
     let changes = detector.review(after(400), &members[..5], &mut rng());
     assert!(changes.is_empty());
 }
