--- a/almondlock-gateway/src/placement.rs
+++ b/almondlock-gateway/src/placement.rs
@@ -146,11 +146,9 @@
             Verdict::Wait(ticket) => {
                 return Ok(Placement::Wait(Waiter::new(worker, request, ticket)));
             }
-            Verdict::Refuse {
-                retry_after: returns,
-            } => {
+            Verdict::Refuse { retry_after } => {
                 return Err(Fault {
-                    retry_after: Some(returns),
+                    retry_after: Some(retry_after),
                     ..Fault::new(Failure::Unsent, None, "too many wait for a slot")
                 });
             }
--- a/almondlock-gateway/src/request.rs
+++ b/almondlock-gateway/src/request.rs
@@ -121,7 +121,9 @@
 where
     D: Dialect,
 {
+    /// A complete answer.
     Complete(Response),
+    /// An event stream that has begun.
     Stream(Box<Stream<D>>),
 }
 
@@ -195,9 +197,9 @@
                 }
             }
             Ok(run) => match read_response(&worker, &request, run).await {
-                Ok(whole) => {
+                Ok(response) => {
                     worker.clear_suspect(&request);
-                    return Ok(Answer::Complete(whole));
+                    return Ok(Answer::Complete(response));
                 }
                 Err(fault) => fault,
             },
@@ -282,8 +284,8 @@
     D: Dialect,
 {
     let ran = history.ran();
-    if let Some(whole) = history.answer {
-        return Ok(Answer::Complete(whole));
+    if let Some(response) = history.answer {
+        return Ok(Answer::Complete(response));
     }
     let mut code = failure::result_code(ran, fault.failure);
     if ran == Ran::No && request.time_left(now).is_zero() {
--- a/almondlock-gateway/tests/forwarded_requests.rs
+++ b/almondlock-gateway/tests/forwarded_requests.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn nobody_enrolled() {
+fn no_instances() {
     let (response, _) = ask(gateway::start(&[]), "/stream/");
     assert_eq!(status(&response), 503);
 }
@@ -193,7 +193,7 @@
 /// The upstream reports a failure and stops in the middle of its body. The caller must be
 /// answered when the route's time is over.
 #[test]
-fn half_failure() {
+fn truncated_failure() {
     let half = "HTTP/1.1 500 Failed\r\nx-id: ID\r\ncontent-length: 9\r\n\r\nhalf".to_owned();
     let (one, _heads) = start(vec![vec![Step::Read, Step::Write(half), Step::Hang]]);
     let (response, _) = ask(gateway::start(&[one]), "/unsafe/");
--- a/almondlock-gateway/tests/pausing_engines.rs
+++ b/almondlock-gateway/tests/pausing_engines.rs
@@ -75,7 +75,7 @@
 /// Guards against parts of prompts and memory commands that reach an engine during its
 /// pause.
 #[test]
-fn parts_elsewhere() {
+fn parts_avoid_pause() {
     let (pausing, heads) = serve(|_| vec![turned_away()]);
     let others = [0; 2].map(|_| engine(0, |_| false));
     let gateway = start_engines(&[others[0].0, others[1].0, pausing]);
@@ -99,7 +99,7 @@
 /// Guards against a request that is sent to an engine which was chosen before it asked for
 /// a pause.
 #[test]
-fn placed_before() {
+fn pause_after_placement() {
     let (engines, heads): (Vec<SocketAddr>, Vec<_>) = (0..3)
         .map(|_| engine(300, |prompt| prompt == SHORT))
         .unzip();
--- a/almondlock-gateway/tests/set_aside.rs
+++ b/almondlock-gateway/tests/set_aside.rs
@@ -126,7 +126,7 @@
 /// No engine has memory to reserve. The caller is refused at once with a time to try again,
 /// and nothing has run.
 #[test]
-fn none_to_give() {
+fn no_memory_anywhere() {
     let (one, heads_one) = engine("409 Conflict", 0);
     let (two, heads_two) = engine("409 Conflict", 0);
     let asked = Instant::now();
@@ -187,7 +187,7 @@
 /// seconds. This memory keeps nobody else waiting, so the stream is waited for as long as
 /// any other, and not given up for one that starts again.
 #[test]
-fn pausing_writer() {
+fn pausing_answer() {
     let (one, heads_one) = engine("200 OK", 2_100);
     let (two, heads_two) = engine("200 OK", 2_100);
     let gateway = start_engines_with_hold(&[one, two], Duration::from_secs(4));
--- a/almondlock-gateway/tests/shared_engines.rs
+++ b/almondlock-gateway/tests/shared_engines.rs
@@ -42,7 +42,7 @@
     with = { true, 2 },
     without = { false, 1 },
 )]
-fn large_waits(shares: bool, expected: u32) {
+fn large_ranked_behind(shares: bool, expected: u32) {
     let (engine, heads) = engine();
     let gateway = start_engines_shared(&[engine], [start_relay(), start_relay()], shares);
     let mut callers: Vec<_> = (0..SLOTS).map(|_| send_as(gateway, "large")).collect();
--- a/almondlock-gateway/tests/upstream_answers.rs
+++ b/almondlock-gateway/tests/upstream_answers.rs
@@ -90,7 +90,7 @@
 
 /// Nothing listens, so the request was certainly not sent.
 #[test]
-fn nobody_there() {
+fn connection_refused() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -115,7 +115,7 @@
 
 /// Bytes after an answer belong to no request, so the connection must not be used again.
 #[test]
-fn bytes_too_many() {
+fn trailing_bytes() {
     let more = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_owned();
     let steps = vec![
         Step::Read,
--- a/almondlock-gateway/tests/waiting_prompts.rs
+++ b/almondlock-gateway/tests/waiting_prompts.rs
@@ -168,7 +168,7 @@
 /// Guards against an unbounded queue. Prompts that find it full must be refused at once, as
 /// not run and with a time to try again.
 #[test]
-fn full_line() {
+fn full_queue() {
     let (engine, heads) = engine(4_000);
     let gateway = start_engines_with_admission(&[engine], relays(), None);
     sleep(SETTLED);
