--- a/almondlock-state/src/claim.rs
+++ b/almondlock-state/src/claim.rs
@@ -1,16 +1,18 @@
-//! Claims: what makes a request run at most once.
+//! Claims on idempotency keys, which make a request run at most once.
 //!
-//! Before a request that may not be repeated is handed to an upstream, its
-//! entry host claims (organisation, idempotency key) here. A claim is granted
-//! to one attempt and to no other, whatever entry host a second copy reaches
-//! and whoever restarts meanwhile. It ends in one of three ways: done, with the
-//! outcome kept for later copies; freed, when it provably did not run; or lost,
-//! when its holder died or doesn't know, after which it is never granted again
-//! while it is kept, because it may have run.
+//! Before an entry host forwards a request that may not be repeated, it claims
+//! the pair of organisation and idempotency key here. A claim is granted to one
+//! attempt only, whichever entry host a copy of the request reaches and whichever
+//! process restarts meanwhile. A claim ends in one of three ways:
 //!
-//! A claim is kept for a bounded time after its end. A copy that is sent later
-//! than that runs again: the bound is part of the promise and stands in
-//! `docs/claims.md`.
+//! - done: the request ran, and its outcome is kept for later copies;
+//! - freed: the request provably did not run, and may be claimed again;
+//! - lost: its holder died or does not know whether the request ran. A lost claim
+//!   is not granted again while it is kept, because the request may have run.
+//!
+//! A claim is kept for a bounded time after its end. A copy that arrives later
+//! than that runs again; `docs/claims.md` states this bound as part of the
+//! guarantee.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -27,29 +29,30 @@
 
 use crate::{blob::Blob, limit};
 
-/// What a claimant is told.
+/// The answer to a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verdict {
-    /// The claimant may run it, and nobody else.
+    /// The claimant, and no other attempt, may run the request.
     Granted,
-    /// Another attempt has it.
+    /// Another attempt holds the claim.
     Running,
-    /// It ended; this is its outcome.
+    /// The request ran, with this outcome.
     Done(Blob),
-    /// It ended; its outcome was too large to keep, or made room for others.
+    /// The request ran; its outcome was too large to keep or has been evicted.
     Dropped,
-    /// Its holder died or doesn't know; it may have run.
+    /// The request may have run: the claim's holder died or does not know.
     Lost,
-    /// The key was used with another body.
+    /// The key has been used with another body.
     Mismatch,
-    /// Nothing was claimed; the code says why.
+    /// Nothing was claimed, for the reason that the code gives.
     Refused(Code),
 }
 
 impl Verdict {
-    /// The code that a second copy is answered with, when it gets no outcome.
+    /// Returns the code that a copy of the request is refused with; `None` when it
+    /// may run or gets the kept outcome.
     pub const fn code(&self) -> Option<Code> {
         match self {
             Verdict::Granted | Verdict::Done(_) => None,
@@ -62,90 +65,100 @@
     }
 }
 
-/// Where a claim stands.
+/// The state of a claim.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum State {
-    /// Its holder runs it.
+    /// The holder runs the request.
     Open,
-    /// It ran; `None` when the outcome is not kept.
+    /// The request ran; `None` when its outcome is not kept.
     Done(Option<Blob>),
-    /// It may have run.
+    /// The request may have run.
     Lost,
-    /// It did not run and may be claimed again, but not by the attempt that
-    /// freed it: a delayed copy of that attempt's claim would otherwise take a
-    /// claim that nobody will ever settle.
+    /// The request did not run and may be claimed again, but not by the attempt
+    /// that freed it: a delayed duplicate of that attempt's claim command would
+    /// otherwise open a claim that nobody settles.
     Freed,
 }
 
-/// One claim.
+/// A claim on one idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 struct Claim {
+    /// Hash of the request's body.
     body: Blob,
     holder: Attempt,
-    keep: Duration,
+    /// Time for which the claim is kept after its end.
+    #[serde(rename = "keep")]
+    retention: Duration,
     state: State,
-    /// When it is forgotten; for an open one, when it counts as lost.
-    until: Wall,
+    /// When an open claim counts as lost, or an ended one is forgotten.
+    #[serde(rename = "until")]
+    expires_at: Wall,
 }
 
-/// All claims.
+/// The claims of all organisations.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
     claims: BTreeMap<Organisation, BTreeMap<Arc<str>, Claim>>,
     /// Invariant: the number of claims in `claims`.
     count: usize,
-    /// Invariant: every claim with an outcome stands here, in the order of
-    /// settling; claims without one may stand here too, until a sweep.
+    /// Claims in the order in which they were settled, for evicting the oldest
+    /// outcomes.
+    ///
+    /// Invariant: contains every claim with an outcome. Claims whose outcome is
+    /// gone may stay here until the next sweep.
     settled: VecDeque<(Organisation, Arc<str>)>,
-    /// Invariant: the bytes of all outcomes kept.
-    bytes: usize,
-    swept: Wall,
-    /// The life of each entry host that claimed last.
+    /// Invariant: the total size of all kept outcomes.
+    #[serde(rename = "bytes")]
+    total_outcome_bytes: usize,
+    /// When expired claims were last removed.
+    #[serde(rename = "swept")]
+    last_sweep: Wall,
+    /// The incarnation with which each entry host last claimed.
     ///
-    /// Invariant: at most `limit::MAX_CLAIM_HOSTS`.
-    #[serde(default)]
-    lives: BTreeMap<Host, Incarnation>,
+    /// Invariant: at most `limit::MAX_CLAIM_HOSTS` entries.
+    #[serde(default, rename = "lives")]
+    incarnations: BTreeMap<Host, Incarnation>,
 }
 
-/// What is claimed, and by whom.
+/// A request to claim an idempotency key.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Whose request it is.
+    /// The organisation that sent the request.
     pub organisation: &'a Organisation,
     /// The idempotency key.
     pub key: &'a str,
-    /// A hash of the body.
+    /// Hash of the request's body.
     pub body: &'a Blob,
-    /// The attempt that asks.
+    /// The attempt that asks for the claim.
     pub holder: &'a Attempt,
-    /// How long to remember it after it ended.
+    /// Time to keep the claim after its end.
     pub retention: Duration,
-    /// How long it can be open: past its longest deadline it is over, and a
-    /// holder that hasn't said how is gone or cut off.
+    /// Time after which an open claim counts as lost. It is longer than the longest
+    /// deadline, so a holder that has not settled by then has died or is cut off.
     pub run_limit: Duration,
 }
 
 impl Table {
-    /// Claims held, open or ended.
+    /// Returns the number of claims, open or ended.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no claims.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Bytes of the outcomes kept.
+    /// Returns the total size of all kept outcomes in bytes.
     pub fn outcome_bytes(&self) -> usize {
-        self.bytes
+        self.total_outcome_bytes
     }
 
-    /// Lives of entry hosts that hold open claims, without repeats.
+    /// Returns each entry host and incarnation that holds an open claim, once.
     pub fn holders(&self) -> Vec<(Host, Incarnation)> {
         let mut holders: Vec<_> = self
             .claims
@@ -159,33 +172,35 @@
         holders
     }
 
-    /// Claims, or says who has it.
+    /// Grants a claim, or says why the request may not run.
     pub fn claim(&mut self, request: Request<'_>, now: Wall) -> Verdict {
-        self.note_life(request.holder, now);
+        self.record_incarnation(request.holder, now);
         let existing = self
             .claims
             .get_mut(request.organisation)
             .and_then(|keys| keys.get_mut(request.key));
         match existing {
-            Some(claim) => claim.again(request, now),
+            Some(claim) => claim.answer_repeat(request, now),
             None => self.insert(request, now),
         }
     }
 
-    /// A host that claims with another life than before has restarted, and what
-    /// its earlier life held open is lost: nobody else would say so. A delayed
-    /// claim of the earlier life makes the later one's claims lost too, until it
-    /// settles them; that costs second copies an answer and runs nothing twice.
-    fn note_life(&mut self, holder: &Attempt, now: Wall) {
-        let known = self.lives.get(&holder.host).copied();
+    /// Records the incarnation with which a host claims. When it differs from the one
+    /// before, the host has restarted, and the open claims of the earlier incarnation
+    /// are marked lost: nothing else would report them. A delayed claim of the earlier
+    /// incarnation also marks those of the later one lost, until they are settled;
+    /// copies of these requests then get no answer, but nothing runs twice.
+    fn record_incarnation(&mut self, holder: &Attempt, now: Wall) {
+        let known = self.incarnations.get(&holder.host).copied();
         if known == Some(holder.incarnation) {
             return;
         }
         if let Some(earlier) = known {
             self.mark_lost(&holder.host, earlier, now);
         }
-        if known.is_some() || self.lives.len() < limit::MAX_CLAIM_HOSTS {
-            self.lives.insert(holder.host.clone(), holder.incarnation);
+        if known.is_some() || self.incarnations.len() < limit::MAX_CLAIM_HOSTS {
+            self.incarnations
+                .insert(holder.host.clone(), holder.incarnation);
         }
     }
 
@@ -204,9 +219,9 @@
             return Verdict::Refused(Code::LimitReached);
         }
         let mut claim = Claim::open(request, now);
-        // One copy of a host's name for all of its claims, as the log has one
-        // for each.
-        if let Some((host, _)) = self.lives.get_key_value(&claim.holder.host) {
+        // All claims of a host share one copy of its name; each command read from
+        // the log has its own.
+        if let Some((host, _)) = self.incarnations.get_key_value(&claim.holder.host) {
             claim.holder.host = host.clone();
         }
         let keys = self.claims.entry(request.organisation.clone()).or_default();
@@ -215,8 +230,11 @@
         Verdict::Granted
     }
 
-    /// Gives the outcome of a granted claim. The same outcome given again is
-    /// accepted again.
+    /// Ends a granted claim. Settling it again with the same outcome is accepted.
+    ///
+    /// # Errors
+    ///
+    /// `Conflict` if the attempt doesn't hold the claim, or has ended it otherwise.
     pub fn settle(
         &mut self,
         (organisation, key): (&Organisation, &str),
@@ -225,7 +243,7 @@
         now: Wall,
     ) -> Result<(), Code> {
         let Some((name, claim)) = self.find(organisation, key) else {
-            // Nothing to free, and nothing that could run twice by it.
+            // A request that did not run has nothing to free and can't run twice.
             return match ran {
                 Ran::No => Ok(()),
                 Ran::Yes | Ran::Unknown => Err(Code::Conflict),
@@ -243,22 +261,23 @@
         };
         match (&claim.state, &next) {
             (State::Open, _) | (State::Lost, State::Done(_) | State::Freed) => {}
-            // A repeat: an outcome dropped meanwhile is not put back.
+            // Settled again: an outcome evicted meanwhile is not restored.
             (State::Done(_), State::Done(_) | State::Lost) => return Ok(()),
             (State::Lost, _) | (State::Freed, State::Freed) => return Ok(()),
-            // It was said to have run, or given to another since.
+            // The claim has been settled as run, or granted to another attempt.
             _ => return Err(Code::Conflict),
         }
         let kept = claim.end(next, now);
-        self.bytes += kept;
+        self.total_outcome_bytes += kept;
         if kept > 0 {
             self.settled.push_back((organisation.clone(), name));
-            self.shrink();
+            self.evict_outcomes();
         }
         Ok(())
     }
 
-    /// An entry host's life ended: what it held open may have run.
+    /// Marks the open claims of an entry host's ended incarnation as lost, and returns
+    /// their number.
     pub fn mark_lost(&mut self, host: &Host, incarnation: Incarnation, now: Wall) -> usize {
         let open = self
             .claims
@@ -269,41 +288,42 @@
         open.map(|claim| claim.end(State::Lost, now)).count()
     }
 
-    /// Forgets what has been kept long enough. Does nothing when the last look
-    /// was less than [`limit::SWEEP_INTERVAL`] ago.
+    /// Removes expired claims, and marks overdue open ones as lost. Does nothing
+    /// within [`limit::SWEEP_INTERVAL`] of the last sweep.
     pub fn expire(&mut self, now: Wall) {
-        if now.since(self.swept) < limit::SWEEP_INTERVAL {
+        if now.since(self.last_sweep) < limit::SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         let mut count = 0;
         let mut bytes = 0;
         self.claims.retain(|_, keys| {
-            keys.retain(|_, claim| claim.outlives(now));
+            keys.retain(|_, claim| claim.sweep(now));
             count += keys.len();
-            bytes += keys.values().map(Claim::bytes).sum::<usize>();
+            bytes += keys.values().map(Claim::outcome_bytes).sum::<usize>();
             !keys.is_empty()
         });
         self.count = count;
-        self.bytes = bytes;
+        self.total_outcome_bytes = bytes;
         let claims = &self.claims;
         self.settled.retain(|(organisation, key)| {
             let claim = claims.get(organisation).and_then(|keys| keys.get(key));
-            claim.is_some_and(|claim| claim.bytes() > 0)
+            claim.is_some_and(|claim| claim.outcome_bytes() > 0)
         });
     }
 
-    /// Drops the oldest outcomes until the rest is within the bound. The claims
-    /// stay: a second copy is told that it ran, and is not run.
-    fn shrink(&mut self) {
-        while self.bytes > limit::MAX_TOTAL_OUTCOME_BYTES {
+    /// Evicts the oldest outcomes until the rest fits
+    /// [`limit::MAX_TOTAL_OUTCOME_BYTES`]. Their claims stay: a copy is told that the
+    /// request ran, and is not run.
+    fn evict_outcomes(&mut self) {
+        while self.total_outcome_bytes > limit::MAX_TOTAL_OUTCOME_BYTES {
             let Some((organisation, key)) = self.settled.pop_front() else {
                 return;
             };
             let freed = self
                 .find(&organisation, &key)
                 .map_or(0, |(_, claim)| claim.drop_outcome());
-            self.bytes -= freed;
+            self.total_outcome_bytes -= freed;
         }
     }
 
@@ -319,16 +339,16 @@
         Claim {
             body: request.body.clone(),
             holder: request.holder.clone(),
-            keep: request
+            retention: request
                 .retention
                 .clamp(limit::MIN_CLAIM_RETENTION, limit::MAX_CLAIM_RETENTION),
             state: State::Open,
-            until: now + request.run_limit.min(limit::MAX_OPEN_CLAIM_AGE),
+            expires_at: now + request.run_limit.min(limit::MAX_OPEN_CLAIM_AGE),
         }
     }
 
-    /// The answer to a claim on a key that is known.
-    fn again(&mut self, request: Request<'_>, now: Wall) -> Verdict {
+    /// Answers a claim on a key that has been claimed before.
+    fn answer_repeat(&mut self, request: Request<'_>, now: Wall) -> Verdict {
         if self.state == State::Freed {
             if self.holder == *request.holder {
                 return Verdict::Refused(Code::Tombstoned);
@@ -340,7 +360,7 @@
             return Verdict::Mismatch;
         }
         match &self.state {
-            // The same attempt asks again because the answer was lost.
+            // The same attempt asks again: the answer was lost.
             State::Open if self.holder == *request.holder => Verdict::Granted,
             State::Open => Verdict::Running,
             State::Done(Some(outcome)) => Verdict::Done(outcome.clone()),
@@ -349,18 +369,18 @@
         }
     }
 
-    /// Ends it and returns the bytes of the outcome kept.
+    /// Ends the claim and returns the size of the kept outcome in bytes.
     fn end(&mut self, state: State, now: Wall) -> usize {
         let keep = match state {
             State::Freed => limit::FREED_CLAIM_RETENTION,
-            _ => self.keep,
+            _ => self.retention,
         };
         self.state = state;
-        self.until = now + keep;
-        self.bytes()
+        self.expires_at = now + keep;
+        self.outcome_bytes()
     }
 
-    fn bytes(&self) -> usize {
+    fn outcome_bytes(&self) -> usize {
         match &self.state {
             State::Done(Some(outcome)) => outcome.0.len(),
             _ => 0,
@@ -368,17 +388,17 @@
     }
 
     fn drop_outcome(&mut self) -> usize {
-        let bytes = self.bytes();
+        let bytes = self.outcome_bytes();
         if bytes > 0 {
             self.state = State::Done(None);
         }
         bytes
     }
 
-    /// Whether it is still kept. An open one that nobody settled in its time is
-    /// lost first, and forgotten only after its keep time.
-    fn outlives(&mut self, now: Wall) -> bool {
-        if now < self.until {
+    /// Returns whether the claim is still kept. An open claim that was not settled in
+    /// time becomes lost, and is forgotten only after its retention.
+    fn sweep(&mut self, now: Wall) -> bool {
+        if now < self.expires_at {
             return true;
         }
         let open = self.state == State::Open;
--- a/almondlock-state/src/machine.rs
+++ b/almondlock-state/src/machine.rs
@@ -1,16 +1,17 @@
-//! The state machine: applies commands, one after another.
+//! The replicated state machine, which applies the commands of the log in order.
 //!
-//! Two replicas that applied the same commands are equal, and a snapshot put
-//! back is equal to the machine that it was taken of. A command is applied in
-//! whole or refused with nothing changed.
+//! Two replicas that have applied the same commands hold equal states, and a state
+//! restored from a snapshot equals the one that the snapshot was taken of. A
+//! command is applied as a whole, or refused with nothing changed.
 //!
 //! # Time
 //!
-//! Each command brings its leader's time. The machine's own clock, by which it
-//! forgets things, never goes back and moves only by [`Command::Expire`], by a
-//! bounded step each time: a leader whose clock is a day ahead can't make all
-//! claims expire at once, which would let re-sent requests run again. After a
-//! long stop the clock lags, and things are kept longer, which is the safe side.
+//! Each command carries its leader's time. The machine has a clock of its own for
+//! expiring things. It never goes back and is advanced only by
+//! [`Command::Expire`], by a bounded step each time, so that a leader whose clock is
+//! a day ahead can't expire all claims at once, which would let re-sent requests run
+//! again. After a long outage the clock lags and things are kept longer, which is
+//! safe.
 
 mod published;
 
@@ -39,7 +40,7 @@
     tables::{Effect, Tables},
 };
 
-/// The version of the snapshot's format.
+/// The version of the snapshot format.
 const FORMAT: u32 = 1;
 
 /// The replicated state.
@@ -50,62 +51,63 @@
     tables: Tables,
     claims: claim::Table,
     suspects: poison::Table,
-    lives: registration::Table,
+    #[serde(rename = "lives")]
+    registrations: registration::Table,
     instances: instance::Table,
     plans: plan::table::Table,
     history: history::Table,
-    /// Invariant: never goes back.
+    /// The time by which things expire. Invariant: never goes back.
     clock: Wall,
 }
 
-/// What a command did.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
-    /// The answer to whoever proposed it.
+    /// The answer to the command's proposer.
     pub reply: Reply,
-    /// The changes of the configuration, each with the revision that it made.
+    /// The changes of the configuration, each with the revision that it makes.
     pub changes: Vec<(Revision, Change)>,
 }
 
 type Changes = Vec<(Revision, Change)>;
 
 impl Machine {
-    /// The state before the first command.
+    /// Creates the state before the first command.
     pub fn new() -> Machine {
         Machine::default()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &Config {
         &self.tables.config
     }
 
-    /// What plans change.
+    /// Returns the tables that plans change.
     pub fn tables(&self) -> &Tables {
         &self.tables
     }
 
-    /// The plans.
+    /// Returns the plans.
     pub fn plans(&self) -> &plan::table::Table {
         &self.plans
     }
 
-    /// What operators did.
+    /// Returns the history of plans.
     pub fn history(&self) -> &history::Table {
         &self.history
     }
 
-    /// The claims.
+    /// Returns the claims.
     pub fn claims(&self) -> &claim::Table {
         &self.claims
     }
 
-    /// Whether an instance is gone for good.
+    /// Returns whether an instance is gone: its last known incarnation was withdrawn.
     pub fn is_gone(&self, instance: &Upstream) -> bool {
         self.instances.is_gone(instance)
     }
 
-    /// The time by which things are forgotten.
+    /// Returns the time by which things expire.
     pub fn clock(&self) -> Wall {
         self.clock
     }
@@ -126,16 +128,16 @@
     fn dispatch(&mut self, command: Command, changes: &mut Changes) -> Result<Reply, Refusal> {
         match command {
             Command::Claim { .. } | Command::SettleClaim { .. } | Command::HolderGone { .. } => {
-                self.on_claim(command)
+                self.apply_claim(command)
             }
             Command::Blame { .. }
             | Command::Charge { .. }
             | Command::Discharge { .. }
-            | Command::Clear { .. } => self.on_suspect(command, changes),
+            | Command::Clear { .. } => self.apply_suspect(command, changes),
             Command::Propose { .. }
             | Command::Confirm { .. }
             | Command::Stop { .. }
-            | Command::Step { .. } => self.on_plan(command, changes),
+            | Command::Step { .. } => self.apply_plan(command, changes),
             Command::Announce {
                 upstream,
                 registration,
@@ -155,30 +157,30 @@
             } => {
                 let config = &self.tables.config;
                 let made = self.instances.enrol(config, &upstream, instance);
-                self.change(made, changes);
+                self.apply_changes(made, changes);
                 Ok(accepted())
             }
             Command::Withdraw { upstream, .. } => {
                 let made = self.instances.withdraw(&self.tables.config, &upstream);
-                self.change(made.into_iter().collect(), changes);
+                self.apply_changes(made.into_iter().collect(), changes);
                 Ok(accepted())
             }
             Command::Evacuate { domain, at } => {
                 let drain = evacuation::drain("", self.time(at));
                 let made = evacuation::begin(&self.tables.config, domain, drain)
                     .map_err(|evacuation::Full| refusal(almondlock_base::Code::LimitReached))?;
-                self.change(made.into_iter().collect(), changes);
+                self.apply_changes(made.into_iter().collect(), changes);
                 Ok(accepted())
             }
             Command::Readmit { domain, .. } => {
                 let made = evacuation::end(&self.tables.config, domain);
-                self.change(made.into_iter().collect(), changes);
+                self.apply_changes(made.into_iter().collect(), changes);
                 Ok(accepted())
             }
             Command::Sources { addresses, .. } => {
                 let same = self.tables.config.sources == addresses;
                 let made = (!same).then_some(Change::Sources(addresses));
-                self.change(made.into_iter().collect(), changes);
+                self.apply_changes(made.into_iter().collect(), changes);
                 Ok(accepted())
             }
             Command::Seed {
@@ -200,7 +202,7 @@
         }
     }
 
-    fn on_claim(&mut self, command: Command) -> Result<Reply, Refusal> {
+    fn apply_claim(&mut self, command: Command) -> Result<Reply, Refusal> {
         match command {
             Command::Claim {
                 organisation,
@@ -216,7 +218,7 @@
                     body: &body,
                     holder: &holder,
                     retention: Duration::from_millis(keep),
-                    run_limit: self.longest_run(&organisation),
+                    run_limit: self.open_claim_limit(&organisation),
                 };
                 let verdict = self.claims.claim(request, self.time(at));
                 return Ok(Reply::Claimed { verdict });
@@ -246,15 +248,15 @@
         Ok(accepted())
     }
 
-    /// How long a request of this organisation can run.
-    fn longest_run(&self, organisation: &Organisation) -> Duration {
+    /// Returns the time after which an open claim of this organisation counts as lost.
+    fn open_claim_limit(&self, organisation: &Organisation) -> Duration {
         let known = self.config().organisations.get(organisation);
         known.map_or(limit::MAX_OPEN_CLAIM_AGE, |known| {
             Duration::from_millis(known.deadline_limit).saturating_add(limit::OPEN_CLAIM_MARGIN)
         })
     }
 
-    fn on_suspect(&mut self, command: Command, changes: &mut Changes) -> Result<Reply, Refusal> {
+    fn apply_suspect(&mut self, command: Command, changes: &mut Changes) -> Result<Reply, Refusal> {
         let config = &self.tables.config;
         let made = match command {
             Command::Blame {
@@ -304,11 +306,11 @@
             }
             _ => Vec::new(),
         };
-        self.change(made, changes);
+        self.apply_changes(made, changes);
         Ok(accepted())
     }
 
-    fn on_plan(&mut self, command: Command, changes: &mut Changes) -> Result<Reply, Refusal> {
+    fn apply_plan(&mut self, command: Command, changes: &mut Changes) -> Result<Reply, Refusal> {
         let clock = self.clock;
         let mut context = Executor {
             tables: &mut self.tables,
@@ -365,20 +367,22 @@
     ) -> Result<Reply, Refusal> {
         let now = self.time(at);
         let announced = self
-            .lives
+            .registrations
             .announce(&self.tables.config, name, registration, now);
         let made = announced.map_err(|error| Refusal {
             code: error.code,
             message: error.message,
         })?;
-        self.change(made, changes);
+        self.apply_changes(made, changes);
         Ok(accepted())
     }
 
     fn forget(&mut self, name: &Upstream, life: Incarnation, at: Wall, changes: &mut Changes) {
         let now = self.time(at);
-        let made = self.lives.forget(&self.tables.config, name, life, now);
-        self.change(made, changes);
+        let made = self
+            .registrations
+            .forget(&self.tables.config, name, life, now);
+        self.apply_changes(made, changes);
     }
 
     fn seed(
@@ -397,11 +401,11 @@
     }
 
     fn expire(&mut self, at: Wall, changes: &mut Changes) {
-        self.advance(at);
+        self.advance_clock(at);
         let now = self.clock;
         let config = &self.tables.config;
         self.claims.expire(now);
-        self.lives.expire(config, now);
+        self.registrations.expire(config, now);
         self.plans.expire(now);
         let made = self.suspects.expire(config, now);
         let upstreams = &config.upstreams;
@@ -410,11 +414,11 @@
             .expire(|name| upstreams.contains_key(name), now);
         let lowest = self.plans.lowest_sequence().unwrap_or(self.tables.sequence);
         self.tables.expire(lowest);
-        self.change(made, changes);
+        self.apply_changes(made, changes);
     }
 
-    /// Moves the clock, by one step at most; the first command sets it.
-    fn advance(&mut self, at: Wall) {
+    /// Advances the clock by at most [`limit::MAX_CLOCK_STEP`]; the first call sets it.
+    fn advance_clock(&mut self, at: Wall) {
         let start = self.clock == Wall::default();
         let bound = if start {
             at
@@ -424,35 +428,35 @@
         self.clock = self.clock.max(at.min(bound));
     }
 
-    /// A command's time: the leader's, or the clock when that is ahead.
+    /// Returns the time of a command: its leader's, or the clock's if that is later.
     fn time(&self, at: Wall) -> Wall {
         self.clock.max(at)
     }
 
-    fn change(&mut self, made: Vec<Change>, changes: &mut Changes) {
+    fn apply_changes(&mut self, made: Vec<Change>, changes: &mut Changes) {
         for change in made {
             changes.extend(self.tables.apply(Effect::Config(change), None));
         }
     }
 
-    /// The whole state as bytes.
+    /// Returns the whole state as bytes.
     pub fn snapshot(&self) -> Vec<u8> {
         let snapshot = Snapshot {
             format: FORMAT,
             machine: self,
         };
-        // Every map of the state has strings or numbers for keys, so that
-        // writing it can't fail; an empty snapshot is refused when restored.
+        // All maps of the state have strings or numbers as keys, so serialisation
+        // can't fail. An empty snapshot would be refused by `restore`.
         serde_json::to_vec(&snapshot).unwrap_or_default()
     }
 
-    /// Puts a snapshot back.
+    /// Restores the state from a snapshot, unless it is damaged or of another format.
     pub fn restore(bytes: &[u8]) -> Result<Machine, Error> {
         let snapshot: Snapshot<Machine> =
             serde_json::from_slice(bytes).map_err(|error| Error(error.to_string()))?;
         if snapshot.format != FORMAT {
             return Err(Error(format!(
-                "the format is {}, not {FORMAT}",
+                "its format version is {}, expected {FORMAT}",
                 snapshot.format
             )));
         }
@@ -479,7 +483,7 @@
     machine: M,
 }
 
-/// A snapshot that can't be put back.
+/// The error for a snapshot that can't be restored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error(String);
 
--- a/almondlock-state/src/machine/published.rs
+++ b/almondlock-state/src/machine/published.rs
@@ -1,4 +1,4 @@
-//! The published text in the replicated state.
+//! Publication of the deployment's configuration text in the replicated state.
 
 use super::{Changes, Machine, Refusal, accepted};
 use crate::{
@@ -7,7 +7,8 @@
 };
 
 impl Machine {
-    /// Shares with an earlier state what the published texts of both have in common.
+    /// Shares the memory of those pieces of the published text that an earlier state
+    /// holds too.
     pub fn share_document(&mut self, earlier: &Machine) {
         if let Some(held) = &earlier.config().document {
             let document = &mut self.tables.config.document;
@@ -22,7 +23,7 @@
     ) -> Result<Reply, Refusal> {
         match document::publish(&self.tables.config, publication) {
             Ok(made) => {
-                self.change(made.into_iter().collect(), changes);
+                self.apply_changes(made.into_iter().collect(), changes);
                 Ok(accepted())
             }
             Err(Mismatch::Version { .. } | Mismatch::Missing { .. }) => {
@@ -30,8 +31,8 @@
                 let held = held.map(|held| held.version);
                 Ok(Reply::BaseMoved { held })
             }
-            // Whoever proposed it holds the same version divided in another way, so one of
-            // the two states isn't what the log made.
+            // The proposer holds the same version cut into other pieces, so one of the two
+            // states isn't what the log produces.
             Err(mismatch @ (Mismatch::Shape(_) | Mismatch::Pieces(_))) => Err(Refusal {
                 code: almondlock_base::Code::StorageFailed,
                 message: format!("a delta in the log can't be applied: {mismatch}"),
--- a/almondlock-state/src/plan.rs
+++ b/almondlock-state/src/plan.rs
@@ -1,20 +1,21 @@
-//! Plans: what an intent would change, and how it is carried out.
+//! Plans: the steps that carry out an operator's intent, and their progress.
 //!
-//! An intent is compiled into a plan, which does nothing until it is confirmed.
-//! A plan names the state it was computed on. Confirmed on a later one, it is
-//! carried out only when nothing that it touches has moved; else it is stale,
-//! and the refusal says what moved.
+//! An intent is compiled into a plan, which does nothing until an operator confirms
+//! it. A plan records the state that it was computed on. When it is confirmed later,
+//! it runs only if none of the resources that it changes has been modified since;
+//! otherwise it is stale, and the refusal names the modified resource.
 //!
-//! A confirmed plan is carried out step by step by the leader, and the state of
-//! each step is replicated: a new leader goes on where the last one was. The
-//! leader asks [`next()`] for the next command and proposes it; each command is
-//! checked again when it is applied, so that two leaders which both believe
-//! that they lead can't take a step twice.
+//! The leader carries a confirmed plan out step by step. The progress of each step is
+//! replicated, so that a new leader continues where the last one stopped. The leader
+//! asks [`due_actions`] for the commands to propose. Each command is checked again
+//! when it is applied, so that two replicas that both believe that they lead can't
+//! take a step twice.
 //!
-//! - [`compile`] makes steps of an intent and weighs the risk;
-//! - [`table`] keeps plans and change numbers;
-//! - [`execute`] takes the steps;
-//! - [`next()`] says which step is due.
+//! - [`compile`] turns an intent into steps and assesses their risk;
+//! - [`table`] stores plans and change numbers;
+//! - [`execute`] applies the commands that propose, confirm, stop and advance a plan;
+//! - [`next`] determines which steps are due;
+//! - [`rollout`] paces the upgrade of a model's upstreams.
 
 pub mod compile;
 pub mod execute;
@@ -40,7 +41,7 @@
     tables::{Effect, Resource},
 };
 
-/// A plan's number. Counts up.
+/// The number of a plan. Plans are numbered in the order in which they were proposed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
@@ -52,29 +53,29 @@
     }
 }
 
-/// Where a plan stands.
+/// The state of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Waits for its confirmation; nothing has changed.
+    /// The plan waits for confirmation and has changed nothing.
     Proposed,
-    /// Is being carried out.
+    /// The plan is being carried out.
     Running,
-    /// Was told to stop; what is under way is brought to an end.
+    /// The plan is stopping: steps in progress are brought to an end.
     Stopping,
-    /// Stopped half-way. May be confirmed again, or undone.
+    /// An operator stopped the plan. It may be confirmed again, or undone.
     Stopped,
-    /// Carried out.
+    /// All steps have ended.
     Done,
-    /// Stopped by itself. May be confirmed again, or undone.
+    /// The plan stopped because of a failure. It may be confirmed again, or undone.
     Failed,
-    /// Was never confirmed.
+    /// The plan was not confirmed in time.
     Lapsed,
 }
 
 impl State {
-    /// Whether nothing more will happen by itself.
+    /// Returns whether the plan makes no more progress without an operator.
     pub const fn is_over(self) -> bool {
         matches!(
             self,
@@ -97,52 +98,53 @@
     }
 }
 
-/// One step.
+/// One step of a plan.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Step {
-    /// Something changes.
+    /// Applies an effect to the state.
     Apply(Effect),
-    /// The log's membership changes; the leader does it.
+    /// Changes the membership of the replicated log. The leader carries this out.
     Member(Member),
-    /// An upstream is drained, loads a version, and returns.
+    /// Drains an upstream, has it load a version, and returns it to work.
     Upgrade {
-        /// The upstream.
+        /// The upstream to upgrade.
         upstream: Upstream,
-        /// The model.
+        /// The model that the upstream runs.
         model: Model,
-        /// The version.
+        /// The version to load.
         version: Version,
     },
 }
 
-/// How far a step is.
+/// The progress of a step.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Progress {
-    /// Not begun.
+    /// The step has not begun.
     Pending,
-    /// Begun: a membership change is asked for, or an upstream is drained.
+    /// The step has begun: a membership change was requested, or an upstream drained.
     Begun {
-        /// When.
+        /// When the step began.
         since: Wall,
-        /// Whether the plan drained the upstream and so returns it.
+        /// Whether the plan drained the upstream, and so has to return it to work.
         drained: bool,
     },
-    /// The upstream was told to load.
+    /// The upstream was ordered to load the version.
     Ordered {
-        /// By when it must have registered with the version.
+        /// When the upstream must have registered with the version.
         until: Wall,
-        /// Whether the plan drained the upstream and so returns it.
+        /// Whether the plan drained the upstream, and so has to return it to work.
         drained: bool,
     },
-    /// Ended well.
+    /// The step succeeded.
     Done,
-    /// Nothing was there to be done: the upstream is gone, or needs nothing.
+    /// Nothing had to be done: the upstream is gone, runs another model, or has the
+    /// version already.
     Skipped,
-    /// Ended badly.
+    /// The step failed.
     Failed {
         /// What went wrong.
         message: String,
@@ -150,7 +152,7 @@
 }
 
 impl Progress {
-    /// Whether nothing more is to be done.
+    /// Returns whether the step has ended.
     pub const fn is_ended(&self) -> bool {
         matches!(
             self,
@@ -158,123 +160,126 @@
         )
     }
 
-    /// Whether it is begun and not ended.
+    /// Returns whether the step has begun and not ended.
     pub const fn is_in_progress(&self) -> bool {
         matches!(self, Progress::Begun { .. } | Progress::Ordered { .. })
     }
 }
 
-/// How a step goes on. What the leader proposes; see [`execute`].
+/// A transition of a step, which the leader proposes. [`execute`] applies it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Transition {
-    /// Begin it: drain the upstream, or ask for the membership change.
+    /// Begins the step: drains the upstream, or requests the membership change.
     Begin,
-    /// Tell the drained upstream to load.
+    /// Orders the drained upstream to load the version.
     Order,
-    /// It ended well.
+    /// Ends the step as succeeded.
     Finish,
-    /// It ended badly.
+    /// Ends the step as failed.
     Fail {
         /// What went wrong.
         message: String,
     },
-    /// The plan as a whole is to stop; the index doesn't matter.
+    /// Stops the whole plan. The index of the step is ignored.
     Halt {
-        /// Why.
+        /// Why the plan stops.
         message: String,
     },
 }
 
-/// A step and how far it is.
+/// A step of a plan with its progress.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Stage {
     /// The step.
     pub step: Step,
-    /// How far it is.
+    /// The progress of the step.
     pub progress: Progress,
-    /// What would put back what the step changed, and is known once it did.
+    /// The effect that undoes the step. Known once the step has been applied.
     #[serde(default)]
     pub inverse: Option<Effect>,
 }
 
-/// What an operator should know before confirming.
+/// The expected consequences of a plan, shown to an operator before confirmation.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Risk {
-    /// Of the capacity that serves now what the plan touches, how much of a
-    /// hundred is left at the lowest point.
+    /// The percentage of the present serving capacity that is left at the lowest point.
+    /// `None` if no capacity is known to be affected.
     pub capacity_left: Option<u8>,
-    /// Who notices.
+    /// Who is affected, such as callers of a model or an organisation.
     pub affected: Vec<String>,
-    /// How long it takes, in seconds, at the weight store's rate.
+    /// The expected duration in seconds, at the weight store's rate.
     pub seconds: u64,
-    /// What may go wrong.
+    /// Risks of the plan.
     pub warnings: Vec<String>,
 }
 
-/// A plan.
+/// A plan and its progress.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Plan {
-    /// Its number.
+    /// The plan's number.
     pub id: Id,
-    /// The operator's number for the change.
+    /// The change number, chosen by the operator.
     pub number: String,
-    /// Who proposed it.
+    /// The operator who proposed the plan.
     pub operator: String,
-    /// When.
+    /// When the plan was proposed.
     #[serde(rename = "proposed")]
     pub proposed_at: Wall,
-    /// What is wanted.
+    /// The intent that the plan carries out.
     pub intent: Intent,
-    /// The revision that it was computed on.
+    /// The revision of the configuration that the plan was computed on.
     #[serde(rename = "base")]
     pub base_revision: Revision,
-    /// The count of effects that it was computed on.
+    /// The value of [`Tables::sequence`] that the plan was computed on.
+    ///
+    /// [`Tables::sequence`]: crate::tables::Tables::sequence
     #[serde(rename = "sequence")]
     pub base_sequence: u64,
-    /// What it touches.
+    /// The resources that the plan changes.
     #[serde(rename = "parts")]
     pub resources: Vec<Resource>,
-    /// What will be done, in this order.
+    /// The steps, in order.
     pub stages: Vec<Stage>,
-    /// What to know before.
+    /// The expected consequences.
     pub risk: Risk,
-    /// How many upstreams of the model a rollout must leave serving.
+    /// The number of upstreams of the model that must go on serving during a rollout.
     #[serde(default, rename = "keep")]
     pub min_serving: usize,
-    /// Where it stands.
+    /// The state of the plan.
     pub state: State,
-    /// The revision of its last effect.
+    /// The revision that the plan's last effect made.
     #[serde(default)]
     pub revision: Revision,
-    /// Why it stopped or failed.
+    /// Why the plan failed. Empty otherwise.
     #[serde(default)]
     pub message: String,
 }
 
 impl Plan {
-    /// Steps that are begun and not ended.
+    /// Returns the steps in progress, each with its index.
     pub fn stages_in_progress(&self) -> impl Iterator<Item = (usize, &Stage)> {
         let stages = self.stages.iter().enumerate();
         stages.filter(|(_, stage)| stage.progress.is_in_progress())
     }
 
-    /// Whether it is changing this part, or will.
-    pub fn modifies(&self, part: &Resource) -> bool {
+    /// Returns whether the plan changes this resource, or is upgrading the upstream
+    /// whose service state the resource is.
+    pub fn modifies(&self, resource: &Resource) -> bool {
         let upgrades = |(_, stage): (usize, &Stage)| match &stage.step {
-            Step::Upgrade { upstream, .. } => Resource::drain(upstream) == *part,
+            Step::Upgrade { upstream, .. } => Resource::drain(upstream) == *resource,
             _ => false,
         };
-        self.resources.contains(part) || self.stages_in_progress().any(upgrades)
+        self.resources.contains(resource) || self.stages_in_progress().any(upgrades)
     }
 
-    /// The least role that may carry it out. Told by what it does, not by its
-    /// intent: undoing a change of operators is one, too.
+    /// Returns the least role that may carry the plan out. It follows from the steps and
+    /// not from the intent, since undoing a change of operators is such a change too.
     pub fn required_role(&self) -> Role {
         let admin = |step: &Step| {
             matches!(
@@ -289,7 +294,7 @@
         }
     }
 
-    /// Steps that ended well.
+    /// Returns the number of steps that succeeded.
     pub fn completed_count(&self) -> usize {
         self.stages
             .iter()
--- a/almondlock-state/src/plan/compile.rs
+++ b/almondlock-state/src/plan/compile.rs
@@ -1,8 +1,7 @@
-//! From an intent to steps.
+//! Compilation of an intent into the steps of a plan.
 //!
-//! Compiling reads the state and changes nothing. What can be refused is
-//! refused here, before an operator is asked to confirm; what can only fail
-//! later is among the plan's risks.
+//! Compiling reads the state and changes nothing. An intent that can't be carried out is
+//! refused before an operator is asked to confirm; what can fail later is listed as a risk.
 
 use almondlock_base::{
     Code,
@@ -22,28 +21,28 @@
     tables::{Effect, Resource, Tables},
 };
 
-/// What an intent comes to.
+/// A compiled intent, of which a plan is made.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Draft {
-    /// What is touched.
+    /// The resources that the steps change.
     pub resources: Vec<Resource>,
-    /// The steps.
+    /// The steps, in order.
     pub stages: Vec<Stage>,
-    /// The risk.
+    /// The expected consequences.
     pub risk: Risk,
 }
 
-/// Why an intent can't be planned.
+/// The refusal of an intent, or of a command about a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// The code.
+    /// The code of the refusal.
     pub code: Code,
-    /// What is wrong, for people.
+    /// The reason, for people.
     pub message: String,
 }
 
 impl Error {
-    /// An intent that makes no sense on this state.
+    /// Creates the error for an invalid intent.
     pub fn invalid<M>(message: M) -> Error
     where
         M: Into<String>,
@@ -62,7 +61,7 @@
     }
 }
 
-/// Works out what an intent would change.
+/// Compiles an intent, unless it is invalid in this state or would exceed a limit.
 pub fn compile(
     tables: &Tables,
     plans: &table::Table,
@@ -88,8 +87,8 @@
 }
 
 pub(super) fn draft(tables: &Tables, steps: Vec<Step>) -> Draft {
-    let parts = parts(&steps);
-    let risk = risk::weigh(tables, &steps);
+    let resources = changed_resources(&steps);
+    let risk = risk::assess(tables, &steps);
     let stage = |step| Stage {
         step,
         progress: Progress::Pending,
@@ -97,26 +96,27 @@
     };
     let stages = steps.into_iter().map(stage).collect();
     Draft {
-        resources: parts,
+        resources,
         stages,
         risk,
     }
 }
 
-fn parts(steps: &[Step]) -> Vec<Resource> {
-    let part = |step: &Step| match step {
+fn changed_resources(steps: &[Step]) -> Vec<Resource> {
+    let resource = |step: &Step| match step {
         Step::Apply(effect) => Some(effect.resource()),
         Step::Member(_) => Some(Resource::replicas()),
-        // Only while it is under way, lest a rollout of hours keep operators
-        // from draining an upstream; see `Plan::touches`.
+        // Only while it is in progress, so that a rollout of hours doesn't keep operators
+        // from draining the upstream; see `Plan::modifies`.
         Step::Upgrade { .. } => None,
     };
-    let mut parts: Vec<Resource> = steps.iter().filter_map(part).collect();
-    parts.sort();
-    parts.dedup();
-    parts
+    let mut resources: Vec<Resource> = steps.iter().filter_map(resource).collect();
+    resources.sort();
+    resources.dedup();
+    resources
 }
 
+/// Returns the steps of any intent but a rollout or an undo.
 fn steps(tables: &Tables, intent: &Intent, now: Wall) -> Result<Vec<Step>, Error> {
     match intent {
         Intent::AddReplica { .. }
@@ -156,7 +156,7 @@
         Intent::Readmit { domain } => evacuation::end(&tables.config, domain.clone())
             .ok_or_else(|| Error::invalid(format!("failure domain {domain} is not evacuated"))),
         Intent::SetSetting { name, value } => setting(tables, name, value.as_deref()),
-        _ => Err(Error::invalid("the intent is not known here")),
+        _ => Err(Error::invalid("not about the configuration")),
     }
 }
 
@@ -174,23 +174,27 @@
         Intent::AddOrganisation { .. } if all.len() >= limit::MAX_ORGANISATIONS => {
             return Err(Error::full("organisations"));
         }
-        Intent::AddOrganisation { name, limits } => (name, Some(limited(fresh(), limits)?)),
-        Intent::ChangeOrganisation { name, limits } => (name, Some(limited(known(name)?, limits)?)),
+        Intent::AddOrganisation { name, limits } => {
+            (name, Some(apply_limits(new_organisation(), limits)?))
+        }
+        Intent::ChangeOrganisation { name, limits } => {
+            (name, Some(apply_limits(known(name)?, limits)?))
+        }
         Intent::RemoveOrganisation { name } => (name, known(name).map(|_| None)?),
         Intent::AddKey { organisation, hash } => (
             organisation,
-            Some(with_key(tables, known(organisation)?, hash)?),
+            Some(add_key(tables, known(organisation)?, hash)?),
         ),
         Intent::RevokeKey { organisation, hash } => {
-            (organisation, Some(without_key(known(organisation)?, hash)?))
+            (organisation, Some(remove_key(known(organisation)?, hash)?))
         }
         _ => return Err(Error::invalid("not about an organisation")),
     };
     Ok(Change::Organisation(name.clone(), value))
 }
 
-/// An organisation as it begins: no keys, one share, ten minutes at most.
-fn fresh() -> config::Organisation {
+/// Creates an organisation without keys and with the default limits.
+fn new_organisation() -> config::Organisation {
     config::Organisation {
         keys: Vec::new(),
         share: 1,
@@ -201,10 +205,10 @@
     }
 }
 
-/// The longest deadline that can be allowed: an open claim must outlive it.
-const DEADLINE_MOST: u64 = 6 * 3600 * 1000;
+/// The longest deadline that can be allowed. An open claim must outlive it.
+const MAX_DEADLINE_MS: u64 = 6 * 3600 * 1000;
 
-fn limited(mut it: config::Organisation, new: &Limits) -> Result<config::Organisation, Error> {
+fn apply_limits(mut it: config::Organisation, new: &Limits) -> Result<config::Organisation, Error> {
     it.share = new.share.unwrap_or(it.share);
     it.rate = new.rate.unwrap_or(it.rate);
     it.tokens = new.tokens.unwrap_or(it.tokens);
@@ -213,14 +217,14 @@
     if !(1..=1_000_000).contains(&it.share) {
         return Err(Error::invalid("a share is 1 to 1000000"));
     }
-    if it.deadline == 0 || it.deadline > it.deadline_limit || it.deadline_limit > DEADLINE_MOST {
+    if it.deadline == 0 || it.deadline > it.deadline_limit || it.deadline_limit > MAX_DEADLINE_MS {
         let message = "the deadline is at least 1 ms, and at most its limit, which is at most 6 h";
         return Err(Error::invalid(message));
     }
     Ok(it)
 }
 
-fn with_key(
+fn add_key(
     tables: &Tables,
     mut it: config::Organisation,
     hash: &str,
@@ -239,7 +243,7 @@
     Ok(it)
 }
 
-fn without_key(mut it: config::Organisation, hash: &str) -> Result<config::Organisation, Error> {
+fn remove_key(mut it: config::Organisation, hash: &str) -> Result<config::Organisation, Error> {
     let matching = it.keys.iter().filter(|key| key.starts_with(hash)).count();
     if hash.len() < 8 || matching != 1 {
         return Err(Error::invalid(
@@ -270,7 +274,7 @@
         } => (name, Some(new_model(version, *context)?)),
         Intent::RemoveModel { name } => (name, known(name).map(|_| None)?),
         Intent::SetAdapter { model, .. } | Intent::RemoveAdapter { model, .. } => {
-            (model, Some(with_adapter(known(model)?, intent)?))
+            (model, Some(change_adapter(known(model)?, intent)?))
         }
         _ => return Err(Error::invalid("not about a model")),
     };
@@ -289,7 +293,7 @@
     })
 }
 
-fn with_adapter(mut definition: Definition, intent: &Intent) -> Result<Definition, Error> {
+fn change_adapter(mut definition: Definition, intent: &Intent) -> Result<Definition, Error> {
     let adapters = &mut definition.adapters;
     match intent {
         Intent::SetAdapter {
@@ -339,11 +343,11 @@
     if config.drains.contains_key(name) {
         return Err(Error::invalid("the upstream is drained already"));
     }
-    // A name that isn't registered may be one that is just restarting.
+    // An upstream that isn't registered may be restarting, so it may be drained too.
     if config.drains.len() >= limit::MAX_UPSTREAMS {
         return Err(Error::full("drained upstreams"));
     }
-    if reason.len() > limit::MAX_TEXT_BYTES || reason.starts_with(rollout::REASON) {
+    if reason.len() > limit::MAX_TEXT_BYTES || reason.starts_with(rollout::DRAIN_REASON_PREFIX) {
         return Err(Error::invalid(
             "the reason is too long, or is one that rollouts give",
         ));
@@ -379,10 +383,7 @@
             .is_ok_and(|n: u32| (1..=limit::MAX_ENTRY_HOSTS).contains(&n))
     };
     if name == ENTRY_HOSTS_SETTING && !value.is_none_or(hosts) {
-        let message = format!(
-            "{ENTRY_HOSTS_SETTING} is a number from 1 to {}",
-            limit::MAX_ENTRY_HOSTS
-        );
+        let message = format!("{ENTRY_HOSTS_SETTING} is 1 to {}", limit::MAX_ENTRY_HOSTS);
         return Err(Error::invalid(message));
     }
     let settings = &tables.config.settings;
@@ -399,22 +400,22 @@
             if all.len() >= limit::MAX_REPLICAS {
                 return Err(Error::full("replicas"));
             }
-            Ok(vec![added(tables, None, replica)?])
+            Ok(vec![add_member(tables, None, replica)?])
         }
         Intent::RemoveReplica { id } if all.contains_key(id) && all.len() > 1 => {
             Ok(vec![Step::Member(Member::Remove(*id))])
         }
         Intent::ReplaceReplica { old, replica } if all.contains_key(old) => Ok(vec![
-            added(tables, Some(*old), replica)?,
+            add_member(tables, Some(*old), replica)?,
             Step::Member(Member::Remove(*old)),
         ]),
         _ => Err(Error::invalid("no such replica, or it is the only one")),
     }
 }
 
-/// One more replica. It may wait where the one that it replaces was: a host
-/// whose disk was wiped keeps its address and comes back with another identity.
-fn added(tables: &Tables, old: Option<replica::Id>, new: &Replica) -> Result<Step, Error> {
+/// Returns the step that adds a replica. It may have the address of the one it replaces: a
+/// host whose disk was wiped keeps its address and comes back with another identity.
+fn add_member(tables: &Tables, old: Option<replica::Id>, new: &Replica) -> Result<Step, Error> {
     let mut others = tables.replicas.iter().filter(|(id, _)| Some(**id) != old);
     if others.any(|(_, known)| known.address == new.address) {
         return Err(Error::invalid("another replica has this address"));
@@ -422,6 +423,7 @@
     Ok(Step::Member(Member::Add(new.clone())))
 }
 
+/// Returns the effect that sets an operator's key and role; `None` removes the operator.
 fn operator(tables: &Tables, name: &str, new: Option<(&String, Role)>) -> Result<Effect, Error> {
     let all = &tables.operators;
     if name.is_empty() || name.len() > almondlock_base::id::NAME_LIMIT {
@@ -455,12 +457,12 @@
     Ok(Effect::Operator(name.to_owned(), Some(operator)))
 }
 
-/// The reverse of what a plan has done so far, last step first.
+/// Compiles the undoing of a plan: the inverses of the steps taken, in reverse order.
 fn undo(tables: &Tables, plan: &Plan) -> Result<Draft, Error> {
     if !plan.state.is_over() {
         return Err(Error {
             code: Code::PlanState,
-            message: "stop the plan first".to_owned(),
+            message: "the plan has not ended; stop it first".to_owned(),
         });
     }
     let touched = plan.resources.iter().find(|part| {
@@ -481,7 +483,7 @@
     let member = |step: &Step| matches!(step, Step::Member(_));
     if plan.stages.iter().any(|stage| member(&stage.step)) {
         return Err(Error::invalid(
-            "a replica that was removed never returns under its number",
+            "a change of replicas can't be undone: a removed replica gets a new identity",
         ));
     }
     let inverses = plan
--- a/almondlock-state/src/plan/execute.rs
+++ b/almondlock-state/src/plan/execute.rs
@@ -1,9 +1,9 @@
-//! Taking the steps of plans.
+//! Execution of plans: proposing, confirming, stopping, and taking their steps.
 //!
-//! Everything here runs inside the replicated state machine, on commands that
-//! the leader proposed. Each transition is checked on the state as it is when
-//! the command is applied: a command proposed twice, or by a leader that has
-//! been replaced, finds the step already taken and is refused.
+//! This code runs inside the replicated state machine, on commands that the leader
+//! proposed. Each transition is checked against the state at the time when the command
+//! is applied. A command that was proposed twice, or by a leader that has been
+//! replaced, finds the step already taken and is refused.
 
 use almondlock_base::{Code, time::Wall, unit::Revision};
 
@@ -19,34 +19,34 @@
     tables::{Effect, Tables},
 };
 
-/// The state that a plan's command works on.
+/// Applies commands about plans to the parts of the state that they change.
 #[derive(Debug)]
 pub struct Executor<'a> {
-    /// What plans change.
+    /// The tables that plans change.
     pub tables: &'a mut Tables,
     /// The plans.
     pub plans: &'a mut table::Table,
-    /// What happened.
+    /// The history of plans.
     pub history: &'a mut history::Table,
-    /// Changes of the configuration made by this command.
+    /// Receives the changes of the configuration that the command makes.
     pub changes: &'a mut Vec<(Revision, Change)>,
-    /// The time.
+    /// The time of the command.
     pub now: Wall,
 }
 
-/// What is proposed, by whom.
+/// An operator's proposal of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proposal {
-    /// The operator's number for it.
+    /// The change number, chosen by the operator.
     pub number: String,
-    /// What is wanted.
+    /// The intent to plan.
     pub intent: Intent,
-    /// Who wants it.
+    /// The operator's name.
     pub operator: String,
 }
 
 impl Executor<'_> {
-    /// Makes a plan of an intent, or finds the one that was made of it before.
+    /// Makes a plan of an intent, or finds the plan that the same proposal made before.
     pub fn propose(&mut self, proposal: Proposal) -> Result<Id, Error> {
         if let Some(known) = self.plans.find_repeat(&proposal.number, &proposal.intent)? {
             return Ok(known.id);
@@ -76,23 +76,28 @@
             message: String::new(),
         };
         let id = plan.id;
-        self.record(&plan, &plan.operator, "proposed", &detail(&plan.intent));
+        self.record(
+            &plan,
+            &plan.operator,
+            "proposed",
+            &masked_json(&plan.intent),
+        );
         self.plans.insert(plan);
         Ok(id)
     }
 
-    /// Begins to carry a plan out, or goes on with one that was stopped.
+    /// Starts carrying out a plan, or continues one that was stopped or has failed.
     pub fn confirm(&mut self, id: Id, operator: &str) -> Result<(), Error> {
         let plan = self.find(id)?;
         match plan.state {
-            // The answer was lost, and the operator asks again.
+            // The operator asks again because the answer was lost.
             State::Running | State::Done => return Ok(()),
             State::Proposed | State::Stopped | State::Failed => {}
             State::Stopping | State::Lapsed => {
                 return Err(rollout::refusal(&format!("the plan is {}", plan.state)));
             }
         }
-        self.check_ground(&plan)?;
+        self.check_unmodified(&plan)?;
         let mut plan = plan;
         for stage in &mut plan.stages {
             if matches!(stage.progress, Progress::Failed { .. }) {
@@ -102,12 +107,13 @@
         plan.state = State::Running;
         plan.message = String::new();
         self.record(&plan, operator, "confirmed", "");
-        self.go_on(plan);
+        self.apply_ready_steps(plan);
         Ok(())
     }
 
-    /// Refuses a plan whose ground has moved, or is being moved.
-    fn check_ground(&self, plan: &Plan) -> Result<(), Error> {
+    /// Refuses a plan if a resource that it changes has been modified since it was
+    /// computed, or is being changed by another plan.
+    fn check_unmodified(&self, plan: &Plan) -> Result<(), Error> {
         let stale = |message| {
             Err(Error {
                 code: Code::PlanStale,
@@ -129,8 +135,8 @@
                 return stale(format!("{part} is being changed by plan {}", other.id));
             }
         }
-        // Bounds over a whole table (the last administrator, a key in two
-        // organisations) can be broken by two plans that touch no common part.
+        // Conditions on a whole table (one administrator remains, no key belongs to two
+        // organisations) can be violated by two plans that change no common resource.
         if plan.state == State::Proposed && !matches!(plan.intent, Intent::Rollout { .. }) {
             let again = compile(self.tables, self.plans, &plan.intent, self.now);
             if let Err(error) = again {
@@ -140,8 +146,8 @@
         Ok(())
     }
 
-    /// Stops a plan. What is only drained returns to work at once; what has been
-    /// told to load is waited for.
+    /// Stops a plan. Upstreams that are only drained return to work at once; those that
+    /// have been ordered to load are waited for.
     pub fn stop(&mut self, id: Id, operator: &str) -> Result<(), Error> {
         let mut plan = self.find(id)?;
         match plan.state {
@@ -151,10 +157,11 @@
         }
         self.record(&plan, operator, "stopped", "");
         self.halt(&mut plan);
-        self.go_on(plan);
+        self.apply_ready_steps(plan);
         Ok(())
     }
 
+    /// Sets the plan to stopping, and returns the upstreams that it has only drained.
     fn halt(&mut self, plan: &mut Plan) {
         plan.state = State::Stopping;
         for index in 0..plan.stages.len() {
@@ -173,7 +180,7 @@
         }
     }
 
-    /// Takes one step further.
+    /// Applies a transition to the step at `index`, unless the step isn't ready for it.
     pub fn apply_transition(
         &mut self,
         id: Id,
@@ -187,7 +194,7 @@
         if let Transition::Halt { message } = advance {
             plan.message = message;
             self.halt(&mut plan);
-            self.go_on(plan);
+            self.apply_ready_steps(plan);
             return Ok(());
         }
         let stage = plan
@@ -197,29 +204,33 @@
         let (step, progress) = (stage.step.clone(), stage.progress.clone());
         let next = match (&step, advance) {
             (Step::Member(_) | Step::Upgrade { .. }, Transition::Begin) => {
-                self.begin(&plan, index)?
+                self.begin_step(&plan, index)?
             }
             (Step::Member(member), Transition::Finish) if progress.is_in_progress() => {
                 self.tables.apply_member(member, plan.id);
                 Progress::Done
             }
-            (Step::Upgrade { .. }, Transition::Order) => self.order(&mut plan, &step, &progress)?,
+            (Step::Upgrade { .. }, Transition::Order) => {
+                self.order_load(&mut plan, &step, &progress)?
+            }
             (Step::Upgrade { .. }, Transition::Finish) => {
-                self.finish(&mut plan, &step, &progress)?
+                self.finish_step(&mut plan, &step, &progress)?
             }
             (_, Transition::Fail { message }) if progress.is_in_progress() => {
-                self.fail(&mut plan, &step);
+                self.fail_step(&mut plan, &step);
                 Progress::Failed { message }
             }
-            _ => return Err(rollout::refusal("the step isn't so far")),
+            _ => {
+                return Err(rollout::refusal("the step is not ready for that"));
+            }
         };
         plan.stages[index].progress = next;
-        self.judge(&mut plan);
-        self.go_on(plan);
+        self.halt_on_failure(&mut plan);
+        self.apply_ready_steps(plan);
         Ok(())
     }
 
-    fn begin(&mut self, plan: &Plan, index: usize) -> Result<Progress, Error> {
+    fn begin_step(&mut self, plan: &Plan, index: usize) -> Result<Progress, Error> {
         if plan.state != State::Running || !is_due(plan, index) {
             return Err(rollout::refusal("the step isn't due"));
         }
@@ -244,10 +255,16 @@
             return Err(rollout::refusal(obstacle));
         }
         let drain = self.tables.config.drains.get(upstream);
-        // One that failed before was left drained by a rollout, not by people.
-        let drained = drain.is_none_or(|drain| drain.reason.starts_with(rollout::REASON));
+        // A drain whose reason begins like this was left by a rollout whose upgrade failed,
+        // and not made by an operator.
+        let drained =
+            drain.is_none_or(|drain| drain.reason.starts_with(rollout::DRAIN_REASON_PREFIX));
         if drain.is_none() {
-            let reason = format!("{}{}: {model} to {version}", rollout::REASON, plan.id);
+            let reason = format!(
+                "{}{}: {model} to {version}",
+                rollout::DRAIN_REASON_PREFIX,
+                plan.id
+            );
             let drain = Drain { since, reason };
             let effect = Effect::Config(Change::Drain(upstream.clone(), Some(drain)));
             self.changes
@@ -256,7 +273,7 @@
         Ok(Progress::Begun { since, drained })
     }
 
-    fn order(
+    fn order_load(
         &mut self,
         plan: &mut Plan,
         step: &Step,
@@ -278,22 +295,23 @@
             {
                 (*drained, None)
             }
-            // Another life of the sidecar: the order in force names the earlier.
-            Progress::Ordered { until, drained } if self.is_orphaned(upstream) => {
+            // The sidecar has restarted: the order in force names its earlier incarnation.
+            Progress::Ordered { until, drained } if self.has_stale_order(upstream) => {
                 (*drained, Some(*until))
             }
-            _ => return Err(rollout::refusal("the drain isn't known everywhere yet")),
+            _ => return Err(rollout::refusal("the drain hasn't reached all hosts yet")),
         };
         let what = (model, version);
         let issued = self.tables.orders.issue(upstream, known, what, self.now);
-        let order = issued.ok_or_else(|| rollout::refusal("an earlier order may still arrive"))?;
+        let order =
+            issued.ok_or_else(|| rollout::refusal("an earlier order may still be delivered"))?;
         let limit = rollout::load_timeout(&self.tables.config);
         let until = first.unwrap_or(order.until + limit);
         self.change(plan, Change::Order(upstream.clone(), Some(order)));
         Ok(Progress::Ordered { until, drained })
     }
 
-    fn is_orphaned(&self, upstream: &almondlock_base::id::Upstream) -> bool {
+    fn has_stale_order(&self, upstream: &almondlock_base::id::Upstream) -> bool {
         let config = &self.tables.config;
         let order = config.orders.get(upstream);
         let known = config.upstreams.get(upstream);
@@ -302,7 +320,7 @@
             .is_some_and(|(order, known)| order.issuer != known.incarnation)
     }
 
-    fn finish(
+    fn finish_step(
         &mut self,
         plan: &mut Plan,
         step: &Step,
@@ -338,8 +356,9 @@
         Ok(Progress::Done)
     }
 
-    /// A failed upstream stays drained: nobody knows what it has loaded.
-    fn fail(&mut self, plan: &mut Plan, step: &Step) {
+    /// Withdraws the order of a failed upgrade. The upstream stays drained, since it is
+    /// not known what it has loaded.
+    fn fail_step(&mut self, plan: &mut Plan, step: &Step) {
         let Step::Upgrade { upstream, .. } = step else {
             return;
         };
@@ -348,8 +367,8 @@
         }
     }
 
-    /// Stops a rollout that does harm, and a plan with a failed membership step.
-    fn judge(&mut self, plan: &mut Plan) {
+    /// Halts a rollout with too many failures, and a plan with a failed membership change.
+    fn halt_on_failure(&mut self, plan: &mut Plan) {
         let member = plan
             .stages
             .iter()
@@ -364,8 +383,9 @@
         }
     }
 
-    /// Takes the steps that need nobody, settles the state, and keeps the plan.
-    fn go_on(&mut self, mut plan: Plan) {
+    /// Applies the next steps that need no action of the leader, ends the plan if it is
+    /// complete, and stores it.
+    fn apply_ready_steps(&mut self, mut plan: Plan) {
         while plan.state == State::Running {
             let pending = |stage: &super::Stage| stage.progress == Progress::Pending;
             let Some(index) = plan.stages.iter().position(pending) else {
@@ -386,13 +406,14 @@
             self.changes.extend(made);
             plan.revision = self.tables.config.revision;
         }
-        self.settle(&mut plan);
+        self.end_if_complete(&mut plan);
         if let Some(kept) = self.plans.get_mut(plan.id) {
             *kept = plan;
         }
     }
 
-    fn settle(&mut self, plan: &mut Plan) {
+    /// Ends a plan whose steps have all ended, or a stopping one without steps in progress.
+    fn end_if_complete(&mut self, plan: &mut Plan) {
         let next = match plan.state {
             State::Running if plan.stages.iter().all(|stage| stage.progress.is_ended()) => {
                 State::Done
@@ -433,8 +454,8 @@
     }
 }
 
-/// Whether all that must come before a step has ended. Upgrades that follow
-/// each other may overlap.
+/// Returns whether a step is pending and the steps before it have ended. Consecutive
+/// upgrades may overlap.
 pub(super) fn is_due(plan: &Plan, index: usize) -> bool {
     let upgrade = |step: &Step| matches!(step, Step::Upgrade { .. });
     let pending = plan.stages[index].progress == Progress::Pending;
@@ -444,7 +465,8 @@
     pending && plan.stages[..index].iter().all(passed)
 }
 
-fn detail(intent: &Intent) -> String {
+/// Returns an intent as JSON, with shortened key hashes.
+fn masked_json(intent: &Intent) -> String {
     let mut intent = intent.clone();
     intent.mask();
     serde_json::to_string(&intent).unwrap_or_default()
--- a/almondlock-state/src/plan/next.rs
+++ b/almondlock-state/src/plan/next.rs
@@ -1,50 +1,50 @@
-//! Which step of which plan is due.
+//! The actions that are due: steps of plans, and expiry.
 //!
-//! The leader asks after each command that it applied and once a second, and
-//! does what it is told. Nothing is remembered between two questions but what
-//! is replicated: a new leader asks and goes on.
+//! The leader asks after each command that it applies and once a second, and carries
+//! the actions out. No state but the replicated one is kept between two calls, so a new
+//! leader continues where the last one stopped.
 
 use almondlock_base::time::Wall;
 
 use super::{Plan, Progress, State, Step, Transition, execute::is_due, rollout};
 use crate::{command::Command, limit, machine::Machine, order, replica::Member};
 
-/// What the leader has to do.
+/// An action for the leader to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Propose this command.
+    /// Propose a command.
     Propose(Command),
-    /// Ask for this membership change, unless it has been asked for already, and
-    /// propose `Finish` or `Fail` for the step when it is through.
+    /// Request a membership change, unless it has been requested already, and propose
+    /// [`Transition::Finish`] or [`Transition::Fail`] for the step when it has ended.
     Member {
-        /// The plan.
+        /// The plan that the step belongs to.
         plan: super::Id,
-        /// The step.
+        /// The index of the step.
         index: usize,
-        /// The change.
+        /// The membership change.
         member: Member,
     },
 }
 
-/// The first thing due, if any.
+/// Returns the first action that is due, if any.
 pub fn next_action(machine: &Machine, now: Wall) -> Option<Action> {
     due_actions(machine, now).into_iter().next()
 }
 
-/// Everything that is due now. Doing one of them may undo the need for another:
-/// what is refused when applied is simply dropped.
+/// Returns all actions that are due now. One of them may make another one unnecessary;
+/// a command that is refused when it is applied can be ignored.
 pub fn due_actions(machine: &Machine, now: Wall) -> Vec<Action> {
     let mut actions = Vec::new();
     if now.since(machine.clock()) >= limit::SWEEP_INTERVAL {
         actions.push(Action::Propose(Command::Expire { at: now }));
     }
     for plan in machine.plans().active() {
-        of_plan(machine, plan, now, &mut actions);
+        collect_due(machine, plan, now, &mut actions);
     }
     actions
 }
 
-fn of_plan(machine: &Machine, plan: &Plan, now: Wall, actions: &mut Vec<Action>) {
+fn collect_due(machine: &Machine, plan: &Plan, now: Wall, actions: &mut Vec<Action>) {
     let step = |index: usize, advance: Transition| {
         Action::Propose(Command::Step {
             plan: plan.id,
@@ -70,7 +70,7 @@
                 });
             }
             Step::Upgrade { .. } => {
-                let advance = of_upgrade(machine, stage, now);
+                let advance = due_transition(machine, stage, now);
                 actions.extend(advance.map(|advance| step(index, advance)));
             }
             Step::Apply(_) => {}
@@ -79,12 +79,12 @@
     let first = (0..plan.stages.len()).find(|index| is_due(plan, *index));
     let begins = first.filter(|index| {
         let upgrade = matches!(plan.stages[*index].step, Step::Upgrade { .. });
-        plan.state == State::Running && (!upgrade || may_begin(machine, plan, *index))
+        plan.state == State::Running && (!upgrade || may_begin_step(machine, plan, *index))
     });
     actions.extend(begins.map(|index| step(index, Transition::Begin)));
 }
 
-fn may_begin(machine: &Machine, plan: &Plan, index: usize) -> bool {
+fn may_begin_step(machine: &Machine, plan: &Plan, index: usize) -> bool {
     let Step::Upgrade { upstream, .. } = &plan.stages[index].step else {
         return true;
     };
@@ -92,7 +92,7 @@
     gone || rollout::upgrade_obstacle(machine.tables(), machine.plans(), plan, index).is_none()
 }
 
-fn of_upgrade(machine: &Machine, stage: &super::Stage, now: Wall) -> Option<Transition> {
+fn due_transition(machine: &Machine, stage: &super::Stage, now: Wall) -> Option<Transition> {
     let Step::Upgrade {
         upstream,
         model,
@@ -113,19 +113,19 @@
             let waited = now.since(*since);
             let limit = rollout::load_timeout(config) + order::LIFETIME + order::CLOCK_MARGIN;
             if waited >= limit {
-                let message = "it was gone while it was drained".to_owned();
+                let message = "the upstream disappeared while it was drained".to_owned();
                 return Some(Transition::Fail { message });
             }
             (ready && waited >= rollout::DRAIN_PROPAGATION).then_some(Transition::Order)
         }
         Progress::Ordered { until, .. } if now >= *until => {
-            let message = format!("it didn't register with {version} in time");
+            let message = format!("the upstream did not register with {version} in time");
             Some(Transition::Fail { message })
         }
         Progress::Ordered { .. } => {
             let issuer = config.orders.get(upstream).map(|order| order.issuer);
-            let orphaned = known.is_some_and(|known| Some(known.incarnation) != issuer);
-            (orphaned && ready).then_some(Transition::Order)
+            let is_stale = known.is_some_and(|known| Some(known.incarnation) != issuer);
+            (is_stale && ready).then_some(Transition::Order)
         }
         _ => None,
     }
--- a/almondlock-state/src/plan/risk.rs
+++ b/almondlock-state/src/plan/risk.rs
@@ -1,4 +1,4 @@
-//! What an operator should know before confirming.
+//! Assessment of a plan's consequences, shown to an operator before confirmation.
 
 use almondlock_base::id::{Domain, Model, Upstream};
 
@@ -10,30 +10,31 @@
     tables::{Effect, Tables},
 };
 
-/// Seconds until a change of the configuration is in force everywhere.
-const SPREAD: u64 = 2;
-/// Seconds that a new replica takes to catch up, as a guess.
-const CATCH_UP: u64 = 60;
+/// Seconds until a change of the configuration is in force in all processes.
+const CONFIG_SPREAD_SECONDS: u64 = 2;
+/// Estimated seconds that a new replica takes to catch up with the log.
+const CATCH_UP_SECONDS: u64 = 60;
 
-pub(super) fn weigh(tables: &Tables, steps: &[Step]) -> Risk {
+/// Assesses the consequences of steps. Those of upgrades are added by [`add_upgrades`].
+pub(super) fn assess(tables: &Tables, steps: &[Step]) -> Risk {
     let mut risk = Risk {
-        seconds: SPREAD,
+        seconds: CONFIG_SPREAD_SECONDS,
         ..Risk::default()
     };
     for step in steps {
         match step {
-            Step::Apply(Effect::Config(change)) => of_change(&tables.config, change, &mut risk),
+            Step::Apply(Effect::Config(change)) => add_change(&tables.config, change, &mut risk),
             Step::Apply(Effect::Operator(name, _)) => {
                 risk.affected.push(format!("operator {name}"))
             }
             Step::Apply(Effect::Replica(..)) | Step::Upgrade { .. } => {}
-            Step::Member(member) => of_member(tables, member, &mut risk),
+            Step::Member(member) => add_member(tables, member, &mut risk),
         }
     }
     risk
 }
 
-fn of_change(config: &Config, change: &Change, risk: &mut Risk) {
+fn add_change(config: &Config, change: &Change, risk: &mut Risk) {
     match change {
         Change::Organisation(name, None) => {
             risk.affected.push(format!(
@@ -48,7 +49,7 @@
                 .map_or(0, |known| known.keys.len());
             if new.keys.is_empty() && keys > 0 {
                 risk.warnings
-                    .push("its last key goes: it can't send anything".to_owned());
+                    .push("its last key is removed: it can't send requests".to_owned());
             }
         }
         Change::Model(name, None) => {
@@ -59,9 +60,9 @@
         }
         Change::Model(name, Some(_)) => risk.affected.push(format!("callers of {name}")),
         Change::Service(name, _) => risk.affected.push(format!("callers of service {name}")),
-        Change::Drain(name, Some(_)) => of_drain(config, name, risk),
+        Change::Drain(name, Some(_)) => add_drain(config, name, risk),
         Change::Drain(name, None) => risk.affected.push(format!("upstream {name} takes work")),
-        Change::Evacuation(domain, Some(_)) => of_evacuation(config, domain, risk),
+        Change::Evacuation(domain, Some(_)) => add_evacuation(config, domain, risk),
         Change::Evacuation(domain, None) => {
             let message = format!("upstreams in failure domain {domain} take work");
             risk.affected.push(message);
@@ -74,7 +75,7 @@
     }
 }
 
-fn of_drain(config: &Config, name: &Upstream, risk: &mut Risk) {
+fn add_drain(config: &Config, name: &Upstream, risk: &mut Risk) {
     let Some(known) = config.upstreams.get(name) else {
         risk.warnings.push(format!("{name} is not registered now"));
         return;
@@ -83,7 +84,7 @@
         Some((model, _)) => other.model.as_ref().is_some_and(|(name, _)| name == model),
         None => other.service == known.service,
     };
-    // A plain service has no capacity in tokens: each of its processes counts.
+    // Plain services have no capacity in tokens, so each of their processes counts as one.
     let weight = |known: &Registration| known.capacity.0.max(1);
     let all = config
         .upstreams
@@ -94,11 +95,11 @@
     risk.capacity_left = Some(percent(left, total));
     if left == 0 {
         risk.warnings
-            .push("nothing is left that serves the same".to_owned());
+            .push("no other upstream serves the same model or service".to_owned());
     }
 }
 
-fn of_evacuation(config: &Config, domain: &Domain, risk: &mut Risk) {
+fn add_evacuation(config: &Config, domain: &Domain, risk: &mut Risk) {
     let open = config.upstreams.iter();
     let open = open.filter(|(name, _)| !config.is_drained(name));
     let registered = open.map(|(_, known)| (&known.domain, known.capacity.0.max(1)));
@@ -125,33 +126,33 @@
     u8::try_from(hundredths).unwrap_or(100)
 }
 
-fn of_member(tables: &Tables, member: &Member, risk: &mut Risk) {
+fn add_member(tables: &Tables, member: &Member, risk: &mut Risk) {
     let mut after = tables.replicas.clone();
     match member {
         Member::Add(replica) => {
-            // Any identity that is free: it counts, and isn't known yet.
+            // The identity isn't known yet; any free one gives the right number of replicas.
             let free = (0..).find(|id| !after.contains_key(id)).unwrap_or_default();
             after.insert(free, replica.clone());
-            risk.seconds += CATCH_UP;
+            risk.seconds += CATCH_UP_SECONDS;
         }
         Member::Remove(id) => {
             after.remove(id);
         }
     }
     risk.affected
-        .push(format!("control: {} replicas after it", after.len()));
+        .push(format!("control: {} replicas afterwards", after.len()));
     for domain in critical_domains(&after) {
         risk.warnings
             .push(format!("the loss of {domain} would then leave no majority"));
     }
     if after.len().is_multiple_of(2) {
         risk.warnings
-            .push("an even number of replicas bears no more losses than one less".to_owned());
+            .push("an even number of replicas tolerates no more losses than one less".to_owned());
     }
 }
 
-/// Adds what upgrading these upstreams, `width` at a time, means.
-pub(super) fn of_upgrades(
+/// Adds the consequences of upgrading `upstreams`, `width` of them at a time.
+pub(super) fn add_upgrades(
     config: &Config,
     model: &Model,
     upstreams: &[Upstream],
@@ -160,14 +161,14 @@
 ) {
     let serving = rollout::serving_upstreams(config, model).count();
     let seconds = rollout::load_time(config).as_secs() + rollout::DRAIN_PROPAGATION.as_secs();
-    // The first one goes alone, the others `width` at a time.
+    // The first upstream is upgraded alone, the others `width` at a time.
     let rounds = match upstreams.len() {
         0 => 0,
         count => 1 + (count - 1).div_ceil(width),
     };
-    risk.seconds += seconds.saturating_mul(number(rounds));
+    risk.seconds += seconds.saturating_mul(to_u64(rounds));
     let left = serving.saturating_sub(width.min(upstreams.len()));
-    risk.capacity_left = Some(percent(number(left), number(serving)));
+    risk.capacity_left = Some(percent(to_u64(left), to_u64(serving)));
     let known = upstreams
         .iter()
         .filter_map(|name| config.upstreams.get(name));
@@ -181,6 +182,6 @@
     }
 }
 
-fn number(count: usize) -> u64 {
+fn to_u64(count: usize) -> u64 {
     u64::try_from(count).unwrap_or(u64::MAX)
 }
--- a/almondlock-state/src/plan/rollout.rs
+++ b/almondlock-state/src/plan/rollout.rs
@@ -1,15 +1,20 @@
-//! Rolling a version out over the upstreams of a model.
+//! Rollout of a new version to the upstreams of a model.
 //!
-//! Each upstream is drained, told to load, and returned once it has registered
-//! with the new version. Three bounds pace it: the weight store's budget of
-//! loads at a time over all rollouts, the number of upstreams that must go on
-//! serving, and the first upstream of all, which goes alone, so that a version
-//! that can't be loaded costs one upstream. The domains take turns, so that the
-//! loss of one during the rollout doesn't take all of either version.
+//! Each upstream is drained, ordered to load the version, and returned to work once it
+//! has registered with it. Three bounds limit the pace:
 //!
-//! While it lasts, requests run on both versions ([`Config::serves`]); the
-//! version in force changes half-way. A rollout stops by itself when more than
-//! one in twenty of those that have it fail to load or don't stay registered.
+//! - the number of concurrent loads that the weight store can serve, over all rollouts;
+//! - the number of upstreams of the model that must go on serving;
+//! - the first upstream is upgraded alone, so that a version that can't be loaded costs
+//!   one upstream only.
+//!
+//! Upstreams of different failure domains alternate, so that the loss of a domain during
+//! the rollout doesn't take all upstreams with either version.
+//!
+//! During a rollout requests may run on both versions ([`Config::serves`]); the version
+//! in force changes when half of the upstreams are upgraded. A rollout stops by itself
+//! when more than one in twenty upgraded upstreams failed to load the version or has not
+//! stayed registered with it.
 //!
 //! [`Config::serves`]: crate::config::Config::serves
 
@@ -30,41 +35,43 @@
     tables::{Effect, Resource, Tables},
 };
 
-/// The setting that says how many loads may be under way at a time.
+/// The setting that holds the maximum number of concurrent loads.
 pub const LOADS_SETTING: &str = "weight-store/loads";
-/// The setting that says how many seconds one load takes.
+/// The setting that holds the expected duration of one load, in seconds.
 pub const LOAD_SECONDS_SETTING: &str = "weight-store/seconds";
 
-/// A drain is known everywhere after this; then the upstream is told to load.
+/// Time after which a drain is known to all hosts, and the upstream is ordered to load.
 pub const DRAIN_PROPAGATION: Duration = Duration::from_secs(5);
 
-/// What the reason of a drain that a rollout made begins with.
-pub(super) const REASON: &str = "rollout by plan ";
+/// The beginning of the reason of each drain that a rollout made.
+pub(super) const DRAIN_REASON_PREFIX: &str = "rollout by plan ";
 
-const LOADS: u64 = 2;
-const SECONDS: u64 = 300;
-/// A load may take this many times as long as it should.
-const PATIENCE: u32 = 3;
-/// One failure among this many upstreams is borne.
-const BORNE: usize = 20;
+const DEFAULT_LOADS: u64 = 2;
+const DEFAULT_LOAD_SECONDS: u64 = 300;
+/// A load fails after this multiple of its expected duration.
+const LOAD_TIMEOUT_FACTOR: u32 = 3;
+/// A rollout tolerates one failure for each this many upgraded upstreams.
+const UPSTREAMS_PER_FAILURE: usize = 20;
 
-/// Loads that the weight store bears at a time.
+/// Returns the maximum number of concurrent loads from the weight store.
 pub fn max_concurrent_loads(config: &Config) -> usize {
-    let loads = setting(config, LOADS_SETTING, LOADS).clamp(1, 1_000);
+    let loads = numeric_setting(config, LOADS_SETTING, DEFAULT_LOADS).clamp(1, 1_000);
     usize::try_from(loads).unwrap_or(1)
 }
 
-/// How long one load takes.
+/// Returns the expected duration of one load.
 pub fn load_time(config: &Config) -> Duration {
-    Duration::from_secs(setting(config, LOAD_SECONDS_SETTING, SECONDS).clamp(1, 86_400))
+    Duration::from_secs(
+        numeric_setting(config, LOAD_SECONDS_SETTING, DEFAULT_LOAD_SECONDS).clamp(1, 86_400),
+    )
 }
 
-/// How long a load may take before it counts as failed.
+/// Returns the time after which a load counts as failed.
 pub fn load_timeout(config: &Config) -> Duration {
-    load_time(config) * PATIENCE
+    load_time(config) * LOAD_TIMEOUT_FACTOR
 }
 
-fn setting(config: &Config, name: &str, default: u64) -> u64 {
+fn numeric_setting(config: &Config, name: &str, default: u64) -> u64 {
     let value = config.settings.get(name);
     value
         .and_then(|value| value.parse().ok())
@@ -76,7 +83,7 @@
     (name == model).then_some(version)
 }
 
-/// Upstreams that new requests for the model may be given to.
+/// Returns the upstreams that may be given new requests for the model.
 pub fn serving_upstreams<'a>(
     config: &'a Config,
     model: &'a Model,
@@ -89,7 +96,8 @@
         .map(|(name, _)| name)
 }
 
-/// How many upstreams must go on serving.
+/// Returns the number of upstreams that must go on serving when `keep` percent of those
+/// with the model must.
 pub fn min_serving(config: &Config, model: &Model, keep: u8) -> usize {
     let loaded = config
         .upstreams
@@ -98,6 +106,8 @@
     (loaded.count() * usize::from(keep)).div_ceil(100)
 }
 
+/// Compiles a rollout of a version, of which `keep` percent of the upstreams must go on
+/// serving.
 pub(super) fn compile(
     tables: &Tables,
     (model, version): (&Model, &Version),
@@ -107,9 +117,9 @@
     let current = config.models.get(model);
     let current = current.ok_or_else(|| Error::invalid("no such model"))?;
     if keep > 100 {
-        return Err(Error::invalid("keep is a number of a hundred"));
+        return Err(Error::invalid("keep is a percentage from 0 to 100"));
     }
-    let todo = in_turns(config, model, version);
+    let todo = upgrade_order(config, model, version);
     let count = serving_upstreams(config, model).count();
     if !todo.is_empty() && count > 0 && count <= min_serving(config, model, keep) {
         let message = format!(
@@ -124,16 +134,16 @@
         return Err(Error::invalid(message));
     }
     let mut draft = draft(tables, steps);
-    let width = width(config, model, keep);
-    risk::of_upgrades(config, model, &todo, width, &mut draft.risk);
+    let max_upgrades = max_upgrades(config, model, keep);
+    risk::add_upgrades(config, model, &todo, max_upgrades, &mut draft.risk);
     draft.resources.push(Resource::model(model));
     draft.resources.sort();
     draft.resources.dedup();
     Ok(draft)
 }
 
-/// Both versions serve from the first step to the last; the one in force changes
-/// when half of the upstreams have it.
+/// Returns the steps of a rollout. Both versions serve from the first step to the last;
+/// the version in force changes after half of the upgrades.
 fn steps(model: &Model, current: &Definition, to: &Version, todo: &[Upstream]) -> Vec<Step> {
     let change = |change| Step::Apply(Effect::Config(change));
     let other = |version: Option<&Version>| {
@@ -147,7 +157,8 @@
     };
     let mut steps = Vec::new();
     if current.version == *to {
-        // A rollout that was stopped, or its undoing, before the change.
+        // An earlier rollout to this version was stopped after the version in force had
+        // changed, or one to another version before it had.
         steps.extend(todo.iter().map(upgrade));
     } else {
         let mut next = current.clone();
@@ -163,8 +174,8 @@
     steps
 }
 
-/// Upstreams with another version of the model, the domains taking turns.
-fn in_turns(config: &Config, model: &Model, version: &Version) -> Vec<Upstream> {
+/// Returns the upstreams with another version of the model, failure domains alternating.
+fn upgrade_order(config: &Config, model: &Model, version: &Version) -> Vec<Upstream> {
     let mut turns: BTreeMap<&Domain, usize> = BTreeMap::new();
     let mut todo = Vec::new();
     for (name, known) in &config.upstreams {
@@ -178,6 +189,7 @@
     todo.into_iter().map(|(_, _, name)| name).collect()
 }
 
+/// Compiles a rollout back to the version that was in force before `plan`.
 pub(super) fn undo(tables: &Tables, plan: &Plan, model: &Model, keep: u8) -> Result<Draft, Error> {
     let before = plan
         .stages
@@ -199,15 +211,15 @@
     compile(tables, (model, &version), keep)
 }
 
-/// How many upstreams of the model the plan may have out of service at a time.
-fn width(config: &Config, model: &Model, keep: u8) -> usize {
+/// Returns the number of upstreams of the model that may be upgraded at a time.
+fn max_upgrades(config: &Config, model: &Model, keep: u8) -> usize {
     let spare = serving_upstreams(config, model)
         .count()
         .saturating_sub(min_serving(config, model, keep));
     spare.min(max_concurrent_loads(config)).max(1)
 }
 
-/// Why the upgrade at `index` can't begin now; `None` when it can.
+/// Returns why the upgrade at `index` can't begin now; `None` if it can.
 pub fn upgrade_obstacle(
     tables: &Tables,
     plans: &table::Table,
@@ -218,7 +230,7 @@
         upstream, model, ..
     }) = plan.stages.get(index).map(|s| &s.step)
     else {
-        return Some("it is no upgrade");
+        return Some("the step is not an upgrade");
     };
     let config = &tables.config;
     let upgrade = |step: &Step| matches!(step, Step::Upgrade { .. });
@@ -228,24 +240,24 @@
             .count()
     };
     if plans.active().map(under_way).sum::<usize>() >= max_concurrent_loads(config) {
-        return Some("the weight store has enough to do");
+        return Some("the maximum number of concurrent loads is in progress");
     }
     let upgraded = |stage: &&super::Stage| upgrade(&stage.step) && stage.progress == Progress::Done;
     if under_way(plan) > 0 && plan.stages.iter().find(upgraded).is_none() {
-        return Some("the first upstream goes alone");
+        return Some("the first upstream must be upgraded alone");
     }
     let still = serving_upstreams(config, model)
         .filter(|name| *name != upstream)
         .count();
-    // Drained by an operator or gone, it takes nothing away from what serves.
+    // If an operator drained the upstream or it is gone, its upgrade takes no capacity.
     let takes_away = serving_upstreams(config, model).any(|name| name == upstream);
     if takes_away && still < plan.min_serving {
-        return Some("too few would go on serving");
+        return Some("too few upstreams would go on serving");
     }
     None
 }
 
-/// Why a rollout must stop by itself.
+/// Returns why a rollout must stop by itself: too many upstreams failed with the version.
 pub fn halt_reason(tables: &Tables, plan: &Plan) -> Option<String> {
     let (mut good, mut bad, mut last) = (0, 0, "");
     for stage in &plan.stages {
@@ -266,7 +278,7 @@
             _ => {}
         }
     }
-    let too_many = bad * BORNE > good + bad;
+    let too_many = bad * UPSTREAMS_PER_FAILURE > good + bad;
     too_many.then(|| {
         format!(
             "{bad} of {} fail with the new version, the last {last}",
@@ -275,7 +287,7 @@
     })
 }
 
-/// The refusal of a step that the state doesn't allow now.
+/// Creates the refusal of a command that the plan's or step's state doesn't allow.
 pub(super) fn refusal(message: &str) -> Error {
     Error {
         code: Code::PlanState,
--- a/almondlock-state/src/plan/table.rs
+++ b/almondlock-state/src/plan/table.rs
@@ -1,11 +1,10 @@
-//! Plans and change numbers.
+//! The table of plans, and the change numbers that make proposals idempotent.
 //!
-//! An operator chooses a number for each change and sends the change again
-//! under the same number when the answer was lost. The same number with the
-//! same content is the same change, answered again and applied once; with other
-//! content it is a conflict. Of two racing operators who chose one number, the
-//! one whose proposal stands second in the log gets the conflict, and exactly
-//! that one.
+//! An operator chooses a number for each change, and sends the change again under the
+//! same number when the answer was lost. The same number with the same intent is the same
+//! change, which is answered again and applied once; with another intent it is a conflict.
+//! If two operators choose the same number at the same time, only the one whose proposal
+//! comes second in the log gets a conflict.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,32 +14,36 @@
 use super::{Id, Plan, State, compile::Error};
 use crate::{intent::Intent, limit};
 
-/// All plans that are remembered.
+/// The plans that are kept.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
     plans: BTreeMap<Id, Plan>,
     numbers: BTreeMap<String, Use>,
     /// Invariant: the keys of `numbers`, oldest first.
-    order: VecDeque<String>,
-    last: Id,
+    #[serde(rename = "order")]
+    number_order: VecDeque<String>,
+    /// The number of the newest plan.
+    #[serde(rename = "last")]
+    last_id: Id,
 }
 
 /// What a change number was used for.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 struct Use {
+    /// Hash of the intent.
     digest: String,
     plan: Id,
 }
 
 impl Table {
-    /// A plan by its number.
+    /// Returns a plan by its number.
     pub fn get(&self, id: Id) -> Option<&Plan> {
         self.plans.get(&id)
     }
 
-    /// All plans, oldest first.
+    /// Returns all plans, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Plan> {
         self.plans.values()
     }
@@ -49,20 +52,24 @@
         self.plans.get_mut(&id)
     }
 
-    /// Plans that are being carried out.
+    /// Returns the plans that are being carried out or stopped.
     pub fn active(&self) -> impl Iterator<Item = &Plan> {
         let active = |plan: &&Plan| matches!(plan.state, State::Running | State::Stopping);
         self.plans.values().filter(active)
     }
 
-    /// The plan that this change was made into before, if it was.
+    /// Returns the plan that the same proposal made before, if any.
+    ///
+    /// # Errors
+    ///
+    /// If the number stands for another change, or the plan is no longer kept.
     pub fn find_repeat(&self, number: &str, intent: &Intent) -> Result<Option<&Plan>, Error> {
         let Some(used) = self.numbers.get(number) else {
             return Ok(None);
         };
         if used.digest != digest(intent) {
             let message = format!(
-                "number {number} stands for plan {}, another change",
+                "change number {number} is taken by plan {}, another change",
                 used.plan
             );
             return Err(Error {
@@ -74,13 +81,13 @@
         plan.map(Some).ok_or_else(|| Error {
             code: Code::UnknownPlan,
             message: format!(
-                "it became plan {}, which is over and no longer kept",
+                "the change became plan {}, which has ended and is no longer kept",
                 used.plan
             ),
         })
     }
 
-    /// Whether one more can be proposed under this number.
+    /// Checks the change number of a new plan, and that there is room for the plan.
     pub fn check_proposal(&self, number: &str) -> Result<(), Error> {
         if number.is_empty() || number.len() > limit::MAX_CHANGE_NUMBER_BYTES {
             return Err(Error::invalid("a change number is 1 to 64 bytes"));
@@ -91,7 +98,7 @@
             .filter(|plan| !plan.state.is_over())
             .count();
         if open >= limit::MAX_OPEN_PLANS {
-            let message = "too many plans wait or run; stop some".to_owned();
+            let message = "too many plans are waiting or running; stop some of them".to_owned();
             return Err(Error {
                 code: Code::LimitReached,
                 message,
@@ -100,29 +107,30 @@
         Ok(())
     }
 
-    /// The number that the next plan gets.
+    /// Returns the number of the next plan.
     pub fn next_id(&self) -> Id {
-        Id(self.last.0 + 1)
+        Id(self.last_id.0 + 1)
     }
 
-    /// Keeps a plan and its change number.
+    /// Stores a plan and its change number.
     pub fn insert(&mut self, plan: Plan) {
         let used = Use {
             digest: digest(&plan.intent),
             plan: plan.id,
         };
         self.numbers.insert(plan.number.clone(), used);
-        self.order.push_back(plan.number.clone());
-        if self.order.len() > limit::MAX_CHANGE_NUMBERS {
-            let oldest = self.order.pop_front();
+        self.number_order.push_back(plan.number.clone());
+        if self.number_order.len() > limit::MAX_CHANGE_NUMBERS {
+            let oldest = self.number_order.pop_front();
             oldest.and_then(|oldest| self.numbers.remove(&oldest));
         }
-        self.last = plan.id;
+        self.last_id = plan.id;
         self.plans.insert(plan.id, plan);
-        self.shrink();
+        self.evict_ended();
     }
 
-    fn shrink(&mut self) {
+    /// Removes the oldest plans that are over until the rest is within the limit.
+    fn evict_ended(&mut self) {
         let over = self.plans.values().filter(|plan| plan.state.is_over());
         let surplus = over.clone().count().saturating_sub(limit::MAX_ENDED_PLANS);
         let oldest: Vec<Id> = over.take(surplus).map(|plan| plan.id).collect();
@@ -131,7 +139,7 @@
         }
     }
 
-    /// Lets proposals lapse that waited too long.
+    /// Marks proposals as lapsed that were not confirmed in time.
     pub fn expire(&mut self, now: Wall) {
         let waiting = self
             .plans
@@ -140,10 +148,10 @@
         for plan in waiting.filter(|plan| now.since(plan.proposed_at) >= limit::PROPOSAL_LIFETIME) {
             plan.state = State::Lapsed;
         }
-        self.shrink();
+        self.evict_ended();
     }
 
-    /// The lowest count of effects that a remembered plan was computed on.
+    /// Returns the lowest [`Plan::base_sequence`] of all plans.
     pub fn lowest_sequence(&self) -> Option<u64> {
         self.plans.values().map(|plan| plan.base_sequence).min()
     }
