--- a/almondlock-gateway/src/share/ledger.rs
+++ b/almondlock-gateway/src/share/ledger.rs
@@ -39,18 +39,18 @@
 
 impl Ledger {
     /// A request was sent to an engine. Its prompt takes `reading` of all engines together.
-    pub fn send(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
+    pub fn claim_sent(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
         let count = Usage {
             slots: 1,
-            unread: 1,
-            reading: millis(reading),
+            unanswered: 1,
+            reading_ms: millis(reading),
             ..Usage::default()
         };
         self.claim(service, organisation, count)
     }
 
     /// A request waits for a slot at this host, or will return to one.
-    pub fn wait_slot(&self, service: &str, organisation: &Arc<str>) -> Claim {
+    pub fn claim_slot_wait(&self, service: &str, organisation: &Arc<str>) -> Claim {
         let count = Usage {
             queued: 1,
             ..Usage::default()
@@ -59,9 +59,14 @@
     }
 
     /// The same of a prompt that waits until engines have the time to read it.
-    pub fn wait_reading(&self, service: &str, organisation: &Arc<str>, reading: Duration) -> Claim {
+    pub fn claim_reading_wait(
+        &self,
+        service: &str,
+        organisation: &Arc<str>,
+        reading: Duration,
+    ) -> Claim {
         let count = Usage {
-            queued_reading: millis(reading),
+            queued_reading_ms: millis(reading),
             ..Usage::default()
         };
         self.claim(service, organisation, count)
@@ -96,7 +101,7 @@
 
 impl Claim {
     /// The first event has come.
-    pub fn read(&self) {
+    pub fn finish_reading(&self) {
         let count = self.count.get();
         self.set(Usage {
             slots: count.slots,
--- a/almondlock-gateway/src/startup.rs
+++ b/almondlock-gateway/src/startup.rs
@@ -1,4 +1,5 @@
-//! Holds prompts in the first moments after the host's start.
+//! Delays long prompts shortly after the host's start, while the loads of other hosts are
+//! unknown.
 
 use std::time::Duration;
 
@@ -9,8 +10,8 @@
 
 use crate::{dialect::Dialect, request::Request, worker::Worker};
 
-/// How often a prompt that waits looks whether loads are known: a part of what the shortest
-/// objectives leave.
+/// How often a waiting prompt checks whether loads are known: a fraction of the time that
+/// the shortest objectives leave.
 const POLL: Duration = Duration::from_millis(5);
 
 /// Waits until a prompt may be placed.
@@ -31,12 +32,13 @@
             .time("settled", "phase=\"start\"", waited);
         tracing::info!(
             request = %request.id, waited_ms = waited.as_millis(),
-            age_ms = worker.shared.uptime(now).as_millis(), hosts = worker.load.borrow().hosts(now),
-            "waited after the start"
+            age_ms = worker.shared.uptime(now).as_millis(), hosts = worker.load.borrow().other_hosts(now),
+            "prompt delayed after the start"
         );
     }
 }
 
+/// Returns how long the prompt still has to wait, or `None` if it may be placed.
 fn time_left<D>(worker: &Worker<D>, request: &Request, now: Mono) -> Option<Duration>
 where
     D: Dialect,
@@ -53,7 +55,7 @@
         waited: now.since(request.arrived),
         objective: request.route.objective,
         reading_time: speed.reading_time(demand.prompt),
-        knows_loads: worker.load.borrow().hosts(now) > 0,
+        knows_loads: worker.load.borrow().other_hosts(now) > 0,
     };
     hold_time(settling, &case)
 }
--- a/almondlock-policy/src/choice/table.rs
+++ b/almondlock-policy/src/choice/table.rs
@@ -1,4 +1,4 @@
-//! The upstreams that can serve the same thing, and their load.
+//! The upstreams that can serve the same requests, and their load.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,38 +11,39 @@
 use super::{
     hint::Hints,
     load::{Load, Report},
-    subset::{Subset, hash, mix},
+    subset::{Subset, hash_name, mix},
 };
 use crate::length::Class;
 
-/// How choices are made.
+/// Parameters of the selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Upstreams of a region that one entry host works with.
+    /// Number of upstreams in the subset that one entry host sends to. There is one subset for
+    /// its region and one for all others.
     pub subset_size: usize,
-    /// Candidates drawn for a decision.
+    /// Number of candidates sampled for a decision.
     pub candidates: usize,
-    /// After how long a report counts half.
+    /// Time after which a report counts half.
     pub half_life: Duration,
-    /// The share of known upstreams that count as hot, in percent.
+    /// Share of the reports whose upstreams count as hot, in percent.
     pub hot_percent: u32,
-    /// What a prefix is taken to save at the upstream it hashes to when it is
-    /// not known whether it was processed there, in percent of its tokens.
+    /// Part of a prefix that is assumed to be cached at the upstream that it hashes to if
+    /// that is not known, in percent of its tokens.
     pub assumed_hit_percent: u32,
-    /// Prefixes remembered.
+    /// Number of prefix hashes whose last upstream is remembered.
     pub hint_limit: usize,
-    /// Prefill speed to assume for an upstream that has not told, in tokens
+    /// Prefill speed assumed for an upstream that has not reported it, in tokens
     /// per second.
     pub prefill_speed: u64,
-    /// The share of upstreams kept free of long prompts, in percent.
+    /// Share of the upstreams that are kept free of long prompts, in percent.
     pub short_only_percent: u32,
-    /// How much more than the average of its own attempts an entry host may
-    /// have at the upstream that a prefix hashes to, in percent.
+    /// Number of attempts that an entry host may have at an upstream for its cached prefix,
+    /// in percent of its average over the upstreams of its subset.
     pub bound_percent: u32,
-    /// How long an upstream that failed is passed over.
+    /// Time for which an upstream that failed is passed over.
     pub avoid_time: Duration,
-    /// Time added for an upstream in another failure domain, and ten times
-    /// that for another region.
+    /// Time added to the cost of an upstream in another failure domain. Ten times this is
+    /// added for another region.
     pub domain_cost: Duration,
 }
 
@@ -64,159 +65,163 @@
     }
 }
 
-/// The entry host that chooses.
+/// Identity and location of the entry host that selects upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Origin {
-    /// Its name.
+    /// Name of the host.
     pub host: Host,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: Domain,
-    /// Its region.
+    /// Region of the host.
     pub region: Region,
 }
 
-/// Where an upstream stands.
+/// Location of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Locality {
-    /// Its failure domain.
+    /// Failure domain of the upstream.
     pub domain: Domain,
-    /// Its region.
+    /// Region of the upstream.
     pub region: Region,
 }
 
-/// An upstream's place in a [`Table`]. Stays valid until the upstream is
-/// removed; what is asked or told of it after that is ignored.
+/// Handle of an upstream in a [`Table`]. It is valid until the upstream is removed; calls
+/// with it have no effect after that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Index {
     pub(super) slot: u32,
+    /// Tells successive upstreams in the same slot apart.
     pub(super) generation: u32,
 }
 
-/// What an attempt asks for.
+/// Properties of an attempt for which an upstream is selected.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Query<'a> {
     /// Length of the prompt.
     pub prompt: Tokens,
-    /// Most tokens of the answer.
+    /// Largest number of tokens in the answer.
     pub output: Tokens,
-    /// Hashes of the prompt's leading parts, as [`crate::prefix`] makes them.
+    /// Hashes of the prompt's leading parts, computed by [`crate::prefix::hashes`].
     pub prefix: &'a [u64],
     /// Upstreams that already failed or refused this request.
     pub excluded: &'a [Index],
 }
 
+/// One upstream of a [`Table`].
 #[derive(Debug)]
 pub(super) struct Row {
     name: Upstream,
-    site: Locality,
+    locality: Locality,
     generation: u32,
-    pub(super) near: bool,
+    pub(super) same_region: bool,
     pub(super) same_domain: bool,
     pub(super) leaving: bool,
-    /// Whether long prompts are kept away. All entry hosts agree on it.
+    /// Whether the upstream is kept free of long prompts. All entry hosts agree on this.
     pub(super) short_only: bool,
-    /// Rendezvous key of the upstream.
+    /// Rendezvous hash of the upstream's name.
     key: u64,
-    /// Its score in this host's subset.
+    /// Rendezvous score of the upstream for this host's subset.
     score: u64,
     pub(super) load: Load,
 }
 
-/// Upstreams and what one entry host knows of them.
+/// Upstreams that can serve the same requests, with their load as one entry host knows it.
 #[derive(Debug)]
 pub struct Table {
     pub(super) config: Config,
-    home: Origin,
+    origin: Origin,
     pub(super) rows: Vec<Option<Row>>,
-    /// Rendezvous keys by slot, apart from the rows so that the pass over all
-    /// of them stays within a few cache lines. `None` for an empty slot.
+    /// Rendezvous keys by slot, `None` for an empty slot. They are stored apart from the rows
+    /// so that the pass over all of them touches few cache lines.
     keys: Vec<Option<u64>>,
     free: Vec<u32>,
-    lives: u32,
+    last_generation: u32,
     names: HashMap<Upstream, u32>,
-    pub(super) near: Subset,
-    pub(super) far: Subset,
+    /// Subset of the upstreams in this host's region.
+    pub(super) local: Subset,
+    /// Subset of the upstreams in all other regions.
+    pub(super) remote: Subset,
     pub(super) hints: Hints,
     pub(super) average: Average,
-    /// Where the search for something to probe goes on.
-    cursor: usize,
+    /// Position in the local subset at which the search for an upstream to probe continues.
+    probe_cursor: usize,
 }
 
-/// Figures over the upstreams heard from lately.
+/// Running averages over the reports of all upstreams.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Average {
-    /// Mean wait in seconds.
+    /// Mean reported wait, in seconds.
     pub(super) wait: f64,
-    /// Mean number in flight.
+    /// Mean number of requests in flight.
     pub(super) in_flight: f64,
-    /// The number in flight above which an upstream is hot.
-    pub(super) hot: f64,
-    /// Own attempts that have not ended.
+    /// Number of requests in flight above which an upstream is hot.
+    pub(super) hot_threshold: f64,
+    /// Attempts of this host that have not ended, at all upstreams.
     pub(super) outstanding: u64,
 }
 
-/// Gain of the running means.
-const GAIN: f64 = 0.05;
+/// Weight of a new report in the running averages.
+const AVERAGE_GAIN: f64 = 0.05;
 
 impl Table {
-    /// An empty table.
-    pub fn new(config: Config, home: Origin) -> Table {
+    /// Creates an empty table.
+    pub fn new(config: Config, origin: Origin) -> Table {
         Table {
             config,
-            home,
+            origin,
             rows: Vec::new(),
             keys: Vec::new(),
             free: Vec::new(),
-            lives: 0,
+            last_generation: 0,
             names: HashMap::new(),
-            near: Subset::default(),
-            far: Subset::default(),
+            local: Subset::default(),
+            remote: Subset::default(),
             hints: Hints::new(config.hint_limit),
             average: Average::default(),
-            cursor: 0,
+            probe_cursor: 0,
         }
     }
 
-    /// Adds an upstream. One of the same name that stands elsewhere is
-    /// replaced; one that stands at the same place is kept with its load.
-    pub fn insert(&mut self, name: &Upstream, site: Locality) -> Index {
+    /// Adds an upstream. An existing one of the same name is kept with its load if its
+    /// location is the same, and replaced otherwise.
+    pub fn insert(&mut self, name: &Upstream, locality: Locality) -> Index {
         if let Some(index) = self.find(name) {
-            if self.row(index).is_some_and(|row| row.site == site) {
+            if self.row(index).is_some_and(|row| row.locality == locality) {
                 return index;
             }
             self.remove(name);
         }
-        let key = hash(name.as_str());
-        let score = mix(key, hash(self.home.host.as_str()));
-        self.lives = self.lives.wrapping_add(1);
+        let key = hash_name(name.as_str());
+        let score = mix(key, hash_name(self.origin.host.as_str()));
+        self.last_generation = self.last_generation.wrapping_add(1);
         let row = Row {
             name: name.clone(),
-            generation: self.lives,
-            near: site.region == self.home.region,
-            same_domain: site.domain == self.home.domain,
+            generation: self.last_generation,
+            same_region: locality.region == self.origin.region,
+            same_domain: locality.domain == self.origin.domain,
             leaving: false,
             short_only: key % 100 < u64::from(self.config.short_only_percent),
             key,
             score,
             load: Load::default(),
-            site,
+            locality,
         };
-        self.place(row)
+        self.insert_row(row)
     }
 
-    fn place(&mut self, row: Row) -> Index {
+    fn insert_row(&mut self, row: Row) -> Index {
         let slot = self.free.pop().unwrap_or_else(|| {
             self.rows.push(None);
             self.keys.push(None);
             self.rows.len() as u32 - 1
         });
         let size = self.config.subset_size;
-        let side = if row.near {
-            &mut self.near
+        let side = if row.same_region {
+            &mut self.local
         } else {
-            &mut self.far
+            &mut self.remote
         };
-        side.insert(&row.site.domain, row.score, slot, size);
+        side.insert(&row.locality.domain, row.score, slot, size);
         self.names.insert(row.name.clone(), slot);
         self.keys[slot as usize] = Some(row.key);
         let index = Index {
@@ -227,7 +232,7 @@
         index
     }
 
-    /// Takes an upstream out. Attempts under way there are no longer counted.
+    /// Removes an upstream. Its attempts in progress are no longer counted.
     pub fn remove(&mut self, name: &Upstream) {
         let Some(slot) = self.names.remove(name) else {
             return;
@@ -236,19 +241,19 @@
             return;
         };
         let size = self.config.subset_size;
-        let side = if row.near {
-            &mut self.near
+        let side = if row.same_region {
+            &mut self.local
         } else {
-            &mut self.far
+            &mut self.remote
         };
-        side.remove(&row.site.domain, row.score, slot, size);
+        side.remove(&row.locality.domain, row.score, slot, size);
         self.average.outstanding -= u64::from(row.load.outstanding);
         self.keys[slot as usize] = None;
         self.hints.forget(slot);
         self.free.push(slot);
     }
 
-    /// Says whether an upstream takes new work.
+    /// Sets whether an upstream is leaving, so that it gets no new attempts.
     pub fn set_leaving(&mut self, name: &Upstream, leaving: bool) {
         let index = self.find(name);
         if let Some(row) = index.and_then(|index| self.row_mut(index)) {
@@ -256,77 +261,74 @@
         }
     }
 
-    /// Where an upstream of this name is.
+    /// Returns the handle of the upstream with this name.
     pub fn find(&self, name: &Upstream) -> Option<Index> {
         let slot = *self.names.get(name)?;
-        let life = self.rows.get(slot as usize)?.as_ref()?.generation;
-        Some(Index {
-            slot,
-            generation: life,
-        })
+        let generation = self.rows.get(slot as usize)?.as_ref()?.generation;
+        Some(Index { slot, generation })
     }
 
-    /// The name of an upstream.
+    /// Returns the name of an upstream.
     pub fn name(&self, index: Index) -> Option<&Upstream> {
         self.row(index).map(|row| &row.name)
     }
 
-    /// The names of all upstreams. Proportional to the fleet: not for each
-    /// request.
+    /// Returns the names of all upstreams. The cost is proportional to the fleet: not to be
+    /// called for each request.
     pub fn names(&self) -> Vec<Upstream> {
         self.names.keys().cloned().collect()
     }
 
-    /// Whether an upstream takes work, as far as is known.
+    /// Whether an upstream is known and not leaving.
     pub fn may_take_work(&self, name: &Upstream) -> bool {
         let row = self.find(name).and_then(|index| self.row(index));
         row.is_some_and(|row| !row.leaving)
     }
 
-    /// Whether an upstream failed lately and is passed over while others will do.
+    /// Whether an upstream failed recently and is passed over as long as others are usable.
     pub fn is_avoided(&self, name: &Upstream, now: Mono) -> bool {
         let row = self.find(name).and_then(|index| self.row(index));
         row.is_some_and(|row| row.load.is_avoided(now))
     }
 
-    /// Free memory of an upstream, by its last report.
+    /// Returns the free engine memory of an upstream, from its last report.
     pub fn free_memory(&self, name: &Upstream) -> Option<Tokens> {
         let row = self.row(self.find(name)?)?;
-        row.load.at.map(|_| row.load.report.free_memory)
+        row.load.reported_at.map(|_| row.load.report.free_memory)
     }
 
-    /// How many upstreams there are.
+    /// Returns the number of upstreams.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there are none.
+    /// Whether the table has no upstreams.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// Notes what a sidecar told of its load.
+    /// Records the load that an upstream's sidecar reported.
     pub fn record_report(&mut self, index: Index, report: Report, now: Mono) {
         let hot = f64::from(100 - self.config.hot_percent.min(100)) / 100.0;
         let Some(row) = self.row_mut(index) else {
             return;
         };
-        if row.load.at.is_some_and(|at| at > now) {
+        if row.load.reported_at.is_some_and(|at| at > now) {
             return;
         }
         row.load.report = report;
-        row.load.at = Some(now);
-        row.load.sent = 0;
-        row.load.sent_tokens = Tokens::ZERO;
+        row.load.reported_at = Some(now);
+        row.load.sent_since_report = 0;
+        row.load.tokens_since_report = Tokens::ZERO;
         let in_flight = f64::from(report.in_flight);
         let average = &mut self.average;
-        average.wait += (report.wait.as_secs_f64() - average.wait) * GAIN;
-        average.in_flight += (in_flight - average.in_flight) * GAIN;
-        // A running quantile: steps up by `hot` and down by the rest, so that
-        // it comes to rest where that share of the reports lies below it.
-        let step = (average.in_flight * GAIN).max(0.05);
-        let above = in_flight > average.hot;
-        average.hot += if above {
+        average.wait += (report.wait.as_secs_f64() - average.wait) * AVERAGE_GAIN;
+        average.in_flight += (in_flight - average.in_flight) * AVERAGE_GAIN;
+        // A running quantile: it steps up by the part `hot` of a step and down by the rest,
+        // so that it settles where the part `hot` of the reports lies below it.
+        let step = (average.in_flight * AVERAGE_GAIN).max(0.05);
+        let above = in_flight > average.hot_threshold;
+        average.hot_threshold += if above {
             step * hot
         } else {
             -step * (1.0 - hot)
@@ -339,27 +341,27 @@
             return;
         };
         row.load.outstanding += 1;
-        row.load.unanswered += prompt;
-        row.load.sent += 1;
-        row.load.sent_tokens += prompt;
+        row.load.unanswered_tokens += prompt;
+        row.load.sent_since_report += 1;
+        row.load.tokens_since_report += prompt;
         self.average.outstanding += 1;
     }
 
-    /// Notes that an attempt's prompt was processed there: its first token
-    /// came, so the prompt's start is likely cached.
-    pub fn record_first_token(&mut self, index: Index, ask: &Query<'_>) {
+    /// Records that the first token of an attempt arrived: the upstream has processed the
+    /// prompt and is likely to have its prefix cached.
+    pub fn record_first_token(&mut self, index: Index, query: &Query<'_>) {
         let Some(row) = self.row_mut(index) else {
             return;
         };
-        row.load.unanswered = row.load.unanswered.saturating_sub(ask.prompt);
-        row.load.sent_tokens = row.load.sent_tokens.saturating_sub(ask.prompt);
-        for hash in ask.prefix {
-            self.hints.put(*hash, index.slot);
+        row.load.unanswered_tokens = row.load.unanswered_tokens.saturating_sub(query.prompt);
+        row.load.tokens_since_report = row.load.tokens_since_report.saturating_sub(query.prompt);
+        for hash in query.prefix {
+            self.hints.insert(*hash, index.slot);
         }
     }
 
-    /// Counts an attempt as ended. `answered` says whether [`Table::record_first_token`]
-    /// was told of it.
+    /// Counts an attempt as ended. `answered` is whether [`Table::record_first_token`] was
+    /// called for it.
     pub fn record_end(&mut self, index: Index, prompt: Tokens, answered: bool) {
         let Some(row) = self.row_mut(index) else {
             return;
@@ -367,16 +369,16 @@
         let load = &mut row.load;
         let counted = load.outstanding > 0;
         load.outstanding = load.outstanding.saturating_sub(1);
-        load.sent = load.sent.saturating_sub(1);
+        load.sent_since_report = load.sent_since_report.saturating_sub(1);
         if !answered {
-            load.unanswered = load.unanswered.saturating_sub(prompt);
-            load.sent_tokens = load.sent_tokens.saturating_sub(prompt);
+            load.unanswered_tokens = load.unanswered_tokens.saturating_sub(prompt);
+            load.tokens_since_report = load.tokens_since_report.saturating_sub(prompt);
         }
         self.average.outstanding -= u64::from(counted);
     }
 
-    /// Notes that an upstream could not be reached or failed, so that it is
-    /// passed over for a while.
+    /// Records that an upstream could not be reached or failed. It is passed over for
+    /// [`Config::avoid_time`].
     pub fn record_failure(&mut self, index: Index, now: Mono) {
         let until = now + self.config.avoid_time;
         if let Some(row) = self.row_mut(index) {
@@ -384,20 +386,20 @@
         }
     }
 
-    /// The next upstream of the subset whose last report is older than `age`,
-    /// to be probed. Goes round, so that one that never answers does not keep
-    /// the others from being asked.
+    /// Returns the next upstream of the local subset to probe: one whose last report is `age`
+    /// old or older. Successive calls go round the subset, so that an upstream that never
+    /// answers does not keep the others from being probed.
     pub fn next_stale(&mut self, age: Duration, now: Mono) -> Option<Index> {
-        let chosen = &self.near.chosen;
+        let chosen = &self.local.chosen;
         for step in 1..=chosen.len() {
-            let at = (self.cursor + step) % chosen.len();
+            let at = (self.probe_cursor + step) % chosen.len();
             let slot = chosen[at];
             let Some(row) = self.rows.get(slot as usize).and_then(Option::as_ref) else {
                 continue;
             };
-            let old = row.load.at.is_none_or(|at| now.since(at) >= age);
+            let old = row.load.reported_at.is_none_or(|at| now.since(at) >= age);
             if old && !row.leaving {
-                self.cursor = at;
+                self.probe_cursor = at;
                 return Some(Index {
                     slot,
                     generation: row.generation,
@@ -418,8 +420,8 @@
         })
     }
 
-    /// The two upstreams that a prefix hashes to. All entry hosts find the
-    /// same ones.
+    /// Returns the slots of the two upstreams that a prefix hashes to, which are the same on
+    /// all entry hosts.
     pub(super) fn rendezvous(&self, prefix: u64) -> [Option<u32>; 2] {
         let mut best: [Option<(u64, u32)>; 2] = [None; 2];
         for (slot, key) in self.keys.iter().enumerate() {
@@ -448,13 +450,13 @@
 }
 
 impl Row {
-    /// Whether an attempt may go there at all.
-    pub(super) fn takes(&self, ask: &Query<'_>, index: Index) -> bool {
-        !self.leaving && !ask.excluded.contains(&index)
+    /// Whether the upstream may be selected at all: it is not leaving and not excluded.
+    pub(super) fn may_take(&self, query: &Query<'_>, index: Index) -> bool {
+        !self.leaving && !query.excluded.contains(&index)
     }
 
-    /// Whether it is kept free of prompts this long.
-    pub(super) fn spares(&self, ask: &Query<'_>) -> bool {
-        self.short_only && Class::of(ask.prompt) >= Class::Long
+    /// Whether the upstream is kept free of prompts of this length.
+    pub(super) fn is_closed_to(&self, query: &Query<'_>) -> bool {
+        self.short_only && Class::of(query.prompt) >= Class::Long
     }
 }
--- a/almondlock-policy/src/gang/waitlist.rs
+++ b/almondlock-policy/src/gang/waitlist.rs
@@ -1,4 +1,4 @@
-//! Where reservations wait at one engine.
+//! The list of reservations that wait for memory at one engine.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -7,9 +7,9 @@
 /// How a [`Waitlist`] grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// How long the first reservation waits before memory is collected for it.
+    /// Time that the first reservation waits before memory is collected for it.
     pub collect_after: Duration,
-    /// Reservations that may wait.
+    /// Maximum number of waiting reservations.
     pub max_waiting: usize,
 }
 
@@ -30,28 +30,28 @@
     pub code: Code,
 }
 
+/// A reservation that waits.
 #[derive(Clone, Debug)]
-struct Ask<I> {
+struct Waiter<I> {
     id: I,
     tokens: Tokens,
     since: Mono,
     deadline: Mono,
 }
 
-/// The reservations that wait for one engine's memory, first come, first
-/// served: any other order could keep one waiting for ever, and gangs that hold
-/// other engines with it.
+/// The reservations that wait for one engine's memory, first come, first served. Any other
+/// order could delay a reservation for ever, and with it a gang that holds other engines.
 #[derive(Clone, Debug)]
 pub struct Waitlist<I> {
     config: Config,
-    waiting: VecDeque<Ask<I>>,
+    waiting: VecDeque<Waiter<I>>,
 }
 
 impl<I> Waitlist<I>
 where
     I: Clone + Eq,
 {
-    /// A desk where nothing waits.
+    /// Returns an empty list.
     pub fn new(config: Config) -> Waitlist<I> {
         Waitlist {
             config,
@@ -59,12 +59,13 @@
         }
     }
 
-    /// Asks for memory. `most` is what the engine can ever give: its capacity
-    /// without the part reserved for short jobs.
+    /// Adds a reservation. `most` is the memory that the engine can give at most: its
+    /// capacity without the part reserved for short jobs.
     ///
     /// # Errors
     ///
-    /// Refused when that is too little, or too much waits already.
+    /// Refused if the engine can't give that much, if the id waits already, or if too many
+    /// reservations wait.
     pub fn push(
         &mut self,
         id: I,
@@ -78,7 +79,7 @@
                 code: Code::PromptTooLong,
             });
         }
-        if self.waiting.iter().any(|ask| ask.id == id) {
+        if self.waiting.iter().any(|waiter| waiter.id == id) {
             return Err(Refusal {
                 code: Code::AlreadyRunning,
             });
@@ -88,7 +89,7 @@
                 code: Code::Overloaded,
             });
         }
-        self.waiting.push_back(Ask {
+        self.waiting.push_back(Waiter {
             id,
             tokens,
             since: now,
@@ -97,46 +98,51 @@
         Ok(())
     }
 
-    /// Grants the first reservation when there is room for it. `free` is the
-    /// engine's free memory, `reserve` what of it is left to short jobs.
+    /// Grants the first reservation if there is room for it. `free` is the engine's free
+    /// memory, and `reserve` the part of it that is left to short jobs.
     pub fn grant(&mut self, free: Tokens, reserve: Tokens) -> Option<I> {
         let first = self.waiting.front()?;
         if first.tokens + reserve > free {
             return None;
         }
-        self.waiting.pop_front().map(|ask| ask.id)
+        self.waiting.pop_front().map(|waiter| waiter.id)
     }
 
-    /// Whether memory is collected: the queue then starts only short jobs, in
-    /// their reserved part.
+    /// Returns whether memory is collected: the queue then starts only short jobs, in their
+    /// reserved part.
     pub fn is_collecting(&self, now: Mono) -> bool {
         let patience = self.config.collect_after;
         let first = self.waiting.front();
-        first.is_some_and(|ask| now.since(ask.since) >= patience)
+        first.is_some_and(|waiter| now.since(waiter.since) >= patience)
     }
 
-    /// Takes a reservation out. `false` when it does not wait here.
+    /// Removes a reservation. Returns `false` if it does not wait here.
     pub fn remove(&mut self, id: &I) -> bool {
         let before = self.waiting.len();
-        self.waiting.retain(|ask| ask.id != *id);
+        self.waiting.retain(|waiter| waiter.id != *id);
         self.waiting.len() < before
     }
 
-    /// Takes out those whose time is over, each to be answered at once.
+    /// Removes and returns the reservations whose deadline has passed. Each is to be
+    /// answered at once.
     pub fn take_expired(&mut self, now: Mono) -> Vec<I> {
-        let over = |ask: &&Ask<I>| ask.deadline <= now;
-        let gone = self.waiting.iter().filter(over).map(|ask| ask.id.clone());
+        let over = |waiter: &&Waiter<I>| waiter.deadline <= now;
+        let gone = self
+            .waiting
+            .iter()
+            .filter(over)
+            .map(|waiter| waiter.id.clone());
         let gone = gone.collect();
-        self.waiting.retain(|ask| now < ask.deadline);
+        self.waiting.retain(|waiter| now < waiter.deadline);
         gone
     }
 
-    /// When [`Waitlist::take_expired`] or [`Waitlist::is_collecting`] has something new to
-    /// say.
+    /// Returns the next time at which the results of [`Waitlist::take_expired`] or
+    /// [`Waitlist::is_collecting`] change.
     pub fn next_event(&self, now: Mono) -> Option<Mono> {
         let patience = self.config.collect_after;
-        let collect = self.waiting.front().map(|ask| ask.since + patience);
-        let expiry = self.waiting.iter().map(|ask| ask.deadline).min();
+        let collect = self.waiting.front().map(|waiter| waiter.since + patience);
+        let expiry = self.waiting.iter().map(|waiter| waiter.deadline).min();
         collect
             .filter(|at| *at > now)
             .into_iter()
@@ -144,12 +150,12 @@
             .min()
     }
 
-    /// How many wait.
+    /// Returns the number of waiting reservations.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none does.
+    /// Returns whether no reservation waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
