--- a/almondlock-gateway/src/request.rs
+++ b/almondlock-gateway/src/request.rs
@@ -205,7 +205,7 @@
             },
             Err(fault) => fault,
         };
-        worker.blame(&request, &fault, begun);
+        worker.report_loss(&request, &fault, begun);
         worker.observe_failure(&request, &fault, begun);
         history.record(&mut fault);
         let now = clock::mono();
--- a/almondlock-gateway/src/startup.rs
+++ b/almondlock-gateway/src/startup.rs
@@ -32,7 +32,7 @@
             .time("settled", "phase=\"start\"", waited);
         tracing::info!(
             request = %request.id, waited_ms = waited.as_millis(),
-            age_ms = worker.shared.uptime(now).as_millis(), hosts = worker.load.borrow().hosts(now),
+            age_ms = worker.shared.uptime(now).as_millis(), hosts = worker.load.borrow().other_hosts(now),
             "prompt delayed after the start"
         );
     }
@@ -55,7 +55,7 @@
         waited: now.since(request.arrived),
         objective: request.route.objective,
         reading_time: speed.reading_time(demand.prompt),
-        knows_loads: worker.load.borrow().hosts(now) > 0,
+        knows_loads: worker.load.borrow().other_hosts(now) > 0,
     };
     hold_time(settling, &case)
 }
