--- a/almondlock-gateway/src/exchange/limiter.rs
+++ b/almondlock-gateway/src/exchange/limiter.rs
@@ -1,5 +1,5 @@
-//! A relay's account of upstreams' limits: what hosts told of them, and the permits of
-//! this relay's part. Decides only; the relay sends.
+//! Tracks upstreams' limits at a relay, and grants permits from this relay's part of them.
+//! Does no I/O.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -12,51 +12,52 @@
 use super::message::{Limit, Permit, Query, millis};
 use crate::load::Key;
 
-/// How often all limits are told again, in case a datagram was lost.
-pub(super) const REPEAT: Duration = Duration::from_secs(1);
-/// A limit that no host told for this long is forgotten: the upstream is gone, or nobody
-/// sends to it.
-const FORGET: Duration = Duration::from_secs(5);
-/// When to ask again, of a relay that doesn't know how many others there are.
-const UNREADY: Duration = Duration::from_millis(500);
+/// Time after which all limits are sent again, in case a datagram was lost.
+pub(super) const REPEAT_PERIOD: Duration = Duration::from_secs(1);
+/// A limit that no host has reported for this time is forgotten: the upstream is gone, or
+/// no host sends to it.
+const REPORT_MAX_AGE: Duration = Duration::from_secs(5);
+/// Time after which to ask again a relay that doesn't know the number of relays yet.
+const UNREADY_RETRY: Duration = Duration::from_millis(500);
 
 /// Limits and permits at one relay.
 #[derive(Debug, Default)]
 pub struct Limiter {
     limits: Limits<Key>,
-    // When each limit was last told.
-    told: HashMap<Key, Mono>,
+    // When each limit was last reported.
+    reported: HashMap<Key, Mono>,
     issuer: Issuer<Key>,
-    // Limits that have changed and that hosts aren't told of yet.
-    news: BTreeSet<Key>,
-    repeated: Mono,
+    // Limits that have changed and were not sent to hosts yet.
+    changed: BTreeSet<Key>,
+    all_sent_at: Mono,
 }
 
 impl Limiter {
-    /// A host told limits.
+    /// Takes in limits that a host reported.
     pub fn receive(&mut self, now: Mono, limits: &[Limit]) {
         for limit in limits {
-            self.told.insert(limit.key, now);
+            self.reported.insert(limit.key, now);
             if self.limits.learn(&limit.key, limit.notice(now)) {
                 let rate = limit.rate.map(Rate::per_second);
                 tracing::info!(
                     upstream = %limit.key, per_second = rate, source = "host",
                     age_ms = limit.age_ms, "limit changed"
                 );
-                self.news.insert(limit.key);
+                self.changed.insert(limit.key);
             }
         }
     }
 
-    /// A host asks for a permit. This relay has one of `parts` equal parts of each limit;
-    /// none if how many there are isn't known yet.
+    /// Answers a host's query for a permit. This relay has one of `parts` equal parts of
+    /// each limit. Zero means that the number of relays isn't known yet; then no permit is
+    /// granted.
     pub fn request_permit(&mut self, now: Mono, ask: &Query, parts: u32) -> Permit {
         self.receive(now, &[ask.limit]);
         let named = self.limits.notice(&ask.limit.key);
         let rate = Bound::of(named, ask.cold).map(|bound| bound.rate());
         let taken = match (rate, parts) {
             (None, _) => Ok(()),
-            (Some(_), 0) => Err(UNREADY),
+            (Some(_), 0) => Err(UNREADY_RETRY),
             (Some(rate), parts) => self.issuer.take(now, ask.limit.key, rate, parts),
         };
         Permit {
@@ -65,25 +66,26 @@
         }
     }
 
-    /// What hosts are told in this round: limits that have changed or, from time to time,
-    /// all of them.
+    /// Returns what to send to hosts in this round: the limits that have changed, or
+    /// periodically all of them.
     pub fn take_updates(&mut self, now: Mono) -> Vec<Limit> {
-        if now.since(self.repeated) < REPEAT {
-            let news = std::mem::take(&mut self.news).into_iter();
-            let news = news.filter_map(|key| Some((key, self.limits.notice(&key)?)));
-            return news
+        if now.since(self.all_sent_at) < REPEAT_PERIOD {
+            let changed = std::mem::take(&mut self.changed).into_iter();
+            let changed = changed.filter_map(|key| Some((key, self.limits.notice(&key)?)));
+            return changed
                 .map(|(key, notice)| Limit::of(now, key, &notice))
                 .collect();
         }
-        self.repeated = now;
-        self.news.clear();
-        self.told.retain(|_, at| now.since(*at) < FORGET);
-        self.limits.retain(|key| self.told.contains_key(key));
-        self.issuer.retain(|key| self.told.contains_key(key));
+        self.all_sent_at = now;
+        self.changed.clear();
+        self.reported
+            .retain(|_, at| now.since(*at) < REPORT_MAX_AGE);
+        self.limits.retain(|key| self.reported.contains_key(key));
+        self.issuer.retain(|key| self.reported.contains_key(key));
         self.all(now)
     }
 
-    /// All limits, for hosts that were not heard of before.
+    /// Returns all limits, for new hosts.
     pub fn all(&self, now: Mono) -> Vec<Limit> {
         let notices = self.limits.notices();
         notices
--- a/almondlock-gateway/src/share/findings.rs
+++ b/almondlock-gateway/src/share/findings.rs
@@ -1,4 +1,5 @@
-//! Which organisations are over their share, by what relays tell of all hosts.
+//! Determines which organisations are over their share, from the relays' sums over all
+//! hosts.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -14,38 +15,38 @@
     load::Key,
 };
 
-/// Counts that are older are not acted on, however long they took.
-const OUTDATED: Duration = Duration::from_secs(1);
+/// Older counts are ignored, wherever the time was spent.
+const MAX_COUNT_AGE: Duration = Duration::from_secs(1);
 
-/// What relays told last.
+/// The last sums of the relays.
 #[derive(Debug, Default)]
 pub struct Findings {
-    heard: HashMap<SocketAddr, Heard>,
+    received: HashMap<SocketAddr, Received>,
 }
 
 #[derive(Debug)]
-struct Heard {
+struct Received {
     at: Mono,
     age: Duration,
-    // By service, those that are over.
+    // Rulings by service, where an organisation is over its share.
     rulings: HashMap<Key, Assessment<Key>>,
-    // Organisations in the order of what they have in flight.
+    // Organisations in descending order of what they have in flight.
     largest: Vec<Tag>,
 }
 
-/// An organisation that is over its share.
+/// Finding that an organisation is over its share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finding {
-    /// By how much.
+    /// By how much it is over its share.
     pub excess: Excess<Key>,
-    /// The age of the counts.
+    /// Age of the counts.
     pub age: Duration,
-    /// How many organisations have more in flight.
+    /// Number of organisations that have more in flight.
     pub place: usize,
 }
 
 impl Findings {
-    /// A relay told the sums. `capacity` gives that of a service's engines.
+    /// Takes in a relay's sums. `capacity` returns the capacity of a service's engines.
     pub fn receive<F>(&mut self, now: Mono, relay: SocketAddr, totals: &Totals, capacity: F)
     where
         F: Fn(Key) -> Capacity,
@@ -56,32 +57,33 @@
             let (listed, rest) = counts.at(service);
             (service, Assessment::new(capacity(service), &listed, rest))
         });
-        let heard = Heard {
+        let received = Received {
             at: now,
             age: Duration::from_millis(totals.age_ms.into()),
             rulings: rulings.filter(|(_, ruling)| !ruling.is_empty()).collect(),
             largest: counts.listed.iter().map(|(tag, _)| *tag).collect(),
         };
-        self.heard.insert(relay, heard);
-        self.heard.retain(|_, heard| now.since(heard.at) < MAX_AGE);
+        self.received.insert(relay, received);
+        self.received
+            .retain(|_, received| now.since(received.at) < MAX_AGE);
     }
 
-    /// Whether an organisation is over its share, by what this relay told. None: it is
-    /// within, or that isn't known.
+    /// Returns the finding if an organisation is over its share by this relay's sums.
+    /// `None` means that it is within its share or that this isn't known.
     pub fn excess(&self, now: Mono, relay: SocketAddr, tag: Tag) -> Option<Finding> {
-        let heard = self.heard.get(&relay)?;
-        let since = now.since(heard.at);
-        let age = heard.age + since;
-        if since >= MAX_AGE || age >= OUTDATED {
+        let received = self.received.get(&relay)?;
+        let since = now.since(received.at);
+        let age = received.age + since;
+        if since >= MAX_AGE || age >= MAX_COUNT_AGE {
             return None;
         }
-        let ruling = heard.rulings.get(&tag.service)?;
+        let ruling = received.rulings.get(&tag.service)?;
         let excess = *ruling.excess(&tag.organisation)?;
-        let place = heard.largest.iter().position(|other| *other == tag);
+        let place = received.largest.iter().position(|other| *other == tag);
         Some(Finding {
             excess,
             age,
-            place: place.unwrap_or(heard.largest.len()),
+            place: place.unwrap_or(received.largest.len()),
         })
     }
 }
