--- a/almondlock-control/src/replica/core.rs
+++ b/almondlock-control/src/replica/core.rs
@@ -134,7 +134,7 @@
         };
         let now = almondlock_node::clock::mono();
         let quorum = config.quorum.clone();
-        let silence = quorum.election() * 2;
+        let silence = quorum.election_timeout() * 2;
         let machine = Machine::new(quorum.clone(), id, loaded, now);
         let mut core = Core {
             peers: Peers::new(quorum.group(), id, silence, config.security.clone()),
@@ -258,7 +258,7 @@
     }
 
     fn hand_over(&mut self, now: Mono) {
-        if let Some(to) = self.machine.hand_over(now) {
+        if let Some(to) = self.machine.transfer_leadership(now) {
             let (term, matched) = (self.machine.term().0, self.machine.matched(to));
             let (last, matched) = (self.machine.last().0, matched.map(|index| index.0));
             tracing::info!(%to, term, matched, last, "hands leadership over");
@@ -364,7 +364,7 @@
     /// confirmed reads; see `duties`.)
     fn vouch_as_follower(&self, now: Mono) {
         if self.is_current(now) {
-            self.vouch.at(now - self.quorum.election() * 2);
+            self.vouch.at(now - self.quorum.election_timeout() * 2);
         }
     }
 
--- a/almondlock-control/src/replica/core/greeting.rs
+++ b/almondlock-control/src/replica/core/greeting.rs
@@ -16,7 +16,7 @@
     /// it while it was away. A member greets once at its start as well, so that the others know
     /// that it is back.
     pub(super) fn greet(&mut self, now: Mono) {
-        let due = |at: Mono| now.since(at) >= self.quorum.heartbeat() * 2;
+        let due = |at: Mono| now.since(at) >= self.quorum.heartbeat_interval() * 2;
         let member = self.machine.members().contains(self.own.id);
         let led = member && self.greeted_at.is_some() && self.machine.hears_leader(now);
         if led || self.stopping || !self.greeted_at.is_none_or(due) {
--- a/almondlock-control/src/replica/core/log.rs
+++ b/almondlock-control/src/replica/core/log.rs
@@ -52,7 +52,7 @@
         self.log_leader(now);
         self.log_denials(now);
         // The rest changes with time only, or can wait a moment.
-        let due = |at: Mono| now.since(at) >= self.quorum.heartbeat();
+        let due = |at: Mono| now.since(at) >= self.quorum.heartbeat_interval();
         if self.logged.looked_at.is_none_or(due) {
             self.logged.looked_at = Some(now);
             self.log_silence(now);
@@ -100,7 +100,7 @@
     /// Logs each candidacy of this replica once.
     fn log_candidacy(&mut self) {
         let term = self.machine.term();
-        let Some(cause) = self.machine.candidacy() else {
+        let Some(cause) = self.machine.election_cause() else {
             return;
         };
         if term > self.logged.candidacy {
--- a/almondlock-control/src/replica/core/log/ballots.rs
+++ b/almondlock-control/src/replica/core/log/ballots.rs
@@ -50,7 +50,7 @@
             return;
         };
         let span = now.since(since);
-        if span < self.quorum.election() {
+        if span < self.quorum.election_timeout() {
             return;
         }
         let leaderless_ms = millis(span);
--- a/almondlock-control/src/replica/core/log/changes.rs
+++ b/almondlock-control/src/replica/core/log/changes.rs
@@ -37,7 +37,7 @@
         let members = self.machine.members().iter();
         let others = members.filter(|other| other.id != self.own.id && other.id != id);
         let others = List(others.map(|other| self.describe(now, other.id)).collect());
-        let led_ms = millis(now.since(self.machine.led_since()));
+        let led_ms = millis(now.since(self.machine.leader_since()));
         let (term, last) = (self.machine.term().0, self.machine.last().0);
         match reason {
             None => {
@@ -71,7 +71,7 @@
     /// For how long another member has not been heard, or since this replica leads.
     fn unheard_ms(&self, now: Mono, id: Id) -> u64 {
         let heard = self.machine.heard(id);
-        millis(now.since(heard.unwrap_or(self.machine.led_since())))
+        millis(now.since(heard.unwrap_or(self.machine.leader_since())))
     }
 
     /// How many entries another member lacks, of all that the log holds here.
--- a/almondlock-control/src/replica/core/log/silence.rs
+++ b/almondlock-control/src/replica/core/log/silence.rs
@@ -54,7 +54,7 @@
     fn log_member(&self, now: Mono, id: Id, watch: &mut Watch) {
         let last = self.machine.heard(id).unwrap_or(watch.heard);
         watch.heard = last;
-        let silent = now.since(last) >= self.quorum.election();
+        let silent = now.since(last) >= self.quorum.election_timeout();
         let members = self.machine.members();
         let (member, votes) = (self.name(id), members.is_voter(id));
         match (watch.silent, silent) {
@@ -83,7 +83,7 @@
     }
 
     fn is_heard(&self, now: Mono, id: Id) -> bool {
-        let recent = |at: Mono| now.since(at) < self.quorum.election();
+        let recent = |at: Mono| now.since(at) < self.quorum.election_timeout();
         self.machine.heard(id).is_some_and(recent)
     }
 }
--- a/almondlock-control/src/replica/core/sight.rs
+++ b/almondlock-control/src/replica/core/sight.rs
@@ -16,8 +16,8 @@
             own: self.own.id,
             members: self.machine.members(),
             newcomers: self.gathering.present(now, repair::PRESENT),
-            led_since: self.machine.led_since(),
-            patience: self.quorum.election(),
+            led_since: self.machine.leader_since(),
+            patience: self.quorum.election_timeout(),
             now,
         };
         sight.step(|id| Peer {
--- a/almondlock-control/src/replica/disk.rs
+++ b/almondlock-control/src/replica/disk.rs
@@ -107,7 +107,7 @@
                 last = Some(write.sequence);
             }
             Job::Found(members) => {
-                let _ = reports.send(Report::Founded(store.found(members)?));
+                let _ = reports.send(Report::Founded(store.initialize(members)?));
             }
         }
     }
--- a/almondlock-control/src/replica/duties.rs
+++ b/almondlock-control/src/replica/duties.rs
@@ -95,7 +95,7 @@
 /// the log, one after the other, and a lost voter that still counts may not wait for them.
 pub(super) async fn mend(replica: Replica) {
     loop {
-        sleep(replica.inner.config.quorum.heartbeat()).await;
+        sleep(replica.inner.config.quorum.heartbeat_interval()).await;
         while replica.repair(clock::mono()).await {}
     }
 }
--- a/almondlock-control/src/replica/membership.rs
+++ b/almondlock-control/src/replica/membership.rs
@@ -73,7 +73,7 @@
         let asked = self.with(|core| core.change(clock::mono(), &change));
         let result = match asked {
             Ok(answer) => {
-                self.wait_for(self.inner.config.quorum.election(), answer)
+                self.wait_for(self.inner.config.quorum.election_timeout(), answer)
                     .await
             }
             Err(refusal) => Err(refusal),
@@ -124,7 +124,7 @@
                 Err(refusal) if refusal.code != Code::NoQuorum || clock::mono() >= until => {
                     return Err(refusal);
                 }
-                Err(_) => sleep(self.inner.config.quorum.heartbeat()).await,
+                Err(_) => sleep(self.inner.config.quorum.heartbeat_interval()).await,
             }
         }
     }
--- a/almondlock-control/src/replica/mod.rs
+++ b/almondlock-control/src/replica/mod.rs
@@ -107,7 +107,8 @@
     {
         let group = config.quorum.group();
         let identity = Identity::open(&disk, group, draw_identity()?)?;
-        let (store, loaded) = Store::open(disk, group, identity.id, config.quorum.retain())?;
+        let (store, loaded) =
+            Store::open(disk, group, identity.id, config.quorum.retain_entries())?;
         let (thread, mut reports) = Thread::start(store);
         let core = Core::new(&config, identity.id, loaded, thread, (view, vouch))?;
         let replica = Replica {
@@ -198,7 +199,7 @@
             if let Some(refusal) = self.inner.core.borrow().stopped.clone() {
                 return refusal;
             }
-            sleep(self.inner.config.quorum.election()).await;
+            sleep(self.inner.config.quorum.election_timeout()).await;
         }
     }
 
@@ -207,10 +208,10 @@
     pub async fn leave(&self) {
         self.with(|core| core.leave(clock::mono()));
         let quorum = &self.inner.config.quorum;
-        let until = clock::mono() + quorum.election();
-        sleep(quorum.heartbeat()).await;
+        let until = clock::mono() + quorum.election_timeout();
+        sleep(quorum.heartbeat_interval()).await;
         while self.is_leader() && clock::mono() < until {
-            sleep(quorum.heartbeat() / 4).await;
+            sleep(quorum.heartbeat_interval() / 4).await;
         }
     }
 
@@ -259,7 +260,7 @@
     }
 
     async fn tick_always(self) {
-        let pause = self.inner.config.quorum.heartbeat() / 4;
+        let pause = self.inner.config.quorum.heartbeat_interval() / 4;
         loop {
             sleep(pause).await;
             self.with(|core| core.tick(clock::mono()));
--- a/almondlock-control/tests/accepted_survives.rs
+++ b/almondlock-control/tests/accepted_survives.rs
@@ -13,9 +13,9 @@
     builder: almondlock_control::replica::Builder,
 ) -> almondlock_control::replica::Builder {
     let quorum = almondlock_quorum::config::Config::builder()
-        .election(Duration::from_millis(300))
-        .heartbeat(Duration::from_millis(50))
-        .retain(5);
+        .election_timeout(Duration::from_millis(300))
+        .heartbeat_interval(Duration::from_millis(50))
+        .retain_entries(5);
     builder.snapshot(20).quorum(quorum.build().unwrap())
 }
 
--- a/almondlock-control/tests/group/mod.rs
+++ b/almondlock-control/tests/group/mod.rs
@@ -145,8 +145,8 @@
         });
         let folder: PathBuf = self.folders[n].path().join("log");
         let quorum = quorum::Config::builder()
-            .election(Duration::from_millis(300))
-            .heartbeat(Duration::from_millis(50));
+            .election_timeout(Duration::from_millis(300))
+            .heartbeat_interval(Duration::from_millis(50));
         let builder = Config::builder(self.names[n].clone(), self.addresses[n], domain, folder)
             .initial(initial)
             .security(self.security[n].clone())
--- a/almondlock-control/tests/slow_voters.rs
+++ b/almondlock-control/tests/slow_voters.rs
@@ -50,7 +50,7 @@
         own: machine.id(),
         members,
         newcomers: newcomers.collect(),
-        led_since: machine.led_since(),
+        led_since: machine.leader_since(),
         patience: PATIENCE,
         now,
     };
--- a/almondlock-quorum/src/config.rs
+++ b/almondlock-quorum/src/config.rs
@@ -9,14 +9,14 @@
 pub struct Config {
     pub(crate) group: u16,
     // Invariant: at least twice `heartbeat`, so that one lost heartbeat starts no election.
-    pub(crate) election: Duration,
-    pub(crate) heartbeat: Duration,
-    pub(crate) batch: usize,
-    pub(crate) window: usize,
-    pub(crate) piece: usize,
-    pub(crate) retain: u64,
+    pub(crate) election_timeout: Duration,
+    pub(crate) heartbeat_interval: Duration,
+    pub(crate) append_bytes: usize,
+    pub(crate) append_window: usize,
+    pub(crate) piece_bytes: usize,
+    pub(crate) retain_entries: u64,
     pub(crate) retain_bytes: usize,
-    pub(crate) backlog: u64,
+    pub(crate) max_uncommitted: u64,
     pub(crate) seed: u64,
 }
 
@@ -26,14 +26,14 @@
         Builder {
             config: Config {
                 group: 0,
-                election: Duration::from_millis(500),
-                heartbeat: Duration::from_millis(100),
-                batch: 256 << 10,
-                window: 32,
-                piece: 256 << 10,
-                retain: 4096,
+                election_timeout: Duration::from_millis(500),
+                heartbeat_interval: Duration::from_millis(100),
+                append_bytes: 256 << 10,
+                append_window: 32,
+                piece_bytes: 256 << 10,
+                retain_entries: 4096,
                 retain_bytes: 32 << 20,
-                backlog: 65_536,
+                max_uncommitted: 65_536,
                 seed: 0,
             },
         }
@@ -45,18 +45,18 @@
     }
 
     /// The shortest election timeout; the longest is twice that.
-    pub fn election(&self) -> Duration {
-        self.election
+    pub fn election_timeout(&self) -> Duration {
+        self.election_timeout
     }
 
     /// How often a leader that has nothing to send is heard.
-    pub fn heartbeat(&self) -> Duration {
-        self.heartbeat
+    pub fn heartbeat_interval(&self) -> Duration {
+        self.heartbeat_interval
     }
 
     /// How many entries before a snapshot are kept for those a little behind.
-    pub fn retain(&self) -> u64 {
-        self.retain
+    pub fn retain_entries(&self) -> u64 {
+        self.retain_entries
     }
 }
 
@@ -74,38 +74,38 @@
     }
 
     /// The shortest election timeout.
-    pub fn election(mut self, span: Duration) -> Builder {
-        self.config.election = span;
+    pub fn election_timeout(mut self, span: Duration) -> Builder {
+        self.config.election_timeout = span;
         self
     }
 
     /// The time between heartbeats.
-    pub fn heartbeat(mut self, span: Duration) -> Builder {
-        self.config.heartbeat = span;
+    pub fn heartbeat_interval(mut self, span: Duration) -> Builder {
+        self.config.heartbeat_interval = span;
         self
     }
 
     /// The most payload bytes in one append.
-    pub fn batch(mut self, bytes: usize) -> Builder {
-        self.config.batch = bytes;
+    pub fn append_bytes(mut self, bytes: usize) -> Builder {
+        self.config.append_bytes = bytes;
         self
     }
 
     /// The most appends to one replica that wait for their reply.
-    pub fn window(mut self, appends: usize) -> Builder {
-        self.config.window = appends;
+    pub fn append_window(mut self, appends: usize) -> Builder {
+        self.config.append_window = appends;
         self
     }
 
     /// The most bytes of a snapshot in one message.
-    pub fn piece(mut self, bytes: usize) -> Builder {
-        self.config.piece = bytes;
+    pub fn piece_bytes(mut self, bytes: usize) -> Builder {
+        self.config.piece_bytes = bytes;
         self
     }
 
     /// How many entries before a snapshot are kept in memory and on disk.
-    pub fn retain(mut self, entries: u64) -> Builder {
-        self.config.retain = entries;
+    pub fn retain_entries(mut self, entries: u64) -> Builder {
+        self.config.retain_entries = entries;
         self
     }
 
@@ -116,8 +116,8 @@
     }
 
     /// The most entries that may wait for a quorum; more are refused.
-    pub fn backlog(mut self, entries: u64) -> Builder {
-        self.config.backlog = entries;
+    pub fn max_uncommitted(mut self, entries: u64) -> Builder {
+        self.config.max_uncommitted = entries;
         self
     }
 
@@ -131,14 +131,20 @@
     /// Checks the settings.
     pub fn build(self) -> Result<Config, Error> {
         let config = self.config;
-        if config.heartbeat.is_zero() || config.election < config.heartbeat * 2 {
+        if config.heartbeat_interval.is_zero()
+            || config.election_timeout < config.heartbeat_interval * 2
+        {
             return Err(Error::setting(
                 "the election timeout must be at least two heartbeats, and a heartbeat not zero",
             ));
         }
-        if config.batch == 0 || config.window == 0 || config.piece == 0 || config.backlog == 0 {
+        if config.append_bytes == 0
+            || config.append_window == 0
+            || config.piece_bytes == 0
+            || config.max_uncommitted == 0
+        {
             return Err(Error::setting(
-                "batch, window, piece and backlog can't be zero",
+                "append_bytes, append_window, piece_bytes and max_uncommitted must not be zero",
             ));
         }
         Ok(config)
--- a/almondlock-quorum/src/entry.rs
+++ b/almondlock-quorum/src/entry.rs
@@ -93,7 +93,7 @@
 
 /// What a replica must remember of elections before it answers anybody.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Hard {
+pub struct HardState {
     /// The newest term it has seen.
     pub term: Term,
     /// Whom it voted for in that term.
--- a/almondlock-quorum/src/lib.rs
+++ b/almondlock-quorum/src/lib.rs
@@ -19,7 +19,7 @@
 //!
 //! # fn main() -> Result<(), almondlock_quorum::error::Error> {
 //! let member = almondlock_quorum::member::Member::sample(7);
-//! let loaded = Loaded::founding(Members::of_voters([member.clone()]));
+//! let loaded = Loaded::initial(Members::of_voters([member.clone()]));
 //! let mut machine = Machine::new(Config::builder().build()?, member.id, loaded, Mono::ZERO);
 //! // Alone, it elects itself once its election timeout passes and its vote is synced.
 //! machine.tick(Mono::from_millis(10_000));
--- a/almondlock-quorum/src/machine/append.rs
+++ b/almondlock-quorum/src/machine/append.rs
@@ -39,7 +39,7 @@
                 if wrote {
                     self.send_synced(from, reply(true, last));
                 }
-                if !wrote || now.since(self.answered_at) >= self.config.heartbeat {
+                if !wrote || now.since(self.answered_at) >= self.config.heartbeat_interval {
                     self.answered_at = now;
                     let synced = last.min(self.durable);
                     self.send(from, reply(true, synced));
--- a/almondlock-quorum/src/machine/ballot.rs
+++ b/almondlock-quorum/src/machine/ballot.rs
@@ -14,7 +14,7 @@
 };
 
 /// The most denials kept until they are taken.
-const DENIALS: usize = 16;
+const MAX_DENIALS: usize = 16;
 
 /// A round of votes.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -114,7 +114,7 @@
     }
 
     /// A round of votes ends, if one is under way.
-    pub(super) fn end_ballot(&mut self) {
+    pub(super) fn close_ballot(&mut self) {
         if let Some(ballot) = self.ballot() {
             self.tally.failed = Some(ballot);
         }
@@ -122,14 +122,14 @@
     }
 
     /// A leader is known.
-    pub(super) fn forget_ballots(&mut self) {
+    pub(super) fn clear_ballots(&mut self) {
         self.tally.failed = None;
         self.tally.refused.clear();
     }
 
     /// Takes note of a refused vote. To be called before the message's term is
     /// looked at: a refusal of a newer term ends the round.
-    pub(super) fn note_refused(&mut self, from: Id, message: &Message) {
+    pub(super) fn record_refusal(&mut self, from: Id, message: &Message) {
         let Body::VoteReply(reply) = &message.body else {
             return;
         };
@@ -143,7 +143,7 @@
         }
     }
 
-    pub(super) fn note_denied(
+    pub(super) fn record_denial(
         &mut self,
         to: Id,
         term: Term,
@@ -161,7 +161,7 @@
             reason,
         };
         let denials = &mut self.tally.denials;
-        if denials.len() < DENIALS || denials.contains_key(&to) {
+        if denials.len() < MAX_DENIALS || denials.contains_key(&to) {
             denials.insert(to, denial);
         }
     }
--- a/almondlock-quorum/src/machine/change.rs
+++ b/almondlock-quorum/src/machine/change.rs
@@ -34,17 +34,17 @@
         let members = self.log.members().changed(change)?;
         // In force from its append on: one that can't be accepted ends the group, though a
         // majority of the members before it may be there.
-        if !self.hears_quorum(now, &members) {
+        if !self.has_recent_quorum(now, &members) {
             return Err(Error::busy(
                 "a majority of the members after the change doesn't answer",
             ));
         }
-        Ok(self.lead_members(members))
+        Ok(self.append_members(members))
     }
 
-    fn lead_members(&mut self, members: Members) -> Position {
-        let position = self.lead_entry(Payload::Members(members.into()));
-        self.sync_peers();
+    fn append_members(&mut self, members: Members) -> Position {
+        let position = self.append_as_leader(Payload::Members(members.into()));
+        self.add_missing_peers();
         position
     }
 
--- a/almondlock-quorum/src/machine/election.rs
+++ b/almondlock-quorum/src/machine/election.rs
@@ -18,17 +18,17 @@
 
 /// Doublings of the time between elections at the most. The longest election timeout bounds it
 /// long before.
-const DOUBLINGS: u32 = 10;
+const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
 /// The longest wait after failed elections, in election timeouts, before it is spread.
-const PATIENCE: u32 = 4;
+const MAX_BACKOFF_TIMEOUTS: u32 = 4;
 
 impl Machine {
-    pub(super) fn delay_election(&mut self, now: Mono) {
-        if !self.knew_leader {
-            return self.hasten_election(now);
+    pub(super) fn reset_election_timer(&mut self, now: Mono) {
+        if !self.has_known_leader {
+            return self.schedule_early_election(now);
         }
-        let least = self.config.election;
+        let least = self.config.election_timeout;
         self.election_at = now + least + least.mul_f64(self.rng.random_range(0.0..1.0));
     }
 
@@ -38,14 +38,17 @@
     /// before they stand themselves. Each election is given up for the next one, and nobody leads
     /// for as long as the disks are slow. So the wait begins when the vote is synced here, and
     /// each time that it was too short it doubles.
-    pub(super) fn put_off_election(&mut self, now: Mono) {
-        let failed = self.rounds.saturating_sub(1).min(DOUBLINGS);
-        let (usual, spread) = match self.knew_leader {
-            true => (self.config.election, 1.0),
-            false => (self.config.heartbeat, 1.5),
+    pub(super) fn back_off_election(&mut self, now: Mono) {
+        let failed = self
+            .election_attempts
+            .saturating_sub(1)
+            .min(MAX_BACKOFF_DOUBLINGS);
+        let (usual, spread) = match self.has_known_leader {
+            true => (self.config.election_timeout, 1.0),
+            false => (self.config.heartbeat_interval, 1.5),
         };
         let least = usual * 2_u32.pow(failed);
-        let least = least.min(self.config.election * PATIENCE);
+        let least = least.min(self.config.election_timeout * MAX_BACKOFF_TIMEOUTS);
         self.election_at = now + least + least.mul_f64(self.rng.random_range(0.0..spread));
     }
 
@@ -59,64 +62,67 @@
     /// one stands again nobody leads, and hosts that have started with them serve nobody. So
     /// the next rounds come soon too, further apart each time: votes on slow disks may take
     /// longer than a round.
-    pub(super) fn hasten_election(&mut self, now: Mono) {
-        let doublings = self.rounds.saturating_sub(1).min(DOUBLINGS);
-        let least = self.config.heartbeat * 2_u32.pow(doublings);
-        let least = least.min(self.config.election);
+    pub(super) fn schedule_early_election(&mut self, now: Mono) {
+        let doublings = self
+            .election_attempts
+            .saturating_sub(1)
+            .min(MAX_BACKOFF_DOUBLINGS);
+        let least = self.config.heartbeat_interval * 2_u32.pow(doublings);
+        let least = least.min(self.config.election_timeout);
         self.election_at = now + least + least.mul_f64(self.rng.random_range(0.0..1.5));
     }
 
     /// Becomes a follower in this term, of this leader if one is known.
-    pub(super) fn follow(&mut self, now: Mono, term: Term, leader: Option<Id>) {
+    pub(super) fn become_follower(&mut self, now: Mono, term: Term, leader: Option<Id>) {
         if term > self.hard.term {
             self.hard.term = term;
             self.hard.vote = None;
             self.leader_heard = None;
             self.leader_commit = None;
-            self.output.changed_hard();
+            self.output.mark_hard_state_changed();
         }
-        self.end_ballot();
+        self.close_ballot();
         if leader.is_some() {
-            self.forget_ballots();
+            self.clear_ballots();
         }
         if self.role != Role::Follower {
-            self.delay_election(now);
+            self.reset_election_timer(now);
         }
         self.role = Role::Follower;
         self.leader = leader;
         self.votes.clear();
         self.peers.clear();
         self.successor = None;
-        self.deny_reads();
+        self.reject_reads();
     }
 
     /// A leader of this term spoke.
     pub(super) fn hear_leader(&mut self, now: Mono, leader: Id) {
         if self.role != Role::Follower || self.leader != Some(leader) {
-            self.follow(now, self.hard.term, Some(leader));
+            self.become_follower(now, self.hard.term, Some(leader));
             self.answered_at = now;
         }
         self.leader_heard = Some(now);
-        self.knew_leader = true;
-        self.rounds = 0;
-        self.delay_election(now);
+        self.has_known_leader = true;
+        self.election_attempts = 0;
+        self.reset_election_timer(now);
     }
 
-    pub(super) fn pre_campaign(&mut self, now: Mono) {
-        self.delay_election(now);
+    pub(super) fn start_pre_vote(&mut self, now: Mono) {
+        self.reset_election_timer(now);
         if !self.log.members().is_voter(self.id) {
             return;
         }
-        self.end_ballot();
+        self.close_ballot();
         self.role = Role::PreCandidate;
         self.leader = None;
         self.votes.clear();
-        self.ask_votes(true);
+        self.request_votes(true);
         self.count_vote(now, self.id);
     }
 
-    fn campaign(&mut self, cause: Cause) {
-        self.rounds = self.rounds.saturating_add(1);
+    fn start_election(&mut self, cause: Cause) {
+        self.election_attempts = self.election_attempts.saturating_add(1);
         self.cause = Some(cause);
         self.tally.clear();
         self.role = Role::Candidate;
@@ -127,17 +133,17 @@
         self.leader_heard = None;
         // Its own vote counts once it is on disk, as any other: forgotten in a
         // crash, it could be given to another in the same term.
-        self.output.changed_hard();
-        self.ask_votes(false);
+        self.output.mark_hard_state_changed();
+        self.request_votes(false);
     }
 
-    fn ask_votes(&mut self, pre: bool) {
+    fn request_votes(&mut self, pre: bool) {
         let body = Body::VoteRequest(VoteRequest {
             pre,
             last_index: self.log.last(),
             last_term: self.log.last_term(),
         });
-        let others = self.others();
+        let others = self.other_voters();
         for to in others {
             if pre {
                 let message = Message {
@@ -151,7 +157,7 @@
         }
     }
 
-    fn others(&self) -> Vec<Id> {
+    fn other_voters(&self) -> Vec<Id> {
         let voters = self.log.members().voters.keys();
         voters.copied().filter(|id| *id != self.id).collect()
     }
@@ -163,29 +169,29 @@
             return;
         }
         match self.role {
-            Role::PreCandidate => self.campaign(Cause::Silence),
-            Role::Candidate => self.lead(now),
+            Role::PreCandidate => self.start_election(Cause::Silence),
+            Role::Candidate => self.become_leader(now),
             Role::Follower | Role::Leader => {}
         }
     }
 
-    fn lead(&mut self, now: Mono) {
+    fn become_leader(&mut self, now: Mono) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
-        self.forget_ballots();
-        self.knew_leader = true;
-        self.rounds = 0;
+        self.clear_ballots();
+        self.has_known_leader = true;
+        self.election_attempts = 0;
         self.elected_at = now;
-        self.heartbeat_at = now + self.config.heartbeat;
-        self.sync_peers();
+        self.heartbeat_at = now + self.config.heartbeat_interval;
+        self.add_missing_peers();
         // Entries of earlier terms count as accepted only together with one of
         // this term (replication::advance_commit), so there must be one.
-        self.lead_entry(Payload::Empty);
+        self.append_as_leader(Payload::Empty);
     }
 
     /// Keeps one progress for each other member. Those removed stay until that
     /// is accepted, so that they hear of it.
-    pub(super) fn sync_peers(&mut self) {
+    pub(super) fn add_missing_peers(&mut self) {
         let members = self.log.members();
         let (id, next) = (self.id, self.log.last().next());
         for member in members.iter().filter(|m| m.id != id) {
@@ -213,7 +219,7 @@
                     (false, false) => Reason::LogBehind,
                     (false, true) => Reason::OldTerm,
                 };
-                self.note_denied(from, term, &request, reason);
+                self.record_denial(from, term, &request, reason);
             }
             let body = Body::VoteReply(VoteReply { pre: true, granted });
             let term = if granted { term } else { self.hard.term };
@@ -231,13 +237,13 @@
                 (false, None) => Reason::LeaderHeard,
                 (false, Some(_)) => Reason::VoteGiven,
             };
-            self.note_denied(from, term, &request, reason);
+            self.record_denial(from, term, &request, reason);
         }
         if granted && self.hard.vote.is_none() {
-            self.follow(now, term, None);
+            self.become_follower(now, term, None);
             self.hard.vote = Some(from);
-            self.output.changed_hard();
-            self.delay_election(now);
+            self.output.mark_hard_state_changed();
+            self.reset_election_timer(now);
         }
         let reply = VoteReply {
             pre: false,
@@ -258,7 +264,7 @@
     /// Whether this replica leads, or heard a leader of the present term within an election
     /// timeout.
     pub fn hears_leader(&self, now: Mono) -> bool {
-        let recent = |at: Mono| now.since(at) < self.config.election;
+        let recent = |at: Mono| now.since(at) < self.config.election_timeout;
         self.is_leader() || (self.leader.is_some() && self.leader_heard.is_some_and(recent))
     }
 
@@ -275,13 +281,13 @@
 
     pub(super) fn on_timeout_now(&mut self) {
         if self.role == Role::Follower && self.log.members().is_voter(self.id) {
-            self.campaign(Cause::HandOver);
+            self.start_election(Cause::HandOver);
         }
     }
 
     /// Tells a speaker of an older term of the present one, so that an old
     /// leader steps down and a candidate catches up.
-    pub(super) fn answer_old(&mut self, from: Id, term: Term, body: &Body) {
+    pub(super) fn reply_to_stale(&mut self, from: Id, term: Term, body: &Body) {
         match body {
             Body::Append(append) => {
                 let reply = AppendReply {
@@ -300,7 +306,7 @@
                 self.send_synced(from, Body::AppendReply(reply));
             }
             Body::VoteRequest(request) => {
-                self.note_denied(from, term, request, Reason::OldTerm);
+                self.record_denial(from, term, request, Reason::OldTerm);
                 let pre = request.pre;
                 let reply = VoteReply {
                     pre,
@@ -314,18 +320,18 @@
 
     /// Steps down unless a majority was heard within one election timeout.
     pub(super) fn check_quorum(&mut self, now: Mono) {
-        if now.since(self.elected_at) >= self.config.election
-            && !self.hears_quorum(now, self.log.members())
+        if now.since(self.elected_at) >= self.config.election_timeout
+            && !self.has_recent_quorum(now, self.log.members())
         {
-            self.follow(now, self.hard.term, None);
+            self.become_follower(now, self.hard.term, None);
         }
     }
 
     /// Of a leader: whether a majority of these was heard within one election timeout.
-    pub(super) fn hears_quorum(&self, now: Mono, members: &Members) -> bool {
+    pub(super) fn has_recent_quorum(&self, now: Mono, members: &Members) -> bool {
         members.has_quorum(|id| {
             let heard = self.peers.get(&id).and_then(|peer| peer.heard);
-            id == self.id || heard.is_some_and(|at| now.since(at) < self.config.election)
+            id == self.id || heard.is_some_and(|at| now.since(at) < self.config.election_timeout)
         })
     }
 
@@ -334,10 +340,10 @@
     ///
     /// From now on no entry is written, since voters that hold one which the successor lacks
     /// would refuse it their vote. The successor is told once it has all.
-    pub fn hand_over(&mut self, now: Mono) -> Option<Id> {
+    pub fn transfer_leadership(&mut self, now: Mono) -> Option<Id> {
         let to = self.best_voter(now)?;
         self.successor = Some(to);
-        self.tell_successor(to);
+        self.notify_successor(to);
         Some(to)
     }
 
@@ -350,7 +356,7 @@
             .iter()
             .filter(|(id, _)| voters.contains_key(id))
             .max_by_key(|(_, peer)| {
-                let recent = |at: Mono| now.since(at) < self.config.election;
+                let recent = |at: Mono| now.since(at) < self.config.election_timeout;
                 (peer.heard.is_some_and(recent), peer.matched, peer.heard)
             })
             .map(|(id, _)| *id);
@@ -358,7 +364,7 @@
     }
 
     /// Tells a replica to stand for election if it is the successor and has all entries.
-    pub(super) fn tell_successor(&mut self, id: Id) {
+    pub(super) fn notify_successor(&mut self, id: Id) {
         let has_all = self.matched(id) == Some(self.log.last());
         if self.successor == Some(id) && has_all {
             self.send(id, Body::TimeoutNow);
@@ -366,10 +372,10 @@
     }
 
     /// Steps down at once in favour of the voter that has the most.
-    pub(super) fn yield_lead(&mut self, now: Mono) {
+    pub(super) fn step_down(&mut self, now: Mono) {
         if let Some(to) = self.best_voter(now) {
             self.send(to, Body::TimeoutNow);
         }
-        self.follow(now, self.hard.term, None);
+        self.become_follower(now, self.hard.term, None);
     }
 }
--- a/almondlock-quorum/src/machine/mod.rs
+++ b/almondlock-quorum/src/machine/mod.rs
@@ -37,7 +37,7 @@
 };
 use crate::{
     config::Config,
-    entry::{Entry, Hard, Index, Payload, Position, Snapshot, Term},
+    entry::{Entry, HardState, Index, Payload, Position, Snapshot, Term},
     error::Error,
     log::Log,
     member::{Id, Members},
@@ -72,23 +72,23 @@
 pub struct Machine {
     config: Config,
     id: Id,
-    hard: Hard,
+    hard: HardState,
     log: Log,
     role: Role,
     leader: Option<Id>,
     // Invariant: never goes down; entries up to it are held by a majority.
     commit: Index,
-    // Invariant: `handed <= commit`; the driver was given all entries up to it.
-    handed: Index,
+    // Invariant: `delivered <= commit`; the driver was given all entries up to it.
+    delivered: Index,
     // Invariant: the entries up to it, of the present log, are synced here.
     durable: Index,
     rng: SmallRng,
     // When to stand for election, for all but a leader.
     election_at: Mono,
     // A leader was known in this life, or it was this replica.
-    knew_leader: bool,
+    has_known_leader: bool,
     // How often it stood for election since it knew a leader.
-    rounds: u32,
+    election_attempts: u32,
     // When a leader of the present term was last heard.
     leader_heard: Option<Mono>,
     // Of a follower: when it last answered its leader before a sync, or first heard it.
@@ -138,10 +138,10 @@
             role: Role::Follower,
             leader: None,
             commit: start,
-            handed: start,
+            delivered: start,
             election_at: now,
-            knew_leader: false,
-            rounds: 0,
+            has_known_leader: false,
+            election_attempts: 0,
             leader_heard: None,
             answered_at: now,
             leader_commit: None,
@@ -158,18 +158,18 @@
             unsent: false,
             output: output::Pending::default(),
         };
-        machine.hasten_election(now);
+        machine.schedule_early_election(now);
         machine
     }
 
     /// Takes in a message. Whoever calls vouches for `from`.
     pub fn receive(&mut self, now: Mono, from: Id, message: Message) {
-        self.note_refused(from, &message);
+        self.record_refusal(from, &message);
         if message.term > self.hard.term && !is_pre_vote(&message.body) {
-            self.follow(now, message.term, None);
+            self.become_follower(now, message.term, None);
         }
         if message.term < self.hard.term {
-            self.answer_old(from, message.term, &message.body);
+            self.reply_to_stale(from, message.term, &message.body);
             return;
         }
         match message.body {
@@ -187,8 +187,8 @@
     pub fn tick(&mut self, now: Mono) {
         if self.role == Role::Leader {
             self.tick_leader(now);
-        } else if now >= self.election_at && self.output.is_hard_synced() {
-            self.pre_campaign(now);
+        } else if now >= self.election_at && self.output.is_hard_state_synced() {
+            self.start_pre_vote(now);
         }
     }
 
@@ -196,19 +196,19 @@
     /// an entry of the position's term and index comes out committed.
     pub fn propose(&mut self, data: Arc<[u8]>) -> Result<Position, Error> {
         self.check_writer()?;
-        if self.log.last().0 - self.commit.0 >= self.config.backlog {
+        if self.log.last().0 - self.commit.0 >= self.config.max_uncommitted {
             return Err(Error::busy("too many entries wait for a quorum"));
         }
-        Ok(self.lead_entry(Payload::Command(data)))
+        Ok(self.append_as_leader(Payload::Command(data)))
     }
 
     /// All writes up to this sequence number are on disk, file and folder
     /// synced.
     pub fn synced(&mut self, now: Mono, sequence: u64) {
-        let waited = !self.output.is_hard_synced();
+        let waited = !self.output.is_hard_state_synced();
         let done = self.output.synced(sequence);
-        if waited && self.output.is_hard_synced() {
-            self.put_off_election(now);
+        if waited && self.output.is_hard_state_synced() {
+            self.back_off_election(now);
         }
         if let Some(position) = done
             && self.log.term(position.index) == Some(position.term)
@@ -216,7 +216,7 @@
             self.durable = self.durable.max(position.index);
         }
         match self.role {
-            Role::Candidate if self.output.is_hard_synced() => {
+            Role::Candidate if self.output.is_hard_state_synced() => {
                 self.count_vote(now, self.id);
             }
             Role::Leader => self.advance_commit(now),
@@ -230,7 +230,7 @@
         let Some(term) = self.log.term(index) else {
             return;
         };
-        if index > self.handed || index <= self.log.snapshot().index {
+        if index > self.delivered || index <= self.log.snapshot().index {
             return;
         }
         let snapshot = Arc::new(Snapshot {
@@ -240,7 +240,7 @@
             data,
         });
         self.output.save(Arc::clone(&snapshot));
-        let (retain, bytes) = (self.config.retain, self.config.retain_bytes);
+        let (retain, bytes) = (self.config.retain_entries, self.config.retain_bytes);
         self.log.compact(snapshot, retain, bytes);
     }
 
@@ -250,11 +250,11 @@
         if std::mem::take(&mut self.unsent) && self.is_leader() {
             self.replicate_all(now);
         }
-        let first = self.handed.next();
+        let first = self.delivered.next();
         let committed = (first.0..=self.commit.0)
             .map_while(|index| self.log.get(Index(index)).cloned())
             .collect();
-        self.handed = self.commit;
+        self.delivered = self.commit;
         let (hard, log) = (self.hard, &self.log);
         self.output.take(hard, log, committed)
     }
@@ -270,7 +270,7 @@
     }
 
     /// Why it stands for election, if it does.
-    pub fn candidacy(&self) -> Option<Cause> {
+    pub fn election_cause(&self) -> Option<Cause> {
         self.cause.filter(|_| self.role == Role::Candidate)
     }
 
@@ -349,7 +349,7 @@
     }
 
     /// Of a leader: since when it has led.
-    pub fn led_since(&self) -> Mono {
+    pub fn leader_since(&self) -> Mono {
         self.elected_at
     }
 
@@ -370,7 +370,7 @@
         }
     }
 
-    fn lead_entry(&mut self, payload: Payload) -> Position {
+    fn append_as_leader(&mut self, payload: Payload) -> Position {
         let position = Position {
             term: self.hard.term,
             index: self.log.last().next(),
@@ -385,7 +385,7 @@
     }
 
     fn append_entry(&mut self, entry: Entry) {
-        self.output.wrote(entry.index);
+        self.output.mark_entries_written(entry.index);
         self.log.push(entry);
     }
 
--- a/almondlock-quorum/src/machine/output.rs
+++ b/almondlock-quorum/src/machine/output.rs
@@ -9,7 +9,7 @@
 use std::{collections::VecDeque, sync::Arc};
 
 use crate::{
-    entry::{Entry, Hard, Index, Position, Snapshot},
+    entry::{Entry, HardState, Index, Position, Snapshot},
     log::Log,
     machine::read::Grant,
     member::Id,
@@ -45,7 +45,7 @@
     reset: bool,
     snapshot: Option<Arc<Snapshot>>,
     // The last entry of each write taken and not yet synced, or of its snapshot.
-    flying: VecDeque<(u64, Position)>,
+    in_flight: VecDeque<(u64, Position)>,
     held: VecDeque<(u64, Envelope)>,
     messages: Vec<Envelope>,
     restore: Option<Arc<Snapshot>>,
@@ -65,18 +65,18 @@
     }
 
     /// The term or the vote changed.
-    pub(super) fn changed_hard(&mut self) {
+    pub(super) fn mark_hard_state_changed(&mut self) {
         self.dirty = true;
         self.hard = self.next();
     }
 
     /// Whether the present term and vote are synced.
-    pub(super) fn is_hard_synced(&self) -> bool {
+    pub(super) fn is_hard_state_synced(&self) -> bool {
         !self.is_held(self.hard)
     }
 
     /// Entries from `first` on are new.
-    pub(super) fn wrote(&mut self, first: Index) {
+    pub(super) fn mark_entries_written(&mut self, first: Index) {
         self.dirty = true;
         self.first = Some(self.first.map_or(first, |old| old.min(first)));
     }
@@ -93,7 +93,7 @@
         if !kept {
             self.reset = true;
             self.first = None;
-            self.flying.clear();
+            self.in_flight.clear();
         }
         self.restore = Some(snapshot);
     }
@@ -126,13 +126,13 @@
             self.messages.push(envelope);
         }
         let mut last = None;
-        while let Some((_, position)) = self.flying.pop_front_if(|(at, _)| *at <= self.done) {
+        while let Some((_, position)) = self.in_flight.pop_front_if(|(at, _)| *at <= self.done) {
             last = Some(position);
         }
         last
     }
 
-    pub(super) fn take(&mut self, hard: Hard, log: &Log, committed: Vec<Entry>) -> Output {
+    pub(super) fn take(&mut self, hard: HardState, log: &Log, committed: Vec<Entry>) -> Output {
         Output {
             write: self.take_write(hard, log),
             messages: std::mem::take(&mut self.messages),
@@ -142,7 +142,7 @@
         }
     }
 
-    fn take_write(&mut self, hard: Hard, log: &Log) -> Option<Write> {
+    fn take_write(&mut self, hard: HardState, log: &Log) -> Option<Write> {
         if !std::mem::take(&mut self.dirty) {
             return None;
         }
@@ -156,7 +156,7 @@
         let covered = snapshot.as_ref().map(|s| position(s.index, s.term));
         let last = entries.last().map(|e| position(e.index, e.term));
         if let Some(position) = last.or(covered) {
-            self.flying.push_back((self.sequence, position));
+            self.in_flight.push_back((self.sequence, position));
         }
         Some(Write {
             sequence: self.sequence,
--- a/almondlock-quorum/src/machine/progress.rs
+++ b/almondlock-quorum/src/machine/progress.rs
@@ -30,7 +30,7 @@
     Probe { waiting: bool, asked: Option<u64> },
     /// Appends follow each other without waiting; the last index of each that
     /// has not been answered.
-    Pipeline { flying: VecDeque<Index> },
+    Pipeline { in_flight: VecDeque<Index> },
     /// It needs entries that are gone.
     Snapshot {
         snapshot: Arc<Snapshot>,
@@ -45,9 +45,9 @@
     /// Nothing: it answers an older append, or a snapshot is on its way.
     Stale,
     /// Where to go on.
-    Parted,
+    Diverged,
     /// It may not hold what it acknowledged. It is to be asked in a new round.
-    Doubtful,
+    Unverified,
     /// It doesn't hold what it acknowledged.
     Lost,
 }
@@ -82,10 +82,12 @@
             Mode::Probe { .. } if index < self.next.previous() => return false,
             Mode::Probe { .. } => {
                 self.mode = Mode::Pipeline {
-                    flying: VecDeque::new(),
+                    in_flight: VecDeque::new(),
                 };
             }
-            Mode::Pipeline { flying } => while flying.pop_front_if(|at| *at <= index).is_some() {},
+            Mode::Pipeline { in_flight } => {
+                while in_flight.pop_front_if(|at| *at <= index).is_some() {}
+            }
             Mode::Snapshot { snapshot, .. } if self.matched < snapshot.index => return false,
             Mode::Snapshot { .. } => self.mode = Mode::probe(),
         }
@@ -109,17 +111,17 @@
         };
         if hint >= self.matched {
             self.probe(hint.next().min(self.next));
-            return Refusal::Parted;
+            return Refusal::Diverged;
         }
         match asked {
-            None => Refusal::Doubtful,
+            None => Refusal::Unverified,
             Some(asked) if round >= asked => Refusal::Lost,
             Some(_) => Refusal::Stale,
         }
     }
 
     /// Asks in this round, which must be new, whether it holds what it acknowledged.
-    pub(super) fn doubt(&mut self, round: u64) {
+    pub(super) fn verify_matched(&mut self, round: u64) {
         self.next = self.matched.next();
         self.mode = Mode::Probe {
             waiting: false,
@@ -129,7 +131,7 @@
 
     /// It holds nothing after `hint` any more. What it acknowledged before this round, which must
     /// be new, doesn't count.
-    pub(super) fn lose(&mut self, hint: Index, round: u64) {
+    pub(super) fn reset_matched(&mut self, hint: Index, round: u64) {
         self.matched = Index::ZERO;
         self.valid_from = round;
         self.probe(hint.next().min(self.next));
--- a/almondlock-quorum/src/machine/read.rs
+++ b/almondlock-quorum/src/machine/read.rs
@@ -50,13 +50,13 @@
     pub fn read(&mut self, now: Mono, token: u64) -> Result<(), Error> {
         self.check_leader()?;
         self.reads.waiting.push(token);
-        self.begin_round(now);
+        self.begin_read_round(now);
         Ok(())
     }
 
     /// Begins a round unless one runs. Before an entry of this term is
     /// accepted the leader doesn't know which earlier ones are, and waits.
-    fn begin_round(&mut self, now: Mono) {
+    fn begin_read_round(&mut self, now: Mono) {
         let current = self.log.term(self.commit) == Some(self.hard.term);
         if !self.reads.running.is_empty() || self.reads.waiting.is_empty() || !current {
             return;
@@ -64,7 +64,7 @@
         self.reads.confirming = self.reads.next_round();
         self.reads.index = self.commit;
         self.reads.running = std::mem::take(&mut self.reads.waiting);
-        self.heartbeat(now);
+        self.send_heartbeats(now);
         self.confirm_reads(now);
     }
 
@@ -80,10 +80,10 @@
                 self.output.grant(Grant { token, index });
             }
         }
-        self.begin_round(now);
+        self.begin_read_round(now);
     }
 
-    pub(super) fn deny_reads(&mut self) {
+    pub(super) fn reject_reads(&mut self) {
         let running = std::mem::take(&mut self.reads.running);
         let waiting = std::mem::take(&mut self.reads.waiting);
         for token in running.into_iter().chain(waiting) {
--- a/almondlock-quorum/src/machine/replication.rs
+++ b/almondlock-quorum/src/machine/replication.rs
@@ -22,20 +22,20 @@
     pub(super) fn tick_leader(&mut self, now: Mono) {
         self.check_quorum(now);
         if self.is_leader() && now >= self.heartbeat_at {
-            self.heartbeat(now);
+            self.send_heartbeats(now);
         }
     }
 
-    pub(super) fn heartbeat(&mut self, now: Mono) {
-        self.heartbeat_at = now + self.config.heartbeat;
+    pub(super) fn send_heartbeats(&mut self, now: Mono) {
+        self.heartbeat_at = now + self.config.heartbeat_interval;
         self.recent_commit = self.commit;
         let peers: Vec<Id> = self.peers.keys().copied().collect();
         for id in peers {
-            self.heartbeat_one(now, id);
+            self.send_heartbeat(now, id);
         }
     }
 
-    fn heartbeat_one(&mut self, now: Mono, id: Id) {
+    fn send_heartbeat(&mut self, now: Mono, id: Id) {
         let Some(peer) = self.peers.get_mut(&id) else {
             return;
         };
@@ -58,7 +58,7 @@
                 }
             }
             Mode::Snapshot { sent, .. } => {
-                let due = now.since(*sent) >= self.config.heartbeat;
+                let due = now.since(*sent) >= self.config.heartbeat_interval;
                 // Agrees with any log, so it only says that the leader is there.
                 self.send_append(id, Index::ZERO, Vec::new());
                 if due {
@@ -87,21 +87,23 @@
 
     /// Takes the next append to a replica out of its progress, if one may go.
     fn next_append(&mut self, id: Id) -> Option<(Index, Vec<Entry>)> {
-        let window = self.config.window;
+        let window = self.config.append_window;
         let peer = self.peers.get_mut(&id)?;
         let previous = peer.next.previous();
         let ready = match &mut peer.mode {
             Mode::Probe { waiting, .. } => !std::mem::replace(waiting, true),
-            Mode::Pipeline { flying } => peer.next <= self.log.last() && flying.len() < window,
+            Mode::Pipeline { in_flight } => {
+                peer.next <= self.log.last() && in_flight.len() < window
+            }
             Mode::Snapshot { .. } => false,
         };
         if !ready || previous < self.log.base() {
             return ready.then(|| (previous, Vec::new()));
         }
-        let entries = self.log.batch(peer.next, self.config.batch);
-        if let (Mode::Pipeline { flying }, Some(last)) = (&mut peer.mode, entries.last()) {
+        let entries = self.log.batch(peer.next, self.config.append_bytes);
+        if let (Mode::Pipeline { in_flight }, Some(last)) = (&mut peer.mode, entries.last()) {
             peer.next = last.index.next();
-            flying.push_back(last.index);
+            in_flight.push_back(last.index);
         }
         Some((previous, entries))
     }
@@ -144,7 +146,7 @@
         if more {
             self.replicate(now, from);
         }
-        self.tell_successor(from);
+        self.notify_successor(from);
         self.confirm_reads(now);
     }
 
@@ -160,8 +162,8 @@
         };
         match peer.on_refused(reply.index, reply.round) {
             Refusal::Stale => return false,
-            Refusal::Parted => {}
-            Refusal::Doubtful => peer.doubt(self.reads.next_round()),
+            Refusal::Diverged => {}
+            Refusal::Unverified => peer.verify_matched(self.reads.next_round()),
             Refusal::Lost => {
                 let (acknowledged, last) = (peer.matched.0, reply.index.0);
                 tracing::warn!(
@@ -170,7 +172,7 @@
                     last,
                     "a replica lost entries that it had acknowledged; they are sent again"
                 );
-                peer.lose(reply.index, self.reads.next_round());
+                peer.reset_matched(reply.index, self.reads.next_round());
             }
         }
         true
@@ -209,13 +211,13 @@
         let members = Arc::clone(self.log.members());
         if self.log.members_index() <= self.commit {
             if self.peers.keys().any(|id| !members.contains(*id)) {
-                self.heartbeat(now);
+                self.send_heartbeats(now);
                 self.peers.retain(|id, _| members.contains(*id));
             }
             // A leader that its own change took out leads until that is accepted.
             if !members.is_voter(self.id) {
-                self.heartbeat(now);
-                self.yield_lead(now);
+                self.send_heartbeats(now);
+                self.step_down(now);
                 return;
             }
         }
--- a/almondlock-quorum/src/machine/snapshot.rs
+++ b/almondlock-quorum/src/machine/snapshot.rs
@@ -33,7 +33,7 @@
     }
 
     pub(super) fn send_piece(&mut self, now: Mono, id: Id) {
-        let limit = self.config.piece;
+        let limit = self.config.piece_bytes;
         let Some(peer) = self.progress(id) else {
             return;
         };
@@ -102,7 +102,7 @@
             return;
         }
         let last_index = piece.last_index;
-        let whole = self.gather(piece);
+        let whole = self.collect_piece(piece);
         let (offset, done) = match whole {
             Err(offset) => (offset, false),
             Ok(snapshot) => {
@@ -120,7 +120,7 @@
     }
 
     /// Adds a piece; returns the whole, or the offset wanted next.
-    fn gather(&mut self, piece: Piece) -> Result<Snapshot, u64> {
+    fn collect_piece(&mut self, piece: Piece) -> Result<Snapshot, u64> {
         let same = |old: &Incoming| {
             (old.head.last_index, old.head.last_term) == (piece.last_index, piece.last_term)
         };
@@ -157,7 +157,7 @@
             self.durable = Index::ZERO;
         }
         self.commit = index;
-        self.handed = index;
+        self.delivered = index;
         self.output.install(snapshot, kept);
     }
 }
--- a/almondlock-quorum/src/storage/disk.rs
+++ b/almondlock-quorum/src/storage/disk.rs
@@ -51,7 +51,7 @@
 }
 
 /// The file that a process locks to have the folder for itself.
-const LOCK: &str = "lock";
+const LOCK_FILE_NAME: &str = "lock";
 
 impl Folder {
     /// Opens a folder, making it if it is missing.
@@ -71,7 +71,7 @@
     /// other promised.
     pub fn lock(path: &Path) -> io::Result<Folder> {
         let mut folder = Folder::open(path)?;
-        let file = fs::File::create(path.join(LOCK))?;
+        let file = fs::File::create(path.join(LOCK_FILE_NAME))?;
         file.try_lock().map_err(|error| match error {
             fs::TryLockError::Error(error) => error,
             fs::TryLockError::WouldBlock => {
@@ -90,7 +90,7 @@
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
-            if entry.file_type()?.is_file() && entry.file_name() != LOCK {
+            if entry.file_type()?.is_file() && entry.file_name() != LOCK_FILE_NAME {
                 names.push(entry.file_name().to_string_lossy().into_owned());
             }
         }
@@ -135,7 +135,7 @@
 where
     D: Disk,
 {
-    let temporary = format!("{name}{TEMPORARY}");
+    let temporary = format!("{name}{TEMPORARY_SUFFIX}");
     let mut file = disk.create(&temporary)?;
     file.append(bytes)?;
     file.sync()?;
@@ -144,4 +144,4 @@
 }
 
 /// Ends the name of a file that is not whole yet.
-pub(super) const TEMPORARY: &str = ".tmp";
+pub(super) const TEMPORARY_SUFFIX: &str = ".tmp";
--- a/almondlock-quorum/src/storage/identity.rs
+++ b/almondlock-quorum/src/storage/identity.rs
@@ -13,7 +13,7 @@
 };
 use crate::{error::Error, member::Id};
 
-const NAME: &str = "identity";
+const FILE_NAME: &str = "identity";
 
 /// A disk's identity, and whether it was just drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,11 +36,17 @@
         let names = disk
             .list()
             .map_err(|e| Error::io("can't list the data folder", e))?;
-        if names.iter().any(|name| name == NAME) {
+        if names.iter().any(|name| name == FILE_NAME) {
             return read(disk, group);
         }
-        if names.iter().any(|name| !name.ends_with(disk::TEMPORARY)) {
-            return Err(Error::damaged(NAME, "it is missing beside other files"));
+        if names
+            .iter()
+            .any(|name| !name.ends_with(disk::TEMPORARY_SUFFIX))
+        {
+            return Err(Error::damaged(
+                FILE_NAME,
+                "it is missing beside other files",
+            ));
         }
         write(disk, group, drawn)?;
         Ok(Identity {
@@ -57,12 +63,12 @@
     let mut bytes = Vec::new();
     Record::Header(Header {
         format: FORMAT,
-        file: NAME.to_owned(),
+        file: FILE_NAME.to_owned(),
         group,
         disk: id,
     })
     .write(&mut bytes);
-    disk::replace(disk, NAME, &bytes).map_err(|e| Error::io("can't write the identity", e))
+    disk::replace(disk, FILE_NAME, &bytes).map_err(|e| Error::io("can't write the identity", e))
 }
 
 fn read<D>(disk: &D, group: u16) -> Result<Identity, Error>
@@ -70,16 +76,16 @@
     D: Disk,
 {
     let bytes = disk
-        .read(NAME)
+        .read(FILE_NAME)
         .map_err(|e| Error::io("can't read the identity", e))?;
     let Found::Record(Record::Header(header), end) = Record::read(&bytes, 0) else {
-        return Err(Error::damaged(NAME, "it can't be read"));
+        return Err(Error::damaged(FILE_NAME, "it can't be read"));
     };
     if header.format != FORMAT {
-        return Err(Error::format(NAME, header.format));
+        return Err(Error::format(FILE_NAME, header.format));
     }
-    if header.group != group || header.file != NAME || end != bytes.len() {
-        return Err(Error::damaged(NAME, "it belongs to something else"));
+    if header.group != group || header.file != FILE_NAME || end != bytes.len() {
+        return Err(Error::damaged(FILE_NAME, "it belongs to something else"));
     }
     Ok(Identity {
         id: header.disk,
--- a/almondlock-quorum/src/storage/mod.rs
+++ b/almondlock-quorum/src/storage/mod.rs
@@ -23,7 +23,7 @@
 
 pub use self::store::Store;
 use crate::{
-    entry::{Entry, Hard, Index, Snapshot, Term},
+    entry::{Entry, HardState, Index, Snapshot, Term},
     member::Members,
 };
 
@@ -36,7 +36,7 @@
     /// Counts up with each write of a machine's life.
     pub sequence: u64,
     /// Term and vote.
-    pub hard: Hard,
+    pub hard: HardState,
     /// A snapshot, to be in place before the rest.
     pub snapshot: Option<Arc<Snapshot>>,
     /// The log starts anew behind the snapshot.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Loaded {
     /// Term and vote.
-    pub hard: Hard,
+    pub hard: HardState,
     /// The newest snapshot, if any.
     pub snapshot: Option<Arc<Snapshot>>,
     /// Consecutive entries; if any, they reach at least to the snapshot's last
@@ -59,17 +59,17 @@
 
 impl Loaded {
     /// The start of a group: these members, and an empty log.
-    pub fn founding(members: Members) -> Loaded {
+    pub fn initial(members: Members) -> Loaded {
         Loaded {
-            hard: Hard::default(),
-            snapshot: Some(Arc::new(founding_snapshot(members))),
+            hard: HardState::default(),
+            snapshot: Some(Arc::new(initial_snapshot(members))),
             entries: Vec::new(),
         }
     }
 
     /// Whether nothing was ever promised from here.
     pub fn is_empty(&self) -> bool {
-        self.snapshot.is_none() && self.entries.is_empty() && self.hard == Hard::default()
+        self.snapshot.is_none() && self.entries.is_empty() && self.hard == HardState::default()
     }
 
     /// Adds what a write says, as a disk would.
@@ -114,7 +114,7 @@
     }
 }
 
-pub(crate) fn founding_snapshot(members: Members) -> Snapshot {
+pub(crate) fn initial_snapshot(members: Members) -> Snapshot {
     Snapshot {
         index: Index::ZERO,
         term: Term::ZERO,
--- a/almondlock-quorum/src/storage/record.rs
+++ b/almondlock-quorum/src/storage/record.rs
@@ -10,14 +10,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    entry::{Entry, Hard, Index, Payload, Term},
+    entry::{Entry, HardState, Index, Payload, Term},
     member::{Id, Members},
 };
 
-const HEAD: usize = 12;
+const HEAD_BYTES: usize = 12;
 
 /// The longest body. A longer one can only be damage.
-const LIMIT: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// What a file's first record says.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Record {
     Header(Header),
-    Hard(Hard),
+    HardState(HardState),
     Entry(Entry),
     /// The log starts anew behind this index.
     Reset(Index),
@@ -67,11 +67,11 @@
 impl Record {
     pub(super) fn write(&self, out: &mut Vec<u8>) {
         let start = out.len();
-        out.extend_from_slice(&[0; HEAD]);
+        out.extend_from_slice(&[0; HEAD_BYTES]);
         self.write_body(out);
-        let length = u32::try_from(out.len() - start - HEAD).unwrap_or(u32::MAX);
+        let length = u32::try_from(out.len() - start - HEAD_BYTES).unwrap_or(u32::MAX);
         let length = length.to_le_bytes();
-        let body = crc32fast::hash(&out[start + HEAD..]).to_le_bytes();
+        let body = crc32fast::hash(&out[start + HEAD_BYTES..]).to_le_bytes();
         out[start..start + 4].copy_from_slice(&length);
         out[start + 4..start + 8].copy_from_slice(&crc32fast::hash(&length).to_le_bytes());
         out[start + 8..start + 12].copy_from_slice(&body);
@@ -80,7 +80,7 @@
     fn write_body(&self, out: &mut Vec<u8>) {
         match self {
             Record::Header(header) => write_json(out, 1, header),
-            Record::Hard(hard) => {
+            Record::HardState(hard) => {
                 out.push(2);
                 out.extend_from_slice(&hard.term.0.to_le_bytes());
                 out.push(u8::from(hard.vote.is_some()));
@@ -107,7 +107,7 @@
         }
         // A crash may leave the file longer than what was written to it; what
         // lies between reads as zeros.
-        if rest.iter().all(|byte| *byte == 0) || rest.len() < HEAD {
+        if rest.iter().all(|byte| *byte == 0) || rest.len() < HEAD_BYTES {
             return Found::Torn;
         }
         let word = |at: usize| {
@@ -119,17 +119,17 @@
             return Found::Damaged("a record's length fails its checksum");
         }
         let length = usize::try_from(word(0)).unwrap_or(usize::MAX);
-        if length > LIMIT {
+        if length > MAX_BODY_BYTES {
             return Found::Damaged("a record is longer than any may be");
         }
-        let Some(body) = rest.get(HEAD..HEAD + length) else {
+        let Some(body) = rest.get(HEAD_BYTES..HEAD_BYTES + length) else {
             return Found::Torn;
         };
         if crc32fast::hash(body) != word(8) {
             return Found::Damaged("a record fails its checksum");
         }
         match read_body(body) {
-            Some(record) => Found::Record(record, at + HEAD + length),
+            Some(record) => Found::Record(record, at + HEAD_BYTES + length),
             None => Found::Damaged("a record of an unknown kind"),
         }
     }
@@ -169,7 +169,7 @@
             let (vote, _) = read_word(rest)?;
             let vote = (*voted == 1).then_some(Id(vote));
             let term = Term(term);
-            Some(Record::Hard(Hard { term, vote }))
+            Some(Record::HardState(HardState { term, vote }))
         }
         3 => read_entry(rest).map(Record::Entry),
         4 => read_word(rest).map(|(index, _)| Record::Reset(Index(index))),
--- a/almondlock-quorum/src/storage/segment.rs
+++ b/almondlock-quorum/src/storage/segment.rs
@@ -87,7 +87,7 @@
         }
         Record::Header(header) if first && header == *wanted => Ok(()),
         _ if first => Err(Error::damaged(&wanted.file, "its header is another's")),
-        Record::Hard(hard) => {
+        Record::HardState(hard) => {
             loaded.hard = hard;
             Ok(())
         }
--- a/almondlock-quorum/src/storage/snapshot.rs
+++ b/almondlock-quorum/src/storage/snapshot.rs
@@ -16,14 +16,14 @@
 const PREFIX: &str = "snapshot-";
 
 /// Bytes of the state in one record.
-const CHUNK: usize = 1 << 20;
+const CHUNK_BYTES: usize = 1 << 20;
 
 pub(super) fn name(index: Index) -> String {
     format!("{PREFIX}{:016x}", index.0)
 }
 
 pub(super) fn is_name(name: &str) -> bool {
-    name.starts_with(PREFIX) && !name.ends_with(disk::TEMPORARY)
+    name.starts_with(PREFIX) && !name.ends_with(disk::TEMPORARY_SUFFIX)
 }
 
 pub(super) fn write<D>(disk: &D, group: u16, id: Id, snapshot: &Snapshot) -> Result<(), Error>
@@ -46,7 +46,7 @@
         size: snapshot.data.len() as u64,
     })
     .write(&mut bytes);
-    for chunk in snapshot.data.chunks(CHUNK) {
+    for chunk in snapshot.data.chunks(CHUNK_BYTES) {
         Record::Data(chunk.to_vec()).write(&mut bytes);
     }
     disk::replace(disk, &name, &bytes).map_err(|e| Error::io(format!("can't write {name}"), e))
--- a/almondlock-quorum/src/storage/store.rs
+++ b/almondlock-quorum/src/storage/store.rs
@@ -4,19 +4,19 @@
 
 use super::{
     Loaded, Write,
-    disk::{self, Disk, File, TEMPORARY},
-    founding_snapshot,
+    disk::{self, Disk, File, TEMPORARY_SUFFIX},
+    initial_snapshot,
     record::Record,
     segment, snapshot,
 };
 use crate::{
-    entry::{Hard, Index, Snapshot},
+    entry::{HardState, Index, Snapshot},
     error::Error,
     member::{Id, Members},
 };
 
 /// A segment is closed when it holds this many bytes.
-const SEGMENT: usize = 16 << 20;
+const SEGMENT_BYTES: usize = 16 << 20;
 
 /// A replica's files.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
     highest: Index,
     // Closed segments, oldest first, and the highest index in each.
     closed: VecDeque<(u64, Index)>,
-    hard: Hard,
+    hard: HardState,
     // The newest snapshot on disk.
     snapshot: Option<Index>,
     // Records not yet given to the file.
@@ -80,7 +80,7 @@
             failed: false,
             syncs: 0,
         };
-        store.write_head();
+        store.write_header();
         if let Some(newest) = newest.filter(|_| !settled) {
             Record::Reset(newest).write(&mut store.buffer);
         }
@@ -91,13 +91,13 @@
 
     /// Sets the members that a group starts with, on a folder that holds
     /// nothing yet.
-    pub fn found(&mut self, members: Members) -> Result<Loaded, Error> {
-        let empty = self.snapshot.is_none() && self.hard == Hard::default();
+    pub fn initialize(&mut self, members: Members) -> Result<Loaded, Error> {
+        let empty = self.snapshot.is_none() && self.hard == HardState::default();
         if !empty || self.highest != Index::ZERO || self.failed {
             return Err(Error::refused("the folder is in use already"));
         }
-        self.save(&founding_snapshot(members.clone()))?;
-        Ok(Loaded::founding(members))
+        self.save_snapshot(&initial_snapshot(members.clone()))?;
+        Ok(Loaded::initial(members))
     }
 
     /// Takes in a write. It is on disk after the next [`sync`](Store::sync).
@@ -106,7 +106,7 @@
             return Err(Error::stopped());
         }
         if let Some(snapshot) = &write.snapshot {
-            self.save(snapshot)?;
+            self.save_snapshot(snapshot)?;
         }
         if write.reset {
             let index = write.snapshot.as_ref().map_or(Index::ZERO, |s| s.index);
@@ -114,7 +114,7 @@
         }
         if write.hard != self.hard {
             self.hard = write.hard;
-            Record::Hard(write.hard).write(&mut self.buffer);
+            Record::HardState(write.hard).write(&mut self.buffer);
         }
         for entry in &write.entries {
             self.highest = self.highest.max(entry.index);
@@ -136,8 +136,8 @@
             self.syncs += 1;
         }
         self.check(result, "can't write the log")?;
-        if self.size >= SEGMENT {
-            self.roll()?;
+        if self.size >= SEGMENT_BYTES {
+            self.start_segment()?;
         }
         Ok(())
     }
@@ -159,25 +159,25 @@
         self.check(result, "can't sync the data folder")
     }
 
-    fn write_head(&mut self) {
+    fn write_header(&mut self) {
         let header = segment::header(self.number, self.group, self.id);
         Record::Header(header).write(&mut self.buffer);
-        Record::Hard(self.hard).write(&mut self.buffer);
+        Record::HardState(self.hard).write(&mut self.buffer);
     }
 
-    fn roll(&mut self) -> Result<(), Error> {
+    fn start_segment(&mut self) -> Result<(), Error> {
         self.closed.push_back((self.number, self.highest));
         self.number += 1;
         self.size = 0;
         self.highest = Index::ZERO;
         let created = self.disk.create(&segment::name(self.number));
         self.file = self.check(created, "can't begin a segment")?;
-        self.write_head();
+        self.write_header();
         self.sync()?;
         self.sync_folder()
     }
 
-    fn save(&mut self, new: &Snapshot) -> Result<(), Error> {
+    fn save_snapshot(&mut self, new: &Snapshot) -> Result<(), Error> {
         let result = snapshot::write(&self.disk, self.group, self.id, new);
         if result.is_err() {
             self.failed = true;
@@ -188,7 +188,7 @@
             let removed = self.disk.remove(&snapshot::name(old));
             self.check(removed, "can't remove an old snapshot")?;
         }
-        self.forget(Index(new.index.0.saturating_sub(self.retain)))
+        self.remove_segments(Index(new.index.0.saturating_sub(self.retain)))
     }
 
     /// Removes closed segments, oldest first, while all that they hold lies at
@@ -197,7 +197,7 @@
     /// **Failure.** The power fails, and of several removals that were not synced any may come
     /// back. An older segment without the next one looks like a damaged log. So each removal is
     /// synced before the next one.
-    fn forget(&mut self, index: Index) -> Result<(), Error> {
+    fn remove_segments(&mut self, index: Index) -> Result<(), Error> {
         let mut unsynced = false;
         while let Some((number, _)) = self.closed.pop_front_if(|(_, high)| *high <= index) {
             if unsynced {
@@ -225,7 +225,7 @@
         let removed = disk.remove(name);
         removed.map_err(|e| Error::io(format!("can't remove {name}"), e))
     };
-    for name in names.iter().filter(|name| name.ends_with(TEMPORARY)) {
+    for name in names.iter().filter(|name| name.ends_with(TEMPORARY_SUFFIX)) {
         remove(name)?;
     }
     let mut found = names.iter().filter(|name| snapshot::is_name(name));
--- a/almondlock-quorum/tests/cluster/mod.rs
+++ b/almondlock-quorum/tests/cluster/mod.rs
@@ -149,7 +149,7 @@
             value: 0,
         };
         for member in members {
-            cluster.add_node(member, Loaded::founding(founding.clone()));
+            cluster.add_node(member, Loaded::initial(founding.clone()));
         }
         (0..cluster.nodes.len()).for_each(|n| cluster.start(n));
         cluster
@@ -177,10 +177,10 @@
 
     pub fn start(&mut self, n: usize) {
         let config = Config::builder()
-            .retain(self.retain)
-            .piece(10)
-            .batch(self.batch)
-            .window(4)
+            .retain_entries(self.retain)
+            .piece_bytes(10)
+            .append_bytes(self.batch)
+            .append_window(4)
             .seed(self.rng.random())
             .build()
             .unwrap();
--- a/almondlock-quorum/tests/cluster/network.rs
+++ b/almondlock-quorum/tests/cluster/network.rs
@@ -12,7 +12,7 @@
 
 #[derive(Default)]
 pub struct Network {
-    flying: BTreeMap<(u64, u64), (Id, Id, Message)>,
+    in_flight: BTreeMap<(u64, u64), (Id, Id, Message)>,
     count: u64,
     /// Pairs (from, to) between which everything is lost without a sign.
     pub cut: BTreeSet<(Id, Id)>,
@@ -35,14 +35,14 @@
             self.count += 1;
             let at = now + rng.random_range(0..=faults.delay);
             let message = envelope.message.clone();
-            self.flying
+            self.in_flight
                 .insert((at, self.count), (from, envelope.to, message));
         }
     }
 
     pub fn due(&mut self, now: u64) -> Vec<(Id, Id, Message)> {
-        let later = self.flying.split_off(&(now + 1, 0));
-        std::mem::replace(&mut self.flying, later)
+        let later = self.in_flight.split_off(&(now + 1, 0));
+        std::mem::replace(&mut self.in_flight, later)
             .into_values()
             .collect()
     }
--- a/almondlock-quorum/tests/current_follower.rs
+++ b/almondlock-quorum/tests/current_follower.rs
@@ -38,7 +38,7 @@
 /// that has accepted something itself, and hears it.
 #[test]
 fn behind_is_not_current() {
-    let founding = Loaded::founding(Members::of_voters((1..=3).map(Member::sample)));
+    let founding = Loaded::initial(Members::of_voters((1..=3).map(Member::sample)));
     let config = Config::builder().build().unwrap();
     let mut machine = Machine::new(config, Id(1), founding, Mono::ZERO);
     append(&mut machine, 3, (0, 0), 4, &[1, 1]);
--- a/almondlock-quorum/tests/data_folder.rs
+++ b/almondlock-quorum/tests/data_folder.rs
@@ -8,7 +8,7 @@
 
 use almondlock_base::Code;
 use almondlock_quorum::{
-    entry::{Hard, Index, Term},
+    entry::{HardState, Index, Term},
     member::{Id, Member, Members},
     storage::{Store, disk::Folder, identity::Identity},
 };
@@ -93,7 +93,7 @@
     assert_eq!(store.syncs(), syncs, "nothing to write needs no sync");
     drop(store);
     let (_, loaded) = open(path.path()).unwrap();
-    let hard = Hard {
+    let hard = HardState {
         term: Term(4),
         vote: Some(DISK),
     };
@@ -154,10 +154,10 @@
     let members = Members::of_voters([Member::sample(1)]);
     let (mut store, loaded) = open(path.path()).unwrap();
     assert!(loaded.snapshot.is_none());
-    store.found(members.clone()).unwrap();
-    assert!(store.found(members.clone()).is_err());
+    store.initialize(members.clone()).unwrap();
+    assert!(store.initialize(members.clone()).is_err());
     drop(store);
     let (mut store, loaded) = open(path.path()).unwrap();
     assert_eq!(*loaded.snapshot.unwrap().members, members);
-    assert!(store.found(members).is_err());
+    assert!(store.initialize(members).is_err());
 }
--- a/almondlock-quorum/tests/faults/mod.rs
+++ b/almondlock-quorum/tests/faults/mod.rs
@@ -6,7 +6,7 @@
 use std::{cell::Cell, fs, io, path::Path, rc::Rc, sync::Arc};
 
 use almondlock_quorum::{
-    entry::{Entry, Hard, Index, Payload, Snapshot, Term},
+    entry::{Entry, HardState, Index, Payload, Snapshot, Term},
     member::{Id, Member, Members},
     storage::{
         Loaded, Store, Write,
@@ -108,7 +108,7 @@
 pub fn write(sequence: u64, term: u64, indexes: std::ops::RangeInclusive<u64>) -> Write {
     Write {
         sequence,
-        hard: Hard {
+        hard: HardState {
             term: Term(term),
             vote: Some(DISK),
         },
--- a/almondlock-quorum/tests/handed_over.rs
+++ b/almondlock-quorum/tests/handed_over.rs
@@ -21,16 +21,16 @@
     (cluster, leader, term)
 }
 
-fn hand_over(cluster: &mut Cluster, leader: usize) {
+fn transfer_leadership(cluster: &mut Cluster, leader: usize) {
     let now = cluster.mono();
     let machine = cluster.nodes[leader].machine.as_mut().unwrap();
-    machine.hand_over(now);
+    machine.transfer_leadership(now);
 }
 
 /// The term of the leader after the one that stops, which still runs for a heartbeat.
 fn next_term(cluster: &mut Cluster, leader: usize) -> Term {
     let config = cluster.nodes[leader].machine.as_ref().unwrap().config();
-    let heartbeat = config.heartbeat().as_millis() as u64;
+    let heartbeat = config.heartbeat_interval().as_millis() as u64;
     cluster.run(heartbeat);
     cluster.crash(leader);
     let next = cluster.elect();
@@ -46,7 +46,7 @@
         for _ in 0..before {
             cluster.propose(leader);
         }
-        hand_over(&mut cluster, leader);
+        transfer_leadership(&mut cluster, leader);
         for _ in 0..after {
             cluster.step();
             cluster.propose(leader);
@@ -80,7 +80,7 @@
         cluster.crash(dead);
         // Two heartbeats: no leader knows sooner.
         cluster.run(200);
-        hand_over(&mut cluster, leader);
+        transfer_leadership(&mut cluster, leader);
         cluster.run(100);
         let next = cluster.elect();
         let next_term = cluster.nodes[next].machine.as_ref().unwrap().term();
--- a/almondlock-quorum/tests/held_reply.rs
+++ b/almondlock-quorum/tests/held_reply.rs
@@ -7,7 +7,7 @@
 use almondlock_base::time::Mono;
 use almondlock_quorum::{
     config::Config,
-    entry::{Entry, Hard, Index, Payload, Term},
+    entry::{Entry, HardState, Index, Payload, Term},
     machine::Machine,
     member::{Id, Member, Members},
     message::{Append, AppendReply, Body, Message, Piece, VoteReply, VoteRequest},
@@ -17,8 +17,8 @@
 const NOW: Mono = Mono::from_millis(10_000);
 
 fn machine(id: u64, size: u64, entries: Vec<Entry>) -> Machine {
-    let mut loaded = Loaded::founding(Members::of_voters((1..=size).map(Member::sample)));
-    loaded.hard = Hard {
+    let mut loaded = Loaded::initial(Members::of_voters((1..=size).map(Member::sample)));
+    loaded.hard = HardState {
         term: Term(3),
         vote: None,
     };
--- a/almondlock-quorum/tests/leader_found.rs
+++ b/almondlock-quorum/tests/leader_found.rs
@@ -108,11 +108,11 @@
         }
     }
 
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         if let Some(leader) = self.c.leader() {
             let now = self.c.mono();
             let machine = self.c.nodes[leader].machine.as_mut().unwrap();
-            machine.hand_over(now);
+            machine.transfer_leadership(now);
             let rest = self.c.rng.random_range(0..300);
             self.c.run(rest);
             self.c.crash(leader);
@@ -177,7 +177,7 @@
                 self.c.crash(n);
             }
             348..352 => self.start_all(),
-            352..354 => self.hand_over(),
+            352..354 => self.transfer_leadership(),
             354 => self.restart_all(),
             355 if self.gone.len() < 2 => self.lose(),
             356 if self.c.nodes.len() < 5 => self.join(),
--- a/almondlock-quorum/tests/lost_tail.rs
+++ b/almondlock-quorum/tests/lost_tail.rs
@@ -10,7 +10,7 @@
 use almondlock_base::time::Mono;
 use almondlock_quorum::{
     config::Config,
-    entry::{Entry, Hard, Index, Payload, Term},
+    entry::{Entry, HardState, Index, Payload, Term},
     machine::Machine,
     member::{Id, Member, Members},
     message::{AppendReply, Body, Message, VoteReply},
@@ -111,13 +111,13 @@
 }
 
 fn machine(id: u64, entries: Vec<Entry>, batch: usize) -> Machine {
-    let mut loaded = Loaded::founding(Members::of_voters((1..=3).map(Member::sample)));
-    loaded.hard = Hard {
+    let mut loaded = Loaded::initial(Members::of_voters((1..=3).map(Member::sample)));
+    loaded.hard = HardState {
         term: Term(3),
         vote: None,
     };
     loaded.entries = entries;
-    let config = Config::builder().batch(batch).build().unwrap();
+    let config = Config::builder().append_bytes(batch).build().unwrap();
     Machine::new(config, Id(id), loaded, Mono::ZERO)
 }
 
@@ -235,7 +235,7 @@
     lead(&mut leader);
     let mut lose = true;
     for beat in 1..5 {
-        leader.tick(NOW + leader.config().heartbeat() * beat);
+        leader.tick(NOW + leader.config().heartbeat_interval() * beat);
         exchange(&mut leader, &mut follower, |body| {
             let holds = |e: &Entry| e.index == Index(7);
             let found = matches!(body, Body::Append(a) if a.entries.iter().any(holds));
--- a/almondlock-quorum/tests/missing_votes.rs
+++ b/almondlock-quorum/tests/missing_votes.rs
@@ -28,7 +28,7 @@
 fn machine() -> Machine {
     let members = Members::of_voters((1..=3).map(Member::sample));
     let config = Config::builder().build().unwrap();
-    Machine::new(config, Id(1), Loaded::founding(members), NOW)
+    Machine::new(config, Id(1), Loaded::initial(members), NOW)
 }
 
 fn request(pre: bool, term: u64, last: u64) -> Message {
--- a/almondlock-quorum/tests/slow_disks.rs
+++ b/almondlock-quorum/tests/slow_disks.rs
@@ -102,7 +102,7 @@
 #[test]
 fn entry_not_promised() {
     const NOW: Mono = Mono::from_millis(10_000);
-    let loaded = Loaded::founding(Members::of_voters((1..=3).map(Member::sample)));
+    let loaded = Loaded::initial(Members::of_voters((1..=3).map(Member::sample)));
     let config = Config::builder().build().unwrap();
     let mut machine = Machine::new(config, Id(1), loaded, Mono::ZERO);
     let append = Append {
@@ -141,7 +141,7 @@
 fn snapshot_not_promised() {
     const NOW: Mono = Mono::from_millis(10_000);
     let members = Members::of_voters((1..=3).map(Member::sample));
-    let loaded = Loaded::founding(members.clone());
+    let loaded = Loaded::initial(members.clone());
     let config = Config::builder().build().unwrap();
     let mut machine = Machine::new(config, Id(1), loaded, Mono::ZERO);
     let mut receive = |body| {
