--- a/almondlock-state/src/blob.rs
+++ b/almondlock-state/src/blob.rs
@@ -1,14 +1,14 @@
-//! Bytes inside JSON.
+//! Byte strings in JSON.
 //!
-//! Answers and digests are bytes; most of them are text. A blob that is valid
-//! UTF-8 is written as a string after `t:`, any other in hexadecimal after
-//! `x:`. An array of numbers would take four bytes for one.
+//! Answers and digests are byte strings, most of which are text. A blob that is valid
+//! UTF-8 is written as text after `t:`, any other in hexadecimal after `x:`. An array of
+//! numbers would take four bytes for each byte.
 
 use std::fmt::{self, Write as _};
 
 use serde::{Deserialize, Serialize};
 
-/// A string of bytes.
+/// A byte string.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
@@ -61,7 +61,7 @@
     u8::try_from(digit).ok()
 }
 
-/// A text that is no blob.
+/// The error for a text that isn't a written blob.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Error;
 
--- a/almondlock-state/src/command.rs
+++ b/almondlock-state/src/command.rs
@@ -1,10 +1,9 @@
-//! What the replicas agree on, one by one, and what each gets for an answer.
+//! Commands, the entries of the replicated log, and their replies.
 //!
-//! A command is proposed to the leader, written to the log, and applied by
-//! every replica in the same order. Commands are kept on disk as JSON, each
-//! with its name in `command`; fields are only ever added, with a default, so
-//! that a log written by the version before can be applied. The time in `at`
-//! is the leader's: a replica that applies a command reads no clock.
+//! A command is proposed to the leader, written to the log, and applied by all replicas
+//! in the same order. Commands are stored as JSON with their name in `command`. Fields are
+//! only ever added, with a default, so that a log written by the previous version can be
+//! applied. The time in `at` is the leader's: applying a command reads no clock.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -28,179 +27,180 @@
     replica::{self, Replica},
 };
 
-/// A command, as it stands in the log.
+/// A command, as it is stored in the log.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "kebab-case")]
 #[non_exhaustive]
 pub enum Command {
-    /// An upstream says what it is; see [`crate::registration`].
+    /// Registers an upstream that announced itself; see [`crate::registration`].
     Announce {
-        /// Its name.
+        /// The name of the upstream.
         upstream: Upstream,
-        /// What it says of itself.
+        /// The upstream's description of itself.
         registration: Registration,
         /// The leader's time.
         at: Wall,
     },
-    /// An upstream's lease ended without renewal.
+    /// Removes the registration of an upstream whose lease ended without renewal.
     Forget {
-        /// Its name.
+        /// The name of the upstream.
         upstream: Upstream,
-        /// The life whose lease ended.
+        /// The incarnation whose lease ended.
         incarnation: Incarnation,
         /// The leader's time.
         at: Wall,
     },
-    /// An operator published the deployment's configuration; see
-    /// [`crate::document`].
+    /// Publishes a version of the deployment's configuration; see [`crate::document`].
     Publish {
-        /// The text and its version, or what differs from the version in force.
+        /// The text and its version, or the difference to the version in force.
         #[serde(flatten)]
         publication: Publication,
         /// The leader's time.
         at: Wall,
     },
-    /// An instance that is called without a sidecar says what it is; see
-    /// [`crate::instance`].
+    /// Enrols an instance, an upstream without a sidecar, that sent a heartbeat with news;
+    /// see [`crate::instance`].
     Enrol {
-        /// Its name.
+        /// The name of the instance.
         upstream: Upstream,
-        /// What it says of itself.
+        /// The instance's description of itself.
         instance: Instance,
         /// The leader's time.
         at: Wall,
     },
-    /// An operator empties a failure domain; see [`crate::evacuation`].
+    /// Evacuates a failure domain; see [`crate::evacuation`].
     Evacuate {
-        /// The domain.
+        /// The failure domain.
         domain: Domain,
         /// The leader's time.
         at: Wall,
     },
-    /// The upstreams of an evacuated failure domain take work again.
+    /// Ends the evacuation of a failure domain.
     Readmit {
-        /// The domain.
+        /// The failure domain.
         domain: Domain,
         /// The leader's time.
         at: Wall,
     },
-    /// The leader found other replicas than processes are told of.
+    /// Sets the addresses of the replicas in the configuration, from which the processes
+    /// fetch it. The leader proposes this when they differ from the log's membership.
     Sources {
-        /// Their inner addresses, in order.
+        /// The inner addresses of the replicas, in order.
         addresses: Vec<SocketAddr>,
         /// The leader's time.
         at: Wall,
     },
-    /// An instance is gone: it said so, or its lease ended.
+    /// Removes an instance that gave notice, or whose lease ended.
     Withdraw {
-        /// Its name.
+        /// The name of the instance.
         upstream: Upstream,
         /// The leader's time.
         at: Wall,
     },
-    /// A request that may not be repeated wants to run; see [`crate::claim`].
+    /// Claims the idempotency key of a request that may not be repeated; see
+    /// [`crate::claim`].
     Claim {
-        /// Whose request it is.
+        /// The organisation that sent the request.
         organisation: Organisation,
-        /// Its idempotency key.
+        /// The request's idempotency key.
         key: String,
-        /// A hash of its body.
+        /// Hash of the request's body.
         body: Blob,
-        /// The attempt that will run it.
+        /// The attempt that will run the request.
         holder: Attempt,
-        /// Milliseconds to remember it after its end.
+        /// Milliseconds to keep the claim after its end.
         keep: u64,
         /// The leader's time.
         at: Wall,
     },
-    /// A claimed request ended.
+    /// Ends the claim of a request.
     SettleClaim {
-        /// Whose request it is.
+        /// The organisation that sent the request.
         organisation: Organisation,
-        /// Its idempotency key.
+        /// The request's idempotency key.
         key: String,
-        /// The attempt that held the claim.
+        /// The attempt that holds the claim.
         holder: Attempt,
-        /// Whether it ran. `no` frees the claim.
+        /// Whether the request ran. `no` frees the claim.
         ran: Ran,
-        /// What later copies are answered with.
+        /// The answer for later copies of the request.
         #[serde(default)]
         outcome: Blob,
         /// The leader's time.
         at: Wall,
     },
-    /// An entry host's life ended: its open claims may have run.
+    /// Marks the open claims of an entry host's ended incarnation as lost: their requests
+    /// may have run.
     HolderGone {
-        /// The host.
+        /// The entry host.
         host: Host,
-        /// The life that ended.
+        /// The incarnation that ended.
         incarnation: Incarnation,
         /// The leader's time.
         at: Wall,
     },
-    /// An upstream died while this request ran there; see [`crate::poison`].
+    /// Blames a request for the death of an upstream that ran it; see [`crate::poison`].
     Blame {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Whose request it is.
+        /// The organisation that sent the request.
         organisation: Organisation,
         /// The upstream that died.
         upstream: Upstream,
-        /// The life that ended.
+        /// The incarnation that ended.
         incarnation: Incarnation,
         /// The leader's time.
         at: Wall,
     },
-    /// A suspect is about to run: the death it may cause is entered in advance.
+    /// Records in advance the death that the next run of a suspect may cause.
     Charge {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Whose request it is.
+        /// The organisation that sent the request.
         organisation: Organisation,
-        /// The upstream that is to run it.
+        /// The upstream that is to run the request.
         upstream: Upstream,
-        /// The life that would end.
+        /// The incarnation that would end.
         incarnation: Incarnation,
         /// The leader's time.
         at: Wall,
     },
-    /// A charged run ended with the upstream alive, though not well: the death
-    /// entered in advance is taken back, the suspicion stays.
+    /// Takes back a charge: the run failed, but the upstream is alive. The suspicion stays.
     Discharge {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Whose request it is.
+        /// The organisation that sent the request.
         organisation: Organisation,
-        /// The upstream that ran it.
+        /// The upstream that ran the request.
         upstream: Upstream,
-        /// The life that didn't end.
+        /// The incarnation that the charge names.
         incarnation: Incarnation,
         /// The leader's time.
         at: Wall,
     },
-    /// A suspect finished without harm.
+    /// Clears a suspect that finished without harm.
     Clear {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Whose request it is.
+        /// The organisation that sent the request.
         organisation: Organisation,
         /// The leader's time.
         at: Wall,
     },
-    /// The first start: operators and replicas as the settings give them. Does
-    /// nothing once there is an operator.
+    /// Enters the operators and replicas of the settings at the first start. Does nothing
+    /// once there is an operator.
     Seed {
         /// Operators by name.
         operators: BTreeMap<String, Operator>,
-        /// Replicas by number.
+        /// Replicas by identity.
         #[serde(with = "pairs")]
         replicas: BTreeMap<replica::Id, Replica>,
         /// The leader's time.
         at: Wall,
     },
-    /// The replicas as the log's membership has them; proposed by the leader
-    /// when the state says otherwise.
+    /// Sets the table of replicas to the log's membership. The leader proposes this when
+    /// they differ.
     Replicas {
         /// Replicas by identity.
         #[serde(with = "pairs")]
@@ -208,48 +208,48 @@
         /// The leader's time.
         at: Wall,
     },
-    /// An operator wants something; makes a plan of it.
+    /// Makes a plan of an operator's intent.
     Propose {
-        /// The operator's number for the change.
+        /// The change number, chosen by the operator.
         number: String,
-        /// What is wanted.
+        /// The intent.
         intent: Intent,
-        /// Who wants it.
+        /// The operator's name.
         operator: String,
         /// The leader's time.
         at: Wall,
     },
-    /// A plan is to be carried out.
+    /// Starts or resumes carrying out a plan.
     Confirm {
-        /// The plan.
+        /// The number of the plan.
         plan: plan::Id,
-        /// Who says so.
+        /// The operator's name.
         operator: String,
         /// The leader's time.
         at: Wall,
     },
-    /// A plan is to stop.
+    /// Stops a plan.
     Stop {
-        /// The plan.
+        /// The number of the plan.
         plan: plan::Id,
-        /// Who says so.
+        /// The operator's name.
         operator: String,
         /// The leader's time.
         at: Wall,
     },
-    /// A step of a plan goes on.
+    /// Applies a transition to a step of a plan.
     Step {
-        /// The plan.
+        /// The number of the plan.
         plan: plan::Id,
-        /// Which step.
+        /// The index of the step.
         index: usize,
-        /// How.
+        /// The transition.
         #[serde(rename = "advance")]
         transition: Transition,
         /// The leader's time.
         at: Wall,
     },
-    /// Time passes: what has been kept long enough is forgotten.
+    /// Advances the clock of the state, and removes what has expired.
     Expire {
         /// The leader's time.
         at: Wall,
@@ -257,7 +257,7 @@
 }
 
 impl Command {
-    /// The bytes that are written to the log.
+    /// Returns the bytes that are written to the log.
     pub fn to_bytes(&self) -> Result<Vec<u8>, serde_json::Error> {
         serde_json::to_vec(self)
     }
@@ -268,50 +268,50 @@
     }
 }
 
-/// The answer to a command.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "reply", rename_all = "kebab-case")]
 #[non_exhaustive]
 pub enum Reply {
-    /// Accepted; in force from this revision.
+    /// The command was accepted.
     Accepted {
-        /// The revision.
+        /// The revision after the command.
         revision: Revision,
     },
-    /// The answer to a claim.
+    /// The claim was decided.
     Claimed {
-        /// What the claimant may do.
+        /// Whether the claimant may run the request, or why not.
         verdict: Verdict,
     },
-    /// The plan that a command was about, as it stands now.
+    /// The command about a plan was accepted; this is the plan after it.
     Planned {
         /// The plan.
         plan: Box<Plan>,
     },
-    /// A publication told what differs from another version than the one in force.
-    /// Nothing has changed; its proposer sends the whole.
+    /// The published difference applies to another version than the one in force. Nothing
+    /// has changed; the proposer has to send the whole text.
     BaseMoved {
         /// The version in force.
         held: Option<u64>,
     },
-    /// Refused: nothing has changed.
+    /// The command was refused, and nothing has changed.
     Refused {
-        /// Why.
+        /// The code of the refusal.
         code: Code,
-        /// Why, for people.
+        /// The reason, for people.
         message: String,
     },
 }
 
 impl Reply {
-    /// A refusal with the code's own text.
+    /// Creates a refusal with the code's own text.
     pub fn refused(code: Code) -> Reply {
         let message = code.text().to_owned();
         Reply::Refused { code, message }
     }
 
-    /// The code of a refusal.
+    /// Returns the code, if the reply is a refusal.
     pub const fn code(&self) -> Option<Code> {
         match self {
             Reply::Refused { code, .. } => Some(*code),
@@ -321,8 +321,8 @@
     }
 }
 
-/// Replicas as a list of pairs. In a command, which is told by a tag among its
-/// fields, a map whose keys are numbers would be written but could not be read.
+/// Serialises replicas as a list of pairs. In an internally tagged enum such as
+/// [`Command`], serde can write a map with numeric keys but not read it.
 mod pairs {
     use std::collections::BTreeMap;
 
--- a/almondlock-state/src/config.rs
+++ b/almondlock-state/src/config.rs
@@ -1,12 +1,11 @@
-//! The configuration in force: what every process acts on.
+//! The configuration in force, which all processes act on.
 //!
-//! A configuration is the sum of its changes. Each accepted change makes the
-//! next [`Revision`]; a process that holds revision `r` and is given the
-//! changes `r+1..=n` holds revision `n`, and one that has been away too long is
-//! given the whole configuration instead. Applying never fails half-way: a
-//! change is one assignment, already checked by the replicas that accepted it.
-//! Only a delta of the published text needs something to be there, its base; where
-//! that is missing nothing is changed.
+//! A configuration is the result of its changes. Each accepted change makes the next
+//! [`Revision`]: a process that holds revision `r` and applies the changes `r+1..=n` holds
+//! revision `n`. A process that is too far behind is sent the whole configuration instead.
+//! Applying a change can't fail half-way: a change is one assignment, which the replicas
+//! checked when they accepted it. Only a delta of the published text needs its base; where
+//! the base is missing, nothing is changed.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -22,41 +21,41 @@
     instance::Instance,
 };
 
-/// A caller's key as it is kept: its BLAKE3 hash in hexadecimal. The key itself
-/// is shown once, when it is made.
+/// The BLAKE3 hash of a key in hexadecimal. Only the hash is stored; the key itself is
+/// shown once, when it is made.
 pub type KeyHash = String;
 
-/// The setting that tells how many entry hosts share the organisations' limits.
+/// The setting that holds the number of entry hosts that share the organisations' limits.
 pub const ENTRY_HOSTS_SETTING: &str = "entry-hosts";
 
-/// An organisation and what it may use.
+/// An organisation's keys and limits.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Organisation {
-    /// Hashes of the keys that name it; several while keys are rotated.
+    /// Hashes of the keys that identify it; several while keys are rotated.
     pub keys: Vec<KeyHash>,
-    /// Weight of its share of the fleet against the others'. At least 1.
+    /// Weight of its share of the fleet, relative to the others'. At least 1.
     pub share: u32,
-    /// Requests per second it may send, over all entry hosts. 0 is no limit.
+    /// Requests per second that it may send over all entry hosts; 0 means no limit.
     pub rate: u32,
-    /// Prompt and answer tokens it may have in flight over all entry hosts.
-    /// 0 is no limit.
+    /// Prompt and answer tokens that it may have in flight over all entry hosts; 0 means
+    /// no limit.
     pub tokens: Tokens,
-    /// Milliseconds a request is given when it names no deadline.
+    /// Default deadline of its requests, in milliseconds.
     pub deadline: u64,
-    /// The longest deadline in milliseconds it may ask for.
+    /// Longest deadline that its requests may have, in milliseconds.
     pub deadline_limit: u64,
 }
 
-/// A model that callers may name.
+/// A model that callers may request.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Definition {
     /// The version that new requests run on.
     pub version: Version,
-    /// Longest prompt and answer together.
+    /// Maximum length of prompt and answer together.
     pub context: Tokens,
-    /// Adapters callers may ask for, and their versions.
+    /// Adapters that callers may request, and their versions.
     #[serde(default)]
     pub adapters: BTreeMap<Adapter, Version>,
 }
@@ -65,11 +64,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Plain {
-    /// HTTP methods that may be sent again; all others may not.
+    /// HTTP methods whose requests may be repeated; those of all others may not.
     pub repeatable: Vec<String>,
 }
 
-/// What an upstream is.
+/// The kind of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -80,7 +79,7 @@
     Service,
 }
 
-/// An upstream as registered: what it announced, and the sidecar in front.
+/// A registered upstream with its sidecar, as announced.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Registration {
@@ -92,7 +91,7 @@
     pub domain: Domain,
     /// Its region.
     pub region: Region,
-    /// The sidecar's life. A later registration replaces an earlier one.
+    /// The sidecar's incarnation. A later one replaces an earlier one.
     pub incarnation: Incarnation,
     /// Engine or plain service.
     pub kind: Kind,
@@ -104,88 +103,86 @@
     pub capacity: Tokens,
     /// Whether it refuses orders with an old fencing number.
     pub fenced: bool,
-    /// Whether it can go on with an answer at a given token, with the same
-    /// words as before.
+    /// Whether it can resume an answer at a given token with the same output.
     #[serde(default)]
     pub resumable: bool,
-    /// `prefill`, `decode` or `both`; empty counts as both.
+    /// `prefill`, `decode` or `both`; empty means both.
     #[serde(default)]
     pub role: String,
 }
 
-/// Why and since when an upstream, or a whole failure domain, takes no new work.
+/// A drain of an upstream or evacuation of a failure domain, which takes no new requests.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Drain {
-    /// When it was accepted.
+    /// When the drain was accepted.
     pub since: Wall,
-    /// The operator's words.
+    /// The operator's reason.
     pub reason: String,
 }
 
-/// What an upstream is told to load, carried to its sidecar with the
-/// configuration. The rules of handing it on are in [`crate::order`].
+/// An order to an upstream to load a version, sent to its sidecar with the configuration.
+/// [`crate::order`] has the rules for forwarding it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Order {
     /// The fencing number: each order to an upstream has a higher one.
     pub fence: u64,
-    /// The life of the sidecar that may hand it to the upstream, and no other.
+    /// The only incarnation of the sidecar that may forward it to the upstream.
     pub issuer: Incarnation,
     /// The model to load.
     pub model: Model,
-    /// Its version.
+    /// The version to load.
     pub version: Version,
-    /// From when on it may no longer be handed on.
+    /// When it expires, and may no longer be forwarded.
     pub until: Wall,
 }
 
-/// A request that is refused everywhere because it kills engines.
+/// A request that is suspected of crashing engines, or refused everywhere because of it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Quarantine {
-    /// The organisation whose request it is.
+    /// The organisation that sent the request.
     pub organisation: almondlock_base::id::Organisation,
-    /// Engines that died while it ran there.
+    /// Number of engine deaths that it is blamed for or charged with.
     pub deaths: u32,
-    /// From two deaths that blame it alone, or three in all, it is refused.
+    /// Whether the request is refused; see [`crate::poison`].
     pub refused: bool,
-    /// When it is forgotten.
+    /// When the quarantine expires.
     pub until: Wall,
 }
 
-/// One accepted change of the configuration. `None` takes a thing away.
+/// An accepted change of the configuration. `None` removes the entry.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
-    /// An organisation.
+    /// Sets or removes an organisation.
     Organisation(almondlock_base::id::Organisation, Option<Organisation>),
-    /// A model.
+    /// Sets or removes a model.
     Model(Model, Option<Definition>),
-    /// A plain service.
+    /// Sets or removes a plain service.
     Service(Service, Option<Plain>),
-    /// An upstream registered or was forgotten.
+    /// Sets or removes the registration of an upstream.
     Upstream(almondlock_base::id::Upstream, Option<Registration>),
-    /// An upstream is drained, or returned to work. Survives its registration.
+    /// Drains an upstream or returns it to work. A drain outlives the registration.
     Drain(almondlock_base::id::Upstream, Option<Drain>),
-    /// A fingerprint under suspicion.
+    /// Sets or removes the quarantine of a fingerprint.
     Quarantine(#[serde(with = "hex")] Fingerprint, Option<Quarantine>),
-    /// A setting that applies to all processes, by name.
+    /// Sets or removes a setting that applies to all processes.
     Setting(String, Option<String>),
-    /// An upstream is to load something, or has done so.
+    /// Sets the load order of an upstream, or removes it after the load.
     Order(almondlock_base::id::Upstream, Option<Order>),
-    /// The deployment's configuration was published.
+    /// Publishes a version of the deployment's configuration.
     Document(Option<Document>),
-    /// The same, told as what differs from the version before. Earlier versions can't
-    /// read it and ask for the whole configuration.
+    /// Publishes a version of the deployment's configuration as the difference to the
+    /// version before. Earlier releases can't read it and ask for the whole configuration.
     Delta(Delta),
-    /// An instance that is called without a sidecar came, changed or went.
+    /// Sets or removes an instance, an upstream without a sidecar.
     Instance(almondlock_base::id::Upstream, Option<Instance>),
-    /// The replicas are others now.
+    /// Sets the addresses of the replicas.
     Sources(Vec<SocketAddr>),
-    /// The upstreams of a failure domain take no new work, or return to it; see
-    /// [`crate::evacuation`].
+    /// Evacuates a failure domain or ends its evacuation; see [`crate::evacuation`].
     Evacuation(Domain, Option<Drain>),
 }
 
@@ -194,7 +191,7 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Config {
-    /// The revision. Never goes back within a process's life.
+    /// The revision. Never decreases while a process runs.
     pub revision: Revision,
     /// Organisations by name.
     pub organisations: BTreeMap<almondlock_base::id::Organisation, Organisation>,
@@ -206,25 +203,25 @@
     pub upstreams: BTreeMap<almondlock_base::id::Upstream, Registration>,
     /// Drained upstreams, registered or not.
     pub drains: BTreeMap<almondlock_base::id::Upstream, Drain>,
-    /// Fingerprints under suspicion, by their hexadecimal form.
+    /// Suspected and refused fingerprints, by their hexadecimal form.
     pub quarantines: BTreeMap<String, Quarantine>,
-    /// Settings that apply everywhere.
+    /// Settings that apply to all processes, by name.
     pub settings: BTreeMap<String, String>,
-    /// What upstreams are to load.
+    /// Load orders by upstream.
     pub orders: BTreeMap<almondlock_base::id::Upstream, Order>,
-    /// The deployment's configuration, where it is published as one text.
+    /// The published configuration of the deployment, if it is published as one text.
     pub document: Option<Document>,
-    /// Instances that are called without a sidecar, by name.
+    /// Instances, which are upstreams without a sidecar, by name.
     pub instances: BTreeMap<almondlock_base::id::Upstream, Instance>,
-    /// Inner addresses of the replicas, where their membership mends itself. A
-    /// process whose settings name replicas that are gone finds them here.
+    /// Inner addresses of the replicas, where their membership repairs itself. A process
+    /// whose settings name replicas that are gone finds the present ones here.
     pub sources: Vec<SocketAddr>,
-    /// Failure domains whose upstreams take no new work, known or not.
+    /// Evacuated failure domains, whose upstreams take no new requests, known or not.
     pub evacuations: BTreeMap<Domain, Drain>,
 }
 
-/// The setting that names the other version of a model that requests may run
-/// on while a rollout is under way.
+/// Returns the name of the setting that holds the other version that requests for a model
+/// may run on during a rollout.
 pub fn rollout_setting(model: &Model) -> String {
     format!("rollout/{model}")
 }
@@ -234,7 +231,8 @@
     ///
     /// # Errors
     ///
-    /// If it is a delta of another text than the one held here. Nothing has changed then.
+    /// If the change is a delta of another text than the one held here. Nothing is changed
+    /// then.
     pub fn apply(&mut self, change: Change) -> Result<(), Mismatch> {
         match change {
             Change::Organisation(name, value) => assign(&mut self.organisations, name, value),
@@ -248,23 +246,25 @@
             Change::Setting(name, value) => assign(&mut self.settings, name, value),
             Change::Order(name, value) => assign(&mut self.orders, name, value),
             Change::Document(value) => self.document = value,
-            Change::Delta(delta) => self.document = Some(self.changed(&delta)?),
+            Change::Delta(delta) => self.document = Some(self.apply_delta(&delta)?),
             Change::Instance(name, value) => assign(&mut self.instances, name, value),
             Change::Sources(addresses) => self.sources = addresses,
-            Change::Evacuation(domain, value) => self.evacuate(domain, value),
+            Change::Evacuation(domain, value) => self.apply_evacuation(domain, value),
         }
         self.revision = self.revision.next();
         Ok(())
     }
 
-    fn changed(&self, delta: &Delta) -> Result<Document, Mismatch> {
+    /// Returns the document that a delta makes of the one held here.
+    fn apply_delta(&self, delta: &Delta) -> Result<Document, Mismatch> {
         let missing = Mismatch::Missing {
             expected: delta.base,
         };
         delta.apply(self.document.as_ref().ok_or(missing)?)
     }
 
-    fn evacuate(&mut self, domain: Domain, value: Option<Drain>) {
+    /// Sets or ends an evacuation. At its end the domain's instances count as cold.
+    fn apply_evacuation(&mut self, domain: Domain, value: Option<Drain>) {
         if value.is_none() {
             let instances = self.instances.values_mut();
             let returned = instances.filter(|instance| instance.domain == domain);
@@ -273,23 +273,23 @@
         assign(&mut self.evacuations, domain, value);
     }
 
-    /// Whether an upstream takes no new work: it is drained, or its failure domain is
-    /// evacuated. One that isn't registered is in no domain that is known.
+    /// Returns whether an upstream takes no new requests because it is drained or its
+    /// failure domain is evacuated. The domain of an unregistered upstream isn't known.
     pub fn is_drained(&self, name: &almondlock_base::id::Upstream) -> bool {
         let domain = self.upstreams.get(name).map(|known| &known.domain);
         self.drains.contains_key(name)
             || domain.is_some_and(|domain| self.evacuations.contains_key(domain))
     }
 
-    /// Whether new requests for the model may run on this version: the one in
-    /// force, or the other one of a rollout under way.
+    /// Returns whether new requests for the model may run on this version: the one in
+    /// force, or the other one during a rollout.
     pub fn serves(&self, model: &Model, version: &Version) -> bool {
         let current = self.models.get(model).map(|known| &known.version);
         let other = self.settings.get(&rollout_setting(model));
         current == Some(version) || other.is_some_and(|other| other == version.as_str())
     }
 
-    /// What stands against a fingerprint.
+    /// Returns the quarantine of a fingerprint, if any.
     pub fn quarantine(&self, print: Fingerprint) -> Option<&Quarantine> {
         self.quarantines.get(&print.to_string())
     }
@@ -309,6 +309,7 @@
     }
 }
 
+/// Serialises a fingerprint in hexadecimal.
 mod hex {
     use almondlock_base::id::Fingerprint;
     use serde::{Deserialize, Deserializer, Serializer, de};
--- a/almondlock-state/src/document.rs
+++ b/almondlock-state/src/document.rs
@@ -1,16 +1,14 @@
-//! The deployment's configuration as an operator publishes it: one text, whole,
-//! under one version number.
+//! The deployment's configuration, published by an operator as one text with a version.
 //!
-//! Some deployments are configured by a complete text for each version and not
-//! by single changes. The replicas keep the text as it was sent, so that it can
-//! be read back to the byte, and leave its meaning to whoever can read it. The
-//! highest version counts: an older one that arrives late, or is sent again, is
-//! answered like the first time and changes nothing, and so is another text
-//! under the version in force, because processes have acted on the first one.
+//! Some deployments are configured by a complete text for each version and not by single
+//! changes. The replicas store the text byte for byte and don't interpret it. The highest
+//! version is in force. An older version that arrives late or is sent again is accepted
+//! and changes nothing. The same holds for another text with the version in force, because
+//! processes have acted on the first one.
 //!
-//! A text is kept in [`Piece`]s, so that two versions share what they have in
-//! common, and a [`Delta`] holds only what differs. Where a text is cut is decided by
-//! whoever can read it.
+//! A text is stored in [`Piece`]s, so that two versions share the pieces that they have in
+//! common and a [`Delta`] holds only the others. The code that interprets the text decides
+//! where it is cut.
 
 mod delta;
 mod packed;
@@ -25,19 +23,19 @@
     publication::{Publication, publish},
 };
 
-/// A part of a text.
+/// A contiguous part of a text.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Piece(Arc<str>);
 
 impl Piece {
-    /// Its text.
+    /// Returns the text of the piece.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// Whether both are one allocation, which implies that they are equal.
+    /// Returns whether both share one allocation, which implies that they are equal.
     pub fn is_same(&self, other: &Piece) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
@@ -58,18 +56,18 @@
 /// A published configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-#[serde(from = "packed::Written", into = "packed::Written")]
+#[serde(from = "packed::DocumentRepr", into = "packed::DocumentRepr")]
 pub struct Document {
-    /// Its version. Never goes down in the replicated state.
+    /// The version. Never decreases in the replicated state.
     pub version: u64,
-    /// The text as it was sent, one piece after the other. A long one is stored and
-    /// told compressed.
+    /// The text as it was published, in pieces. A long text is serialised compressed.
     pub pieces: Arc<[Piece]>,
 }
 
 impl Document {
-    /// A document of these pieces, without empty ones. They would not all be read back, and
-    /// the places in a delta have to mean the same in each process.
+    /// Creates a document of these pieces, without the empty ones. Not all empty pieces
+    /// would survive serialisation, and the indices in a delta must mean the same pieces in
+    /// all processes.
     pub fn new<I>(version: u64, pieces: I) -> Document
     where
         I: IntoIterator<Item = Piece>,
@@ -80,12 +78,12 @@
         Document { version, pieces }
     }
 
-    /// A document of one piece.
+    /// Creates a document of one piece.
     pub fn whole(version: u64, text: &str) -> Document {
         Document::new(version, [Piece::from(text)])
     }
 
-    /// The same text in one piece.
+    /// Returns the same document in one piece.
     pub fn into_single_piece(self) -> Document {
         match self.pieces.len() {
             0 | 1 => self,
@@ -93,26 +91,26 @@
         }
     }
 
-    /// The same document, of which the pieces that `held` has too are those of `held`.
+    /// Returns the same document, sharing the memory of those pieces that `held` has too.
     pub fn share_pieces(self, held: &Document) -> Document {
         let shared = Delta::between(held, &self).apply(held);
         shared.unwrap_or(self)
     }
 
-    /// The text as it was sent.
+    /// Returns the text as it was published.
     pub fn text(&self) -> String {
         let mut text = String::with_capacity(self.len());
         text.extend(self.pieces.iter().map(Piece::as_str));
         text
     }
 
-    /// The length of the text in bytes.
+    /// Returns the length of the text in bytes.
     pub fn len(&self) -> usize {
         let lengths = self.pieces.iter().map(|piece| piece.as_str().len());
         lengths.sum()
     }
 
-    /// Whether the text is empty.
+    /// Returns whether the text is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/almondlock-state/src/document/delta.rs
+++ b/almondlock-state/src/document/delta.rs
@@ -1,4 +1,4 @@
-//! What differs between two versions of a document.
+//! The difference between two versions of a document.
 
 use std::collections::HashMap;
 
@@ -6,28 +6,29 @@
 
 use super::{Document, Piece, packed};
 
-/// What a run costs in a written delta, in bytes: `{"keep":[9999,9999]},` with some room.
+/// Estimated size of a run in a serialised delta: `{"keep":[9999,9999]},` and some margin.
 const RUN_BYTES: usize = 32;
 
-/// What makes one document of another.
+/// The edits that turn one version of a document, the base, into another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-#[serde(try_from = "packed::WrittenDelta", into = "packed::WrittenDelta")]
+#[serde(try_from = "packed::DeltaRepr", into = "packed::DeltaRepr")]
 pub struct Delta {
-    /// The version that it applies to.
+    /// The version of the base.
     pub base: u64,
-    /// How that version is divided.
+    /// The division of the base into pieces.
     pub shape: Shape,
-    /// The version that it makes.
+    /// The version of the new document.
     pub version: u64,
-    /// The new text, in order. Inserted pieces are written packed when they are long.
+    /// The new text, in order. Long inserted pieces are serialised compressed.
     pub runs: Vec<Run>,
 }
 
-/// How a document is divided into pieces.
+/// The division of a document into pieces.
 ///
-/// Processes of an earlier version don't keep the pieces of a text. Who got it from one of
-/// them holds the same version as one piece, to which the places in a delta don't apply.
+/// Processes of an earlier release don't keep the pieces of a text. A process that got the
+/// text from one of them holds the same version as one piece, to which the indices in a
+/// delta don't apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Shape {
@@ -38,7 +39,7 @@
 }
 
 impl Shape {
-    /// The shape of a document.
+    /// Returns the shape of a document.
     pub fn of(document: &Document) -> Shape {
         Shape {
             pieces: document.pieces.len(),
@@ -50,48 +51,49 @@
 /// Consecutive pieces of a new text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Run {
-    /// Pieces of the base.
+    /// Pieces copied from the base.
     Keep {
-        /// The place of the first one.
+        /// The index of the first piece in the base.
         from: usize,
-        /// How many.
+        /// The number of pieces.
         count: usize,
     },
     /// New pieces.
     Insert(Vec<Piece>),
 }
 
-/// A delta that doesn't apply to a document.
+/// The error for a delta that doesn't apply to a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum Mismatch {
-    /// It applies to another version.
-    #[error("it applies to version {expected}, not {found}")]
+    /// The delta applies to another version.
+    #[error("the delta applies to version {expected}, not {found}")]
     Version {
-        /// What it applies to.
+        /// The version of the delta's base.
         expected: u64,
-        /// What there is.
+        /// The version of the document.
         found: u64,
     },
     /// There is no document.
-    #[error("it applies to version {expected}, and there is none")]
+    #[error("the delta applies to version {expected}, and there is no document")]
     Missing {
-        /// What it applies to.
+        /// The version of the delta's base.
         expected: u64,
     },
-    /// It applies to the same version, divided in another way.
-    #[error("it applies to a base divided in another way, not to {} pieces of {} bytes", .0.pieces, .0.bytes)]
+    /// The delta applies to the same version in another division into pieces.
+    #[error("the delta applies to another division of its base than {} pieces of {} bytes", .0.pieces, .0.bytes)]
     Shape(Shape),
-    /// It keeps pieces that the base doesn't have.
-    #[error("it keeps pieces beyond the base's {0}")]
+    /// The delta keeps pieces that the base doesn't have.
+    #[error("the delta keeps pieces beyond the {0} of its base")]
     Pieces(usize),
 }
 
 impl Delta {
-    /// What makes `new` of `base`.
+    /// Computes the delta that turns `base` into `new`.
     ///
-    /// What both begin and end with is found by comparison. Only the pieces between are
-    /// looked up by content, because hashing a text of megabytes takes longer than all else.
+    /// Common pieces at the beginning and end are found by comparison. Only the pieces
+    /// between them are looked up by hash, because hashing a text of megabytes takes longer
+    /// than everything else.
     pub fn between(base: &Document, new: &Document) -> Delta {
         let same = |(old, new): &(&Piece, &Piece)| old == new;
         let head = base.pieces.iter().zip(new.pieces.iter());
@@ -111,8 +113,9 @@
             places.entry(piece).or_insert(head + place);
         }
         for piece in &rest[..rest.len() - tail] {
-            // Equal pieces may stand more than once: the one that follows comes first.
-            let next = delta.next_kept();
+            // Equal pieces may occur more than once. The one after the last kept piece is
+            // preferred, as it extends the run.
+            let next = delta.next_kept_index();
             let follows = next.filter(|next| base.pieces.get(*next) == Some(piece));
             match follows.or_else(|| places.get(piece).copied()) {
                 Some(place) => delta.keep(place, 1),
@@ -123,8 +126,8 @@
         delta
     }
 
-    /// The place in the base after the last run, if that keeps pieces.
-    fn next_kept(&self) -> Option<usize> {
+    /// Returns the index in the base after the last run, if that run keeps pieces.
+    fn next_kept_index(&self) -> Option<usize> {
         match self.runs.last() {
             Some(Run::Keep { from, count }) => Some(from + count),
             Some(Run::Insert(_)) | None => None,
@@ -132,7 +135,7 @@
     }
 
     fn keep(&mut self, place: usize, more: usize) {
-        let next = self.next_kept();
+        let next = self.next_kept_index();
         match self.runs.last_mut() {
             _ if more == 0 => {}
             Some(Run::Keep { count, .. }) if next == Some(place) => *count += more,
@@ -150,15 +153,15 @@
         }
     }
 
-    /// Whether it is worth sending in place of a text of so many bytes: it has less than
-    /// half of them. Where most of a text is new, the delta saves nothing, and the whole
-    /// needs no base.
+    /// Returns whether the delta should be sent instead of a text of `text` bytes: its size
+    /// is less than half of the text's. If most of a text is new, a delta saves little,
+    /// whereas the whole text needs no base.
     pub fn is_worthwhile(&self, text: usize) -> bool {
         let bytes = self.inserted_bytes() + self.runs.len() * RUN_BYTES;
         bytes < text / 2
     }
 
-    /// The length of the new text, in bytes.
+    /// Returns the total length of the inserted pieces in bytes.
     pub fn inserted_bytes(&self) -> usize {
         let inserted = self.runs.iter().map(|run| match run {
             Run::Insert(pieces) => pieces.iter().map(|piece| piece.as_str().len()).sum(),
@@ -167,11 +170,11 @@
         inserted.sum()
     }
 
-    /// Whether it applies to a document.
+    /// Checks that the delta applies to a document.
     ///
     /// # Errors
     ///
-    /// If `base` is another document than it was made for.
+    /// If `base` is not the document that the delta was computed for.
     pub fn check(&self, base: &Document) -> Result<(), Mismatch> {
         if base.version != self.base {
             return Err(Mismatch::Version {
@@ -196,11 +199,11 @@
         }
     }
 
-    /// The document that it makes of its base. Kept pieces are shared with the base.
+    /// Applies the delta to its base. Kept pieces share the memory of the base.
     ///
     /// # Errors
     ///
-    /// If `base` is another document than it was made for.
+    /// If `base` is not the document that the delta was computed for.
     pub fn apply(&self, base: &Document) -> Result<Document, Mismatch> {
         self.check(base)?;
         let mut pieces = Vec::with_capacity(base.pieces.len());
--- a/almondlock-state/src/document/packed.rs
+++ b/almondlock-state/src/document/packed.rs
@@ -1,11 +1,10 @@
-//! A text that is compressed where it is written.
+//! Serialisation of documents and deltas, with long texts compressed.
 //!
-//! **Failure.** A configuration of a thousand routes has a quarter of a megabyte.
-//! Told as it is to a dozen children of a process with a link of 20 Mbit/s, five
-//! versions in two seconds took longer than a version may take to be in force,
-//! and a host acted on an older one. Such texts repeat themselves: compressed
-//! they are about a tenth. Of three days on which hosts were too late, none was with
-//! texts compressed.
+//! **Failure.** A configuration of a thousand routes has a quarter of a megabyte. A process
+//! with a link of 20 Mbit/s that sent five versions in two seconds to a dozen children,
+//! uncompressed, took longer than a version may take to be in force, and a host acted on an
+//! older version. Such texts are repetitive and compress to about a tenth. Of three days on
+//! which hosts were late, none had compressed texts.
 
 use std::{borrow::Cow, sync::Arc};
 
@@ -18,57 +17,57 @@
     delta::{Delta, Run, Shape},
 };
 
-/// Shorter texts are written as they are: there is little to win, and they stay
-/// readable. In bytes.
-const SHORT: usize = 4 * 1024;
-/// The longest text that is unpacked, in bytes: what an operator may send.
-const LIMIT: usize = 16 << 20;
-/// The quickest level that still finds repeated lines.
-const LEVEL: u8 = 1;
+/// Texts from this length are compressed, in bytes. Shorter ones would gain little, and stay
+/// readable.
+const MIN_PACKED_BYTES: usize = 4 * 1024;
+/// Maximum length of a decompressed text, in bytes: as much as an operator may send.
+const MAX_TEXT_BYTES: usize = 16 << 20;
+/// The fastest compression level that still finds repeated lines.
+const DEFLATE_LEVEL: u8 = 1;
 
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum Text<'a> {
-    /// As it is; so are all texts that earlier versions wrote.
+    /// The text itself. Earlier releases wrote all texts so.
     Plain(Cow<'a, str>),
     Packed {
-        /// Deflated, in base 64.
+        /// The text, deflated and in Base64.
         packed: String,
     },
 }
 
-/// A document as it is written.
+/// The serialised form of a document.
 #[derive(Serialize, Deserialize)]
-pub(super) struct Written {
+pub(super) struct DocumentRepr {
     version: u64,
     #[serde(with = "self")]
     text: Arc<str>,
-    /// The lengths of its pieces but the last one, in bytes. Earlier versions wrote none.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    cuts: Vec<u32>,
+    /// The lengths of all pieces but the last one, in bytes. Earlier releases wrote none.
+    #[serde(default, rename = "cuts", skip_serializing_if = "Vec::is_empty")]
+    piece_bytes: Vec<u32>,
 }
 
-impl From<Document> for Written {
-    fn from(document: Document) -> Written {
+impl From<Document> for DocumentRepr {
+    fn from(document: Document) -> DocumentRepr {
         let lengths = document.pieces.iter().map(|piece| piece.as_str().len());
-        let mut cuts: Vec<u32> = lengths
+        let mut piece_bytes: Vec<u32> = lengths
             .map(|length| u32::try_from(length).unwrap_or(u32::MAX))
             .collect();
-        cuts.pop();
-        Written {
+        piece_bytes.pop();
+        DocumentRepr {
             version: document.version,
             text: document.text().into(),
-            cuts,
+            piece_bytes,
         }
     }
 }
 
-impl From<Written> for Document {
-    /// Cuts that don't fit the text leave the rest of it in one piece.
-    fn from(written: Written) -> Document {
+impl From<DocumentRepr> for Document {
+    /// Lengths that don't fit the text leave the rest of it in one piece.
+    fn from(written: DocumentRepr) -> Document {
         let mut rest = &*written.text;
-        let mut pieces = Vec::with_capacity(written.cuts.len() + 1);
-        for length in written.cuts {
+        let mut pieces = Vec::with_capacity(written.piece_bytes.len() + 1);
+        for length in written.piece_bytes {
             let Some((piece, after)) = rest.split_at_checked(length as usize) else {
                 break;
             };
@@ -80,74 +79,74 @@
     }
 }
 
-/// A run as it is written.
+/// The serialised form of a run.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum WrittenRun {
-    /// The place of the first piece, and how many.
+enum RunRepr {
+    /// The index of the first kept piece in the base, and the number of kept pieces.
     Keep(usize, usize),
-    /// So many of the new pieces.
+    /// The number of new pieces, taken in order from the delta's text.
     Insert(usize),
 }
 
-/// A delta as it is written: the new pieces of all runs are packed as one text.
+/// The serialised form of a delta. The new pieces of all runs are joined to one text.
 #[derive(Serialize, Deserialize)]
-pub(super) struct WrittenDelta {
+pub(super) struct DeltaRepr {
     base: u64,
     shape: Shape,
     version: u64,
-    runs: Vec<WrittenRun>,
+    runs: Vec<RunRepr>,
     #[serde(with = "self")]
     text: Arc<str>,
-    /// The lengths of the new pieces, in bytes.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    cuts: Vec<usize>,
+    /// The lengths of all new pieces, in bytes.
+    #[serde(default, rename = "cuts", skip_serializing_if = "Vec::is_empty")]
+    piece_bytes: Vec<usize>,
 }
 
-/// A written delta whose new text isn't what its runs need.
+/// The error for a serialised delta whose text doesn't match its runs.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 #[error("the text of a delta doesn't fit its runs")]
 pub(super) struct Damaged;
 
-impl From<Delta> for WrittenDelta {
-    fn from(delta: Delta) -> WrittenDelta {
+impl From<Delta> for DeltaRepr {
+    fn from(delta: Delta) -> DeltaRepr {
         let mut text = String::new();
-        let mut cuts = Vec::new();
+        let mut piece_bytes = Vec::new();
         let runs = delta.runs.iter().map(|run| match run {
-            Run::Keep { from, count } => WrittenRun::Keep(*from, *count),
+            Run::Keep { from, count } => RunRepr::Keep(*from, *count),
             Run::Insert(pieces) => {
                 text.extend(pieces.iter().map(Piece::as_str));
-                cuts.extend(pieces.iter().map(|piece| piece.as_str().len()));
-                WrittenRun::Insert(pieces.len())
+                piece_bytes.extend(pieces.iter().map(|piece| piece.as_str().len()));
+                RunRepr::Insert(pieces.len())
             }
         });
-        WrittenDelta {
+        DeltaRepr {
             base: delta.base,
             shape: delta.shape,
             version: delta.version,
             runs: runs.collect(),
             text: text.into(),
-            cuts,
+            piece_bytes,
         }
     }
 }
 
-impl TryFrom<WrittenDelta> for Delta {
+impl TryFrom<DeltaRepr> for Delta {
     type Error = Damaged;
 
-    fn try_from(written: WrittenDelta) -> Result<Delta, Damaged> {
+    fn try_from(written: DeltaRepr) -> Result<Delta, Damaged> {
         let mut rest = &*written.text;
-        let mut cuts = written.cuts.iter();
+        let mut lengths = written.piece_bytes.iter();
         let mut runs = Vec::with_capacity(written.runs.len());
         for run in written.runs {
             runs.push(match run {
-                WrittenRun::Keep(from, count) => Run::Keep { from, count },
-                WrittenRun::Insert(count) => {
+                RunRepr::Keep(from, count) => Run::Keep { from, count },
+                RunRepr::Insert(count) => {
                     let mut pieces = Vec::new();
                     for _ in 0..count {
-                        let cut = cuts.next().ok_or(Damaged)?;
-                        let (piece, after) = rest.split_at_checked(*cut).ok_or(Damaged)?;
+                        let length = lengths.next().ok_or(Damaged)?;
+                        let (piece, after) = rest.split_at_checked(*length).ok_or(Damaged)?;
                         pieces.push(Piece::from(piece));
                         rest = after;
                     }
@@ -155,7 +154,7 @@
                 }
             });
         }
-        if cuts.next().is_some() || !rest.is_empty() {
+        if lengths.next().is_some() || !rest.is_empty() {
             return Err(Damaged);
         }
         Ok(Delta {
@@ -171,10 +170,10 @@
 where
     S: Serializer,
 {
-    let text = match text.len() < SHORT {
+    let text = match text.len() < MIN_PACKED_BYTES {
         true => Text::Plain((&**text).into()),
         false => Text::Packed {
-            packed: BASE64_STANDARD.encode(compress_to_vec(text.as_bytes(), LEVEL)),
+            packed: BASE64_STANDARD.encode(compress_to_vec(text.as_bytes(), DEFLATE_LEVEL)),
         },
     };
     text.serialize(serializer)
@@ -189,7 +188,7 @@
         Text::Packed { packed } => packed,
     };
     let bytes = BASE64_STANDARD.decode(packed).map_err(D::Error::custom)?;
-    let bytes = decompress_to_vec_with_limit(&bytes, LIMIT).map_err(D::Error::custom)?;
+    let bytes = decompress_to_vec_with_limit(&bytes, MAX_TEXT_BYTES).map_err(D::Error::custom)?;
     let text = String::from_utf8(bytes).map_err(D::Error::custom)?;
     Ok(Arc::from(text))
 }
--- a/almondlock-state/src/document/publication.rs
+++ b/almondlock-state/src/document/publication.rs
@@ -1,4 +1,4 @@
-//! How a configuration is published: whole, or as what differs from the one in force.
+//! Publication of a configuration, whole or as a delta to the version in force.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,29 +8,30 @@
 };
 use crate::config::{Change, Config};
 
-/// A publication, as it stands in the log. A whole one is written as by earlier versions,
-/// which can't read a delta.
+/// A publication, as it is stored in the log. A whole text is stored in the format of
+/// earlier releases, which can't read a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Publication {
     /// The text and its version.
     #[serde(rename = "document")]
     Whole(Document),
-    /// What differs from the version that its proposer had applied.
+    /// The difference to the version that the proposer had applied.
     #[serde(rename = "delta")]
     Delta(Delta),
 }
 
 impl Publication {
-    /// What publishes `document` where `held` is in force: a delta if that is shorter.
+    /// Creates the publication of `document` while `held` is in force: a delta, if that is
+    /// much shorter.
     pub fn of(held: Option<&Document>, document: Document) -> Publication {
-        match held.and_then(|held| shorter(held, &document)) {
+        match held.and_then(|held| worthwhile_delta(held, &document)) {
             Some(delta) => Publication::Delta(delta),
             None => Publication::Whole(document),
         }
     }
 
-    /// The version that it publishes.
+    /// Returns the published version.
     pub fn version(&self) -> u64 {
         match self {
             Publication::Whole(document) => document.version,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The version that a delta applies to.
+    /// Returns the version that a delta applies to; `None` for a whole text.
     pub fn base(&self) -> Option<u64> {
         match self {
             Publication::Whole(_) => None,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The length of the text that it holds, in bytes.
+    /// Returns the length of the text that it contains, in bytes.
     pub fn text_bytes(&self) -> usize {
         match self {
             Publication::Whole(document) => document.len(),
@@ -55,12 +56,12 @@
     }
 }
 
-/// The change that a publication makes: none unless its version is the highest. Each
-/// replica makes the same one of the same state.
+/// Returns the change that a publication makes; `None` unless its version is the highest.
+/// All replicas compute the same change from the same state.
 ///
 /// # Errors
 ///
-/// If it is a delta and its base isn't in force. Nothing is to be changed then.
+/// If the publication is a delta whose base isn't in force. It changes nothing then.
 pub fn publish(config: &Config, publication: Publication) -> Result<Option<Change>, Mismatch> {
     let held = config.document.as_ref();
     if held.is_some_and(|held| publication.version() <= held.version) {
@@ -76,7 +77,7 @@
             return Err(Mismatch::Missing { expected });
         }
         (held, Publication::Whole(document)) => {
-            match held.and_then(|held| shorter(held, &document)) {
+            match held.and_then(|held| worthwhile_delta(held, &document)) {
                 Some(delta) => Change::Delta(delta),
                 None => Change::Document(Some(document)),
             }
@@ -85,9 +86,9 @@
     Ok(Some(change))
 }
 
-/// What makes `new` of `held`, if it is worth sending. A text in one piece shares no piece
-/// with another text.
-fn shorter(held: &Document, new: &Document) -> Option<Delta> {
+/// Returns the delta from `held` to `new`, if it is worth sending. A text in one piece
+/// shares no pieces with another text.
+fn worthwhile_delta(held: &Document, new: &Document) -> Option<Delta> {
     if held.pieces.len() < 2 || new.pieces.len() < 2 {
         return None;
     }
--- a/almondlock-state/src/evacuation.rs
+++ b/almondlock-state/src/evacuation.rs
@@ -1,24 +1,24 @@
-//! Failure domains whose upstreams take no new work.
+//! Evacuation of failure domains, whose upstreams then take no new requests.
 //!
-//! An operator evacuates a failure domain before work on its power or network, and
-//! withdraws that afterwards. Both are entered in the replicated state, so that neither
-//! is lost with a leader, and hosts that start later know of it. What runs there ends by
-//! itself.
+//! An operator evacuates a failure domain before work on its power or network, and ends the
+//! evacuation afterwards. Both are entered in the replicated state, so that neither is lost
+//! with a leader, and hosts that start later learn of it. Running requests finish normally.
 //!
 //! | order | result |
 //! |---|---|
-//! | a domain that takes work is evacuated | in force with the next revision |
-//! | one that is evacuated already | accepted, nothing changes |
-//! | the evacuation of a domain is withdrawn | in force with the next revision |
-//! | the same without an evacuation | accepted, nothing changes |
-//! | one more than [`limit::MAX_EVACUATIONS`] | refused |
+//! | evacuate a domain | in force with the next revision |
+//! | evacuate a domain that is evacuated already | accepted, nothing changes |
+//! | end the evacuation of a domain | in force with the next revision |
+//! | end the evacuation of a domain that isn't evacuated | accepted, nothing changes |
+//! | evacuate more than [`limit::MAX_EVACUATIONS`] domains | refused |
 //!
-//! Orders of two operators for one domain count in the order in which they are agreed on.
+//! Orders of two operators for one domain take effect in the order of the log.
 //!
-//! **Failure.** The upstreams of an evacuated domain are restarted there. Hosts hear of
-//! the end of the evacuation before they hear that those upstreams are cold, and send
-//! them as much as before, which a cold one doesn't bear. So each counts as cold from
-//! the end of the evacuation until its next heartbeat.
+//! **Failure.** The upstreams of an evacuated domain may be restarted during the
+//! evacuation. Hosts would learn that it has ended before they learn that these upstreams
+//! are cold, and would send them more requests than a cold upstream can take. Each instance
+//! in the domain therefore counts as cold from the end of the evacuation until its next
+//! heartbeat.
 
 use almondlock_base::{id::Domain, time::Wall};
 
@@ -28,11 +28,11 @@
     tables::Tables,
 };
 
-/// The change that evacuates a domain: none if it is evacuated already.
+/// Returns the change that evacuates a domain; `None` if it is evacuated already.
 ///
 /// # Errors
 ///
-/// Too many domains are evacuated.
+/// If too many domains are evacuated.
 pub fn begin(config: &Config, domain: Domain, drain: Drain) -> Result<Option<Change>, Full> {
     if config.evacuations.contains_key(&domain) {
         return Ok(None);
@@ -43,13 +43,13 @@
     Ok(Some(Change::Evacuation(domain, Some(drain))))
 }
 
-/// The change that withdraws an evacuation: none without one.
+/// Returns the change that ends an evacuation; `None` if the domain isn't evacuated.
 pub fn end(config: &Config, domain: Domain) -> Option<Change> {
     let known = config.evacuations.contains_key(&domain);
     known.then_some(Change::Evacuation(domain, None))
 }
 
-/// The order to evacuate a domain, as it stands in the log.
+/// Creates the entry for an evacuated domain.
 pub fn drain(reason: &str, now: Wall) -> Drain {
     Drain {
         since: now,
@@ -57,7 +57,8 @@
     }
 }
 
-/// Whether anything that is known stands in a failure domain.
+/// Returns whether a failure domain is evacuated or has a known upstream, instance or
+/// replica.
 pub fn is_known(tables: &Tables, domain: &Domain) -> bool {
     let config = &tables.config;
     let registered = config.upstreams.values().map(|known| &known.domain);
@@ -67,7 +68,7 @@
     all.any(|known| known == domain) || config.evacuations.contains_key(domain)
 }
 
-/// As many domains are evacuated as may be.
+/// The error for too many evacuated domains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("too many failure domains are evacuated")]
--- a/almondlock-state/src/history.rs
+++ b/almondlock-state/src/history.rs
@@ -1,7 +1,8 @@
-//! Who changed what, when, under which number, and how it ended.
+//! The history of plans: who changed what and when, under which change number, and the
+//! result.
 //!
-//! One record for each thing that an operator did or a plan came to. The
-//! newest [`limit::MAX_HISTORY_RECORDS`] are kept.
+//! There is one record for each action of an operator and each end of a plan. The newest
+//! [`limit::MAX_HISTORY_RECORDS`] records are kept.
 
 use std::collections::VecDeque;
 
@@ -10,23 +11,23 @@
 
 use crate::{limit, plan};
 
-/// One thing that happened.
+/// An event in the history of a plan.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// When, by the leader's clock.
+    /// The time of the event, by the leader's clock.
     pub at: Wall,
-    /// The operator, or empty for what the system did by itself.
+    /// The operator, or empty if the system acted by itself.
     pub operator: String,
-    /// The plan.
+    /// The plan's number.
     pub plan: plan::Id,
-    /// The change number of the plan.
+    /// The plan's change number.
     pub number: String,
-    /// What happened: proposed, confirmed, stopped, done, failed.
+    /// The event: proposed, confirmed, stopped, done, or failed.
     pub event: String,
-    /// The intent, or what went wrong.
+    /// The intent, or the cause of a failure.
     pub detail: String,
-    /// The revision after it.
+    /// The revision of the configuration at the time of the event.
     pub revision: Revision,
 }
 
@@ -47,7 +48,7 @@
         self.records.push_back(record);
     }
 
-    /// The records, newest first.
+    /// Returns the records, newest first.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
         self.records.iter().rev()
     }
--- a/almondlock-state/src/instance.rs
+++ b/almondlock-state/src/instance.rs
@@ -1,33 +1,30 @@
-//! Upstreams that entry hosts call without a sidecar between, by their own
-//! heartbeats.
+//! Instances: upstreams without a sidecar, which announce themselves by heartbeats.
 //!
-//! Each start of such an upstream is a life of its own, told apart by its name
-//! and its [`Birth`]: a server may start again under the name that it had, and
-//! then knows nothing of before. A life never returns once it is gone. That
-//! settles the cases that matter:
+//! Each start of an instance is an incarnation, identified by the instance's name and its
+//! start time ([`Birth`]): a server may restart under its earlier name, without any of its
+//! earlier state. An incarnation that is gone never returns. The cases are:
 //!
 //! | heartbeat or notice | result |
 //! |---|---|
 //! | a new name | enrolled |
-//! | a known life, same figures | nothing changes |
-//! | a known life that is leaving says `ready` | it stays leaving: the heartbeat was delayed |
-//! | a later life of a name that is known or gone | enrolled as it is: the earlier one is over |
-//! | an earlier life of a known name | nothing changes: the heartbeat was delayed |
-//! | a life that is gone, or an earlier one | nothing changes: the heartbeat was delayed |
-//! | a new name at a known address | the instance known there is gone, its address was given on |
-//! | the same, born before the one known there | nothing changes: the heartbeat was delayed |
+//! | a known incarnation, same values | nothing changes |
+//! | a leaving incarnation reports `ready` | stays leaving: the heartbeat was delayed |
+//! | a later incarnation of a known or gone name | enrolled: the earlier one has ended |
+//! | an earlier incarnation of a known name | nothing changes: the heartbeat was delayed |
+//! | an incarnation that is gone, or an earlier one | nothing changes: the heartbeat was delayed |
+//! | a new name at a known address | enrolled: the instance known at that address is gone |
+//! | a new name at a known address, started before the instance known there | nothing changes: the heartbeat was delayed |
 //!
-//! Births come from the clocks of the servers' hosts. If such a clock is set back
-//! between two lives of one name, the later life looks like the earlier one and
-//! is kept out until its birth is beyond the last one known: it can't be told from
-//! a heartbeat that the network held back, and to send callers' requests to a
-//! life that is gone would lose them, while the other servers take what one that
-//! is kept out would have served.
+//! Start times come from the clocks of the servers' hosts. If such a clock is set back
+//! between two incarnations of one name, the later one looks like a delayed heartbeat of
+//! an earlier one and is not enrolled until its start time exceeds the last known one.
+//! Sending requests to an incarnation that is gone would lose them, whereas the load of a
+//! server that is kept out is taken by the others.
 //!
-//! A notice that an instance is gone names no life: it ends the one that is known.
+//! A notice that an instance is gone names no incarnation: it ends the known one.
 //!
-//! Whether an instance is cold is what its last heartbeat said. When the evacuation of
-//! its failure domain ends it counts as cold until its next one.
+//! Whether an instance is cold is taken from its last heartbeat. When the evacuation of
+//! its failure domain ends, it counts as cold until its next heartbeat.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -47,52 +44,54 @@
     limit,
 };
 
-/// When a life of an instance began: the Unix millisecond that its host's clock
-/// showed. A later life of the same name has a greater one. Zero if the instance
-/// doesn't tell, which counts as before all others.
+/// The start time of an instance's incarnation: Unix milliseconds by its host's clock. A
+/// later incarnation of the same name has a greater one. Zero if the instance doesn't
+/// report it, which counts as earlier than all others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Birth(pub u64);
 
-/// An instance as it describes itself.
+/// An instance, as described by its heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Instance {
-    /// The service that it belongs to.
+    /// The service that the instance belongs to.
     pub service: Service,
-    /// Where it is called.
+    /// The address on which it takes requests.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: Domain,
-    /// Requests that it runs at one time.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// It takes no new work. Invariant: never goes back to false within a life.
+    /// Whether it takes no new requests. Invariant: never returns to false within an
+    /// incarnation.
     pub leaving: bool,
-    /// Which life of its name this is.
+    /// The start time of this incarnation.
     #[serde(default)]
     pub birth: Birth,
-    /// It has just started, or must be taken to have: it bears few requests. It says
-    /// itself when that is over.
+    /// Whether it has just started, or has to be treated so, and can take few requests. The
+    /// instance reports itself when this ends.
     #[serde(default)]
     pub cold: bool,
 }
 
-/// The names that are gone.
+/// The instances that are gone.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
-    /// Invariant: at most `limit::MAX_GONE_INSTANCES`, oldest first, none twice.
+    /// The names of the instances, oldest first. Invariant: at most
+    /// `limit::MAX_GONE_INSTANCES`, without duplicates.
     gone: VecDeque<Upstream>,
-    /// The last life of those of them that told their birth. Invariant: each name
-    /// in it is also in `gone`.
+    /// The last start time of each of them that reported one. Invariant: each name is also
+    /// in `gone`.
     #[serde(default)]
     births: BTreeMap<Upstream, Birth>,
 }
 
 impl Table {
-    /// The changes that a heartbeat makes.
+    /// Applies a heartbeat, and returns the changes that it makes to the configuration.
     pub fn enrol(&mut self, config: &Config, name: &Upstream, mut record: Instance) -> Vec<Change> {
-        if self.is_over(name, record.birth) {
+        if self.is_stale(name, record.birth) {
             return Vec::new();
         }
         let known = config.instances.get(name);
@@ -102,8 +101,8 @@
         if known.is_some_and(|known| record.birth < known.birth) {
             return Vec::new();
         }
-        let same_life = known.filter(|known| known.birth == record.birth);
-        record.leaving |= same_life.is_some_and(|known| known.leaving);
+        let known_incarnation = known.filter(|known| known.birth == record.birth);
+        record.leaving |= known_incarnation.is_some_and(|known| known.leaving);
         if known == Some(&record) {
             return Vec::new();
         }
@@ -117,25 +116,26 @@
         }
         let mut changes = Vec::new();
         for (other, birth) in others {
-            self.bury(other, birth);
+            self.mark_gone(other, birth);
             changes.push(Change::Instance(other.clone(), None));
         }
-        self.unbury(name);
+        self.unmark_gone(name);
         changes.push(Change::Instance(name.clone(), Some(record)));
         changes
     }
 
-    /// The change made by a notice that an instance is gone, or by its silence.
+    /// Marks an instance as gone, after its own notice or the end of its lease, and returns
+    /// the change that this makes to the configuration.
     pub fn withdraw(&mut self, config: &Config, name: &Upstream) -> Option<Change> {
         let known = config.instances.get(name);
         if known.is_some() || !self.is_gone(name) {
-            self.bury(name, known.map_or_else(Birth::default, |known| known.birth));
+            self.mark_gone(name, known.map_or_else(Birth::default, |known| known.birth));
         }
         known.map(|_| Change::Instance(name.clone(), None))
     }
 
-    fn bury(&mut self, name: &Upstream, birth: Birth) {
-        self.unbury(name);
+    fn mark_gone(&mut self, name: &Upstream, birth: Birth) {
+        self.unmark_gone(name);
         self.gone.push_back(name.clone());
         if birth > Birth::default() {
             self.births.insert(name.clone(), birth);
@@ -147,85 +147,87 @@
         }
     }
 
-    fn unbury(&mut self, name: &Upstream) {
+    fn unmark_gone(&mut self, name: &Upstream) {
         self.gone.retain(|gone| gone != name);
         self.births.remove(name);
     }
 
-    /// Whether this life of the name is gone, or comes before the one that is.
-    fn is_over(&self, name: &Upstream, birth: Birth) -> bool {
+    /// Returns whether this incarnation is gone, or precedes one that is.
+    fn is_stale(&self, name: &Upstream, birth: Birth) -> bool {
         let last = self.births.get(name).copied().unwrap_or_default();
         self.is_gone(name) && birth <= last
     }
 
-    /// Whether the last known life of the name is gone.
+    /// Returns whether the last known incarnation of the name is gone.
     pub fn is_gone(&self, name: &Upstream) -> bool {
         self.gone.contains(name)
     }
 }
 
-/// Whether an instance can't be entered because the table is full.
+/// Returns whether an instance can't be enrolled because the table is full.
 fn has_no_room(config: &Config, name: &Upstream) -> bool {
     config.instances.len() >= limit::MAX_INSTANCES && !config.instances.contains_key(name)
 }
 
-/// What a heartbeat asks of the leader.
+/// What the leader has to do about a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// Nothing new: it is acknowledged.
+    /// The heartbeat reports nothing new, and can be acknowledged.
     Unchanged,
-    /// It has been leaving since this revision, or an earlier one: it is acknowledged
-    /// once that is in force everywhere.
+    /// The instance has been leaving since this revision or an earlier one. The heartbeat is
+    /// acknowledged once the revision is in force in all processes.
     Leaving(Revision),
-    /// It must be entered before it is acknowledged.
+    /// The heartbeat must be entered in the state before it is acknowledged.
     Changed,
-    /// It should be entered, and the table is full.
+    /// The instance can't be enrolled because the table is full.
     Full,
 }
 
-/// A heartbeat that told nothing new, as one replica tells another of it.
+/// A heartbeat that reported nothing new, as one replica relays it to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Whose it was.
+    /// The instance's name.
     pub name: Upstream,
-    /// Of which of its lives.
+    /// The start time of the instance's incarnation.
     pub birth: Birth,
-    /// Its number in that life.
+    /// The number of the heartbeat within the incarnation.
     pub sequence: u64,
 }
 
 impl Heartbeat {
-    /// Whether a heartbeat tells what is known already, and that its sender goes on:
-    /// then nobody has to decide anything about it.
+    /// Returns whether the heartbeat reports what is known already and its sender isn't
+    /// leaving, so that the leader has nothing to decide.
     pub fn is_routine(&self, config: &Config, record: &Instance) -> bool {
         !record.leaving && config.instances.get(&self.name) == Some(record)
     }
 }
 
-/// When each instance was last heard. Only a leader keeps it, in memory; a new
-/// leader gives all of them a whole lease, so that an election forgets nobody.
+/// The last heartbeat of each instance. Only the leader keeps it, in memory. A new leader
+/// grants each instance a full lease, so that an election ends none.
 #[derive(Debug, Default)]
 pub struct Roster {
-    heard: HashMap<Upstream, Heard>,
+    heard: HashMap<Upstream, Contact>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    // The latest life that was heard.
+struct Contact {
+    // The latest incarnation that was heard.
     birth: Birth,
-    // The highest number that its heartbeats bore.
+    // The highest number of the incarnation's heartbeats.
     sequence: u64,
     at: Mono,
-    // The revision in which it was leaving when that was first said here.
+    // The revision in force when the instance was first heard to be leaving.
     leaving: Option<Revision>,
 }
 
 impl Roster {
-    /// Takes note of a heartbeat. One that was overtaken by a later one of the
-    /// same instance is acknowledged and otherwise ignored, but that the word that it
-    /// leaves is acknowledged as any other such word: the sender counts from whichever
-    /// acknowledgement comes first. Numbers count within a life: a new one begins anew.
+    /// Records a heartbeat and returns what to do about it.
+    ///
+    /// A heartbeat that was overtaken by a later one of the same instance is acknowledged
+    /// and otherwise ignored, unless it says that the instance is leaving: the sender counts
+    /// from the first acknowledgement of that, so each one has to wait for its revision.
+    /// Sequence numbers start anew with each incarnation.
     pub fn receive(
         &mut self,
         now: Mono,
@@ -235,13 +237,13 @@
     ) -> Disposition {
         let birth = record.birth;
         let last = self.heard.get(name).copied();
-        let is_overtaken = |last: Heard| (birth, sequence) < (last.birth, last.sequence);
-        let leaves = |last: Heard| birth == last.birth && record.leaving;
+        let is_overtaken = |last: Contact| (birth, sequence) < (last.birth, last.sequence);
+        let leaves = |last: Contact| birth == last.birth && record.leaving;
         if last.is_some_and(|last| is_overtaken(last) && !leaves(last)) {
             return Disposition::Unchanged;
         }
         let highest = last.filter(|last| last.birth == birth);
-        let mut heard = Heard {
+        let mut heard = Contact {
             birth,
             sequence: highest.map_or(sequence, |last| sequence.max(last.sequence)),
             at: now,
@@ -253,7 +255,8 @@
         });
         let leaving = same && record.leaving;
         if leaving {
-            // Said again and again while other changes come, it doesn't wait for those.
+            // Repeated heartbeats keep the first revision, so as not to wait for later
+            // changes.
             heard.leaving.get_or_insert(config.revision);
         }
         self.heard.insert(name.clone(), heard);
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Another replica heard an instance that had nothing new to tell.
+    /// Records a heartbeat without news that another replica received.
     pub fn receive_relayed(&mut self, now: Mono, heartbeat: &Heartbeat) {
         let told = (heartbeat.birth, heartbeat.sequence);
         let heard = self.heard.get_mut(&heartbeat.name);
@@ -277,7 +280,7 @@
             None => {
                 let last = self.heard.get(&heartbeat.name);
                 if last.is_none_or(|last| (last.birth, last.sequence) < told) {
-                    let heard = Heard {
+                    let heard = Contact {
                         birth: heartbeat.birth,
                         sequence: heartbeat.sequence,
                         at: now,
@@ -289,13 +292,13 @@
         }
     }
 
-    /// The instances that were not heard for a lease.
+    /// Returns the instances that were not heard for a lease.
     pub fn find_silent(&mut self, now: Mono, lease: Duration, config: &Config) -> Vec<Upstream> {
         self.heard
             .retain(|name, _| config.instances.contains_key(name));
         let mut lapsed = Vec::new();
         for name in config.instances.keys() {
-            let fresh = Heard {
+            let fresh = Contact {
                 birth: Birth::default(),
                 sequence: 0,
                 at: now,
@@ -309,7 +312,7 @@
         lapsed
     }
 
-    /// Forgets everything, as a replica that doesn't lead must.
+    /// Forgets all heartbeats, as a replica must that doesn't lead.
     pub fn clear(&mut self) {
         self.heard.clear();
     }
--- a/almondlock-state/src/intent.rs
+++ b/almondlock-state/src/intent.rs
@@ -1,4 +1,4 @@
-//! What an operator wants, before anything is worked out.
+//! The changes that an operator can ask for.
 
 use almondlock_base::{
     id::{Adapter, Domain, Model, Organisation, Service, Upstream, Version},
@@ -14,176 +14,176 @@
     replica::{self, Replica},
 };
 
-/// What is to be so.
+/// A change that an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "intent", rename_all = "kebab-case")]
 pub enum Intent {
-    /// A new organisation, without keys.
+    /// Adds an organisation, without keys.
     AddOrganisation {
-        /// Its name.
+        /// The name of the organisation.
         name: Organisation,
-        /// What it may use; what isn't given has a default.
+        /// Its limits. Those that are not given get a default.
         #[serde(default)]
         limits: Limits,
     },
-    /// Other limits for an organisation.
+    /// Changes the limits of an organisation.
     ChangeOrganisation {
-        /// Its name.
+        /// The name of the organisation.
         name: Organisation,
-        /// What changes; what isn't given stays.
+        /// The new limits. Those that are not given stay.
         limits: Limits,
     },
-    /// No such organisation any more.
+    /// Removes an organisation.
     RemoveOrganisation {
-        /// Its name.
+        /// The name of the organisation.
         name: Organisation,
     },
-    /// One more key for an organisation.
+    /// Adds a key to an organisation.
     AddKey {
-        /// Its name.
+        /// The name of the organisation.
         organisation: Organisation,
         /// The key's hash.
         hash: KeyHash,
     },
-    /// A key is no longer accepted.
+    /// Revokes a key of an organisation.
     RevokeKey {
-        /// Its name.
+        /// The name of the organisation.
         organisation: Organisation,
-        /// The key's hash, or its first digits.
+        /// The key's hash, or the first eight or more of its digits.
         hash: KeyHash,
     },
-    /// A model that callers may name.
+    /// Adds a model that callers may request.
     AddModel {
-        /// Its name.
+        /// The name of the model.
         name: Model,
-        /// The version that runs.
+        /// The version that requests run on.
         version: Version,
-        /// Longest prompt and answer together.
+        /// The maximum length of prompt and answer together.
         context: Tokens,
     },
-    /// Callers may name the model no more.
+    /// Removes a model: callers may no longer request it.
     RemoveModel {
-        /// Its name.
+        /// The name of the model.
         name: Model,
     },
-    /// Another version on all upstreams of a model.
+    /// Upgrades all upstreams of a model to a version.
     Rollout {
         /// The model.
         model: Model,
-        /// The version to come.
+        /// The new version.
         version: Version,
-        /// How many of a hundred upstreams must go on serving.
+        /// The percentage of the model's upstreams that must go on serving.
         #[serde(default = "default_keep")]
         keep: u8,
     },
-    /// An adapter callers may ask for, or another version of it.
+    /// Adds an adapter that callers may request, or changes its version.
     SetAdapter {
         /// The model.
         model: Model,
         /// The adapter.
         adapter: Adapter,
-        /// Its version.
+        /// The adapter's version.
         version: Version,
     },
-    /// Callers may ask for the adapter no more.
+    /// Removes an adapter: callers may no longer request it.
     RemoveAdapter {
         /// The model.
         model: Model,
         /// The adapter.
         adapter: Adapter,
     },
-    /// A plain service, or other rules for it.
+    /// Adds a plain service, or changes its rules.
     SetService {
-        /// Its name.
+        /// The name of the service.
         name: Service,
-        /// HTTP methods that may be sent again.
+        /// The HTTP methods whose requests may be repeated.
         repeatable: Vec<String>,
     },
-    /// The service isn't routed to any more.
+    /// Removes a plain service: requests are no longer routed to it.
     RemoveService {
-        /// Its name.
+        /// The name of the service.
         name: Service,
     },
-    /// An upstream takes no new work.
+    /// Drains an upstream: it takes no new requests.
     Drain {
-        /// Its name.
+        /// The name of the upstream.
         upstream: Upstream,
-        /// Why.
+        /// The operator's reason.
         reason: String,
     },
-    /// A drained upstream takes work again.
+    /// Returns a drained upstream to work.
     Return {
-        /// Its name.
+        /// The name of the upstream.
         upstream: Upstream,
     },
-    /// No upstream of a failure domain takes new work.
+    /// Evacuates a failure domain: its upstreams take no new requests.
     Evacuate {
-        /// The domain.
+        /// The failure domain.
         domain: Domain,
-        /// Why.
+        /// The operator's reason.
         reason: String,
     },
-    /// The upstreams of an evacuated failure domain take work again.
+    /// Ends the evacuation of a failure domain.
     Readmit {
-        /// The domain.
+        /// The failure domain.
         domain: Domain,
     },
-    /// A setting for all processes; without a value it is taken away.
+    /// Sets or removes a setting that applies to all processes.
     SetSetting {
-        /// Its name.
+        /// The name of the setting.
         name: String,
-        /// Its value.
+        /// The new value; `None` removes the setting.
         value: Option<String>,
     },
-    /// One more control replica.
+    /// Adds a control replica.
     AddReplica {
-        /// Where it waits.
+        /// The addresses and failure domain of the new replica.
         replica: Replica,
     },
-    /// One control replica less.
+    /// Removes a control replica.
     RemoveReplica {
         /// The identity of its disk.
         id: replica::Id,
     },
-    /// A control replica instead of another: added first, then removed.
+    /// Replaces a control replica: adds the new one, then removes the old one.
     ReplaceReplica {
-        /// The identity that goes.
+        /// The identity of the old replica's disk.
         old: replica::Id,
-        /// Where the one that comes waits.
+        /// The addresses and failure domain of the new replica.
         replica: Replica,
     },
-    /// An operator, or another key or role for one.
+    /// Adds an operator, or changes an operator's key and role.
     SetOperator {
-        /// Its name.
+        /// The name of the operator.
         name: String,
-        /// The hash of its key.
+        /// The hash of the operator's key.
         hash: KeyHash,
-        /// What it may do.
+        /// The operator's role.
         role: Role,
     },
-    /// No such operator any more.
+    /// Removes an operator.
     RemoveOperator {
-        /// Its name.
+        /// The name of the operator.
         name: String,
     },
-    /// Put back what a plan changed.
+    /// Undoes the changes that a plan has made.
     Undo {
-        /// The plan.
+        /// The number of the plan.
         plan: plan::Id,
     },
 }
 
-/// What an organisation may use, as far as given.
+/// New limits of an organisation. `None` leaves a limit as it is.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Weight of its share.
+    /// Weight of the organisation's share of the fleet.
     pub share: Option<u32>,
-    /// Requests per second; 0 is no limit.
+    /// Requests per second; 0 means no limit.
     pub rate: Option<u32>,
-    /// Tokens in flight; 0 is no limit.
+    /// Tokens in flight; 0 means no limit.
     pub tokens: Option<Tokens>,
     /// Default deadline in milliseconds.
     pub deadline: Option<u64>,
@@ -196,14 +196,14 @@
 }
 
 impl Intent {
-    /// Shortens the hash of a key, for showing it.
+    /// Shortens the hash of a key for display.
     pub fn mask(&mut self) {
         if let Intent::AddKey { hash, .. } | Intent::SetOperator { hash, .. } = self {
             hash.truncate(api::HASH_DIGITS);
         }
     }
 
-    /// The least role that may ask for it.
+    /// Returns the least role that may ask for this change.
     pub const fn required_role(&self) -> Role {
         match self {
             Intent::AddReplica { .. }
--- a/almondlock-state/src/lib.rs
+++ b/almondlock-state/src/lib.rs
@@ -1,11 +1,12 @@
-//! The state that all replicas agree on, as plain data and pure functions.
+//! The state machine of the replicated log, as plain data and pure functions.
 //!
-//! A command goes in, a reply comes out, and two replicas that apply the same
-//! commands in the same order hold the same state: nothing here reads a clock
-//! or draws a random number. The part of the state that every process of the
-//! system needs, [`config`], is kept apart from the part that only the
-//! replicas hold (claims, plans, history), because the first is spread to
-//! hundreds of processes and the second changes with the traffic.
+//! Applying a [`command`] to the [`machine`] changes the state and returns a reply.
+//! Replicas that apply the same commands in the same order hold the same state: no code
+//! here that they run reads a clock or draws a random number.
+//!
+//! The part of the state that all processes need, [`config`], is separate from the part
+//! that only the replicas hold (claims, plans, history), because the former is distributed
+//! to hundreds of processes and the latter changes with the traffic.
 
 #![warn(clippy::unwrap_used, clippy::expect_used)]
 
--- a/almondlock-state/src/operator.rs
+++ b/almondlock-state/src/operator.rs
@@ -1,8 +1,8 @@
-//! Operators, and what each may do.
+//! Operators and their roles.
 //!
-//! An operator proves itself by a key, of which only the hash is kept. The
-//! first administrator's hash comes from the settings at the first start;
-//! every other one is added by a plan, like any other change.
+//! An operator is authenticated by a key, of which only the hash is stored. The first
+//! administrator's hash comes from the settings at the first start; all other operators are
+//! added by plans, like any other change.
 
 use std::fmt;
 
@@ -10,16 +10,16 @@
 
 use crate::config::KeyHash;
 
-/// What an operator may do. Each role may do all that the ones before may.
+/// The role of an operator. Each role includes the permissions of those before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// May look.
+    /// May read the state.
     Viewer,
-    /// May change organisations, models and upstreams.
+    /// May also change organisations, models, services, settings and upstreams.
     Operator,
-    /// May change operators and replicas.
+    /// May also change operators and replicas.
     Admin,
 }
 
@@ -37,18 +37,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Operator {
-    /// The hash of its key.
+    /// The hash of the operator's key.
     pub key: KeyHash,
-    /// What it may do.
+    /// The operator's role.
     pub role: Role,
 }
 
-/// The hash that a key is kept as.
+/// Returns the hash under which a key is stored.
 pub fn hash_key(key: &str) -> KeyHash {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-/// Whether a text can be the hash of a key.
+/// Returns whether a text has the form of a key's hash.
 pub fn is_key_hash(text: &str) -> bool {
     text.len() == 64
         && text
--- a/almondlock-state/src/order.rs
+++ b/almondlock-state/src/order.rs
@@ -1,19 +1,19 @@
-//! Orders to upstreams, and why an old one can't do harm.
+//! Load orders to upstreams, with fencing against delayed ones.
 //!
-//! An order (load this version) may be delayed on its way and arrive after a
-//! later one. Engines that check fencing numbers refuse it then; the others
-//! would act on it and unload what they just loaded. Four rules keep both safe:
+//! An order to load a version may be delayed and arrive after a later one. Engines that
+//! check fencing numbers refuse it then; the others would carry it out and unload the newer
+//! version. Four rules protect both:
 //!
-//! 1. Fencing numbers come from the replicated state, so that a new leader
-//!    knows the highest one before it issues any.
-//! 2. Each order names one life of one sidecar, which alone may hand it on.
-//! 3. An order may be handed on only until a stated time.
-//! 4. When the sidecar's life changes, the next order waits until the last one
-//!    of the earlier life can no longer be handed on, unless the engine checks
-//!    fencing numbers.
+//! 1. Fencing numbers come from the replicated state, so that a new leader knows the
+//!    highest one before it issues an order.
+//! 2. Each order names one incarnation of one sidecar, which alone may forward it.
+//! 3. An order may be forwarded only until its expiry.
+//! 4. After a restart of the sidecar, the next order waits until the last one of the
+//!    earlier incarnation can no longer be forwarded, unless the engine checks fencing
+//!    numbers.
 //!
-//! A sidecar with a clock that is wrong by more than [`MARGIN`] breaks rule 3;
-//! for an engine that doesn't check, that is not defended against.
+//! A sidecar whose clock is wrong by more than [`CLOCK_MARGIN`] breaks rule 3. Engines that
+//! don't check fencing numbers are not protected against that.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -25,31 +25,31 @@
 
 use crate::config::{Order, Registration};
 
-/// How long an order may be handed on.
+/// Time for which an order may be forwarded.
 pub const LIFETIME: Duration = Duration::from_secs(600);
 
-/// What two hosts' clocks may differ by, and what an order may be on its way
-/// from sidecar to engine.
+/// Allowance for the difference of two hosts' clocks, and for the time that an order takes
+/// from the sidecar to the engine.
 pub const CLOCK_MARGIN: Duration = Duration::from_secs(10);
 
 /// The last order to each upstream.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
-    last: BTreeMap<Upstream, Last>,
+    last: BTreeMap<Upstream, LastOrder>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-struct Last {
-    /// Invariant: the highest fencing number ever given to this upstream.
+struct LastOrder {
+    /// Invariant: the highest fencing number issued for this upstream.
     fence: u64,
     issuer: Incarnation,
     until: Wall,
 }
 
 impl Table {
-    /// From when on the upstream, as registered, may be given a new order.
+    /// Returns the time from which a new order may be issued to the upstream.
     pub fn ready_at(&self, name: &Upstream, registration: &Registration) -> Wall {
         match self.last.get(name) {
             Some(last) if !registration.fenced && last.issuer != registration.incarnation => {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Makes the next order, unless the upstream isn't ready for one.
+    /// Issues the next order, or returns `None` if it is too early for one.
     pub fn issue(
         &mut self,
         name: &Upstream,
@@ -74,7 +74,7 @@
         let (issuer, until) = (registration.incarnation, now + LIFETIME);
         self.last.insert(
             name.clone(),
-            Last {
+            LastOrder {
                 fence,
                 issuer,
                 until,
@@ -90,7 +90,8 @@
         })
     }
 
-    /// Forgets upstreams that are gone for good, long after their last order.
+    /// Removes the last orders of unknown upstreams after
+    /// [`limit::INCARNATION_RETENTION`](crate::limit::INCARNATION_RETENTION).
     pub fn expire<F>(&mut self, known: F, now: Wall)
     where
         F: Fn(&Upstream) -> bool,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Whether a sidecar's life may hand an order to its upstream now.
-pub fn may_forward(order: &Order, life: Incarnation, now: Wall) -> bool {
-    order.issuer == life && now < order.until
+/// Returns whether an incarnation of a sidecar may forward an order to its upstream now.
+pub fn may_forward(order: &Order, incarnation: Incarnation, now: Wall) -> bool {
+    order.issuer == incarnation && now < order.until
 }
--- a/almondlock-state/src/poison.rs
+++ b/almondlock-state/src/poison.rs
@@ -1,23 +1,21 @@
-//! Requests that kill the upstreams that run them.
+//! Quarantine of poison requests, which crash the upstreams that run them.
 //!
-//! When an engine dies, every request that ran there is blamed for the death.
-//! Most of them are innocent, so one death only makes a suspect: it may run
-//! again, but never beside another suspect, and is cleared when it finishes. A
-//! fingerprint is refused everywhere from [`limit::MAX_SOLE_DEATHS`] deaths that
-//! blame it alone, or [`limit::MAX_DEATHS`] in all. The fleet thus loses at most
-//! three engines to one poisonous request, however often it is sent again and
-//! through whichever entry hosts.
+//! When an engine dies, each request that ran there is blamed for the death. Most of
+//! them are innocent, so one death only makes a request a suspect: it may run again, but
+//! not beside another suspect, and is cleared when it finishes. Its fingerprint is refused
+//! everywhere after [`limit::MAX_SOLE_DEATHS`] deaths for which no other request is
+//! blamed, or [`limit::MAX_DEATHS`] deaths in all. One poison request thus costs at most
+//! three engines, however often and through whichever entry hosts it is sent.
 //!
-//! A suspect's next run is *charged* first: the death it may cause is entered
-//! before it starts, and taken back when the run ends with the engine alive (only
-//! a run that finished clears the suspicion too).
-//! Otherwise copies sent through several entry hosts at the same moment would
-//! all run before the first of their deaths is known, and an entry host that
-//! dies with the engine would blame nobody.
+//! A suspect's next run is *charged* in advance: the death that it may cause is recorded
+//! before the run starts, and taken back when the run ends with the engine alive. (Only a
+//! run that finishes also clears the suspicion.) Otherwise copies sent through several
+//! entry hosts at once would all run before the first death is known, and an entry host
+//! that dies together with the engine would blame no request.
 //!
-//! Fingerprints are made over the organisation's name, so that nobody can get
-//! another's requests blamed; the tables are bounded for each organisation, so
-//! that nobody can push another's suspects out.
+//! Fingerprints include the organisation's name, so that no organisation can get another
+//! one's requests blamed. The number of suspects is bounded for each organisation, so
+//! that none can evict another one's suspects.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,55 +31,57 @@
     limit,
 };
 
-/// One death of an upstream: the upstream and the life that ended.
+/// The death of an upstream, identified by the upstream and the incarnation that ended.
 pub type Death = (Upstream, Incarnation);
 
-/// Which deaths each fingerprint is blamed for.
+/// The deaths that each suspect is blamed for.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
-    /// By the fingerprint's hexadecimal form, as in the configuration.
+    /// Suspects by the hexadecimal form of their fingerprint, as in the configuration.
     ///
     /// Invariant: has the same keys as `Config::quarantines`.
     suspects: BTreeMap<String, Suspect>,
-    swept: Wall,
+    /// When expired suspects were last removed.
+    #[serde(rename = "swept")]
+    last_sweep: Wall,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 struct Suspect {
-    print: Fingerprint,
+    #[serde(rename = "print")]
+    fingerprint: Fingerprint,
     /// Invariant: at most `limit::MAX_DEATHS`.
     deaths: BTreeSet<Death>,
-    /// Deaths entered in advance for runs that have not ended.
+    /// Deaths recorded in advance, for runs that have not ended.
     ///
-    /// Invariant: none of them is in `deaths`, and both together are at most
-    /// `limit::MAX_DEATHS` unless blame came from outside.
+    /// Invariant: disjoint from `deaths`. Both together are at most
+    /// `limit::MAX_DEATHS`, unless a death was blamed that had not been charged.
     #[serde(default)]
     charges: BTreeSet<Death>,
 }
 
 impl Table {
-    /// Blames a fingerprint for a death. Told twice of the same death, it
-    /// counts it once.
+    /// Blames a fingerprint for a death. The same death counts once.
     pub fn blame(
         &mut self,
         config: &Config,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         organisation: &Organisation,
         death: Death,
         now: Wall,
     ) -> Result<Vec<Change>, Code> {
-        let name = print.to_string();
+        let name = fingerprint.to_string();
         let mut changes = Vec::new();
         if !self.suspects.contains_key(&name) {
-            changes.extend(self.make_room(config, organisation)?);
+            changes.extend(self.evict_oldest(config, organisation)?);
         }
         let suspect = self
             .suspects
             .entry(name.clone())
             .or_insert_with(|| Suspect {
-                print,
+                fingerprint,
                 deaths: BTreeSet::new(),
                 charges: BTreeSet::new(),
             });
@@ -89,21 +89,21 @@
         if suspect.deaths.len() < limit::MAX_DEATHS && !suspect.deaths.insert(death) {
             return Ok(changes);
         }
-        changes.push(self.quarantine(&name, print, organisation, now));
+        changes.push(self.quarantine_change(&name, fingerprint, organisation, now));
         Ok(changes)
     }
 
-    /// Enters the death that a suspect's run may cause. The run may start only
-    /// once this is accepted.
+    /// Records in advance the death that a suspect's run may cause. The run may start only
+    /// if this is accepted.
     pub fn charge(
         &mut self,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         organisation: &Organisation,
         death: Death,
         now: Wall,
     ) -> Result<Vec<Change>, Code> {
-        let name = print.to_string();
-        // Cleared meanwhile: it runs as any other.
+        let name = fingerprint.to_string();
+        // The suspect has been cleared meanwhile, and may run like any other request.
         let Some(suspect) = self.suspects.get_mut(&name) else {
             return Ok(Vec::new());
         };
@@ -111,40 +111,45 @@
             return Ok(Vec::new());
         }
         let entered = suspect.deaths.len() + suspect.charges.len();
-        if entered >= limit::MAX_DEATHS || self.is_guilty(&name) {
+        if entered >= limit::MAX_DEATHS || self.is_proven(&name) {
             return Err(Code::Quarantined);
         }
         if let Some(suspect) = self.suspects.get_mut(&name) {
             suspect.charges.insert(death);
         }
-        Ok(vec![self.quarantine(&name, print, organisation, now)])
+        Ok(vec![self.quarantine_change(
+            &name,
+            fingerprint,
+            organisation,
+            now,
+        )])
     }
 
-    /// Takes a charge back: the run ended, and the upstream lives.
+    /// Takes a charge back after the run ended with the upstream alive.
     pub fn discharge(
         &mut self,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         organisation: &Organisation,
         death: &Death,
         now: Wall,
     ) -> Option<Change> {
-        let name = print.to_string();
+        let name = fingerprint.to_string();
         let taken = self.suspects.get_mut(&name)?.charges.remove(death);
-        taken.then(|| self.quarantine(&name, print, organisation, now))
+        taken.then(|| self.quarantine_change(&name, fingerprint, organisation, now))
     }
 
-    /// What every process is told of a fingerprint.
-    fn quarantine(
+    /// Returns the change that tells all processes about a suspect.
+    fn quarantine_change(
         &self,
         name: &str,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         organisation: &Organisation,
         now: Wall,
     ) -> Change {
         let suspect = self.suspects.get(name);
         let entered = suspect.map_or(0, |s| s.deaths.len() + s.charges.len());
-        // While the last run it may have is under way, no other copy starts.
-        let refused = entered >= limit::MAX_DEATHS || self.is_guilty(name);
+        // No other copy may start while the last permitted run is in progress.
+        let refused = entered >= limit::MAX_DEATHS || self.is_proven(name);
         let kept = if refused {
             limit::REFUSAL_RETENTION
         } else {
@@ -156,17 +161,17 @@
             refused,
             until: now + kept,
         };
-        Change::Quarantine(print, Some(quarantine))
+        Change::Quarantine(fingerprint, Some(quarantine))
     }
 
-    /// Whether the deaths that happened prove it; charges don't.
-    fn is_guilty(&self, name: &str) -> bool {
+    /// Returns whether the deaths that happened prove the suspicion. Charges don't count.
+    fn is_proven(&self, name: &str) -> bool {
         let deaths = self.suspects.get(name).map_or(0, |s| s.deaths.len());
-        deaths >= limit::MAX_DEATHS || self.alone(name) >= limit::MAX_SOLE_DEATHS
+        deaths >= limit::MAX_DEATHS || self.sole_deaths(name) >= limit::MAX_SOLE_DEATHS
     }
 
-    /// Deaths for which nothing else is blamed.
-    fn alone(&self, name: &str) -> usize {
+    /// Returns the number of deaths for which no other request is blamed.
+    fn sole_deaths(&self, name: &str) -> usize {
         let Some(suspect) = self.suspects.get(name) else {
             return 0;
         };
@@ -177,8 +182,8 @@
         suspect.deaths.iter().filter(|death| !shared(death)).count()
     }
 
-    /// Takes the organisation's oldest mere suspect out when it has too many.
-    fn make_room(
+    /// Evicts the organisation's oldest suspect that isn't refused, if the table is full.
+    fn evict_oldest(
         &mut self,
         config: &Config,
         organisation: &Organisation,
@@ -198,38 +203,38 @@
             .map(|(name, _)| name.clone())
             .ok_or(Code::LimitReached)?;
         let suspect = self.suspects.remove(&oldest).ok_or(Code::LimitReached)?;
-        Ok(Some(Change::Quarantine(suspect.print, None)))
+        Ok(Some(Change::Quarantine(suspect.fingerprint, None)))
     }
 
-    /// A suspect finished without harm. One that is refused already stays
-    /// refused: it may kill only under some condition.
+    /// Clears a suspect that finished without harm. A proven one stays refused: it may
+    /// crash upstreams only under certain conditions.
     pub fn clear(
         &mut self,
         config: &Config,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         organisation: &Organisation,
     ) -> Option<Change> {
-        let name = print.to_string();
+        let name = fingerprint.to_string();
         let known = config.quarantines.get(&name)?;
-        if self.is_guilty(&name) || known.organisation != *organisation {
+        if self.is_proven(&name) || known.organisation != *organisation {
             return None;
         }
         self.suspects.remove(&name);
-        Some(Change::Quarantine(print, None))
+        Some(Change::Quarantine(fingerprint, None))
     }
 
-    /// Forgets what has stood long enough.
+    /// Removes the suspects that have expired.
     pub fn expire(&mut self, config: &Config, now: Wall) -> Vec<Change> {
-        if now.since(self.swept) < limit::SWEEP_INTERVAL {
+        if now.since(self.last_sweep) < limit::SWEEP_INTERVAL {
             return Vec::new();
         }
-        self.swept = now;
+        self.last_sweep = now;
         let over = config
             .quarantines
             .iter()
             .filter(|(_, quarantine)| quarantine.until <= now);
         over.filter_map(|(name, _)| self.suspects.remove(name))
-            .map(|suspect| Change::Quarantine(suspect.print, None))
+            .map(|suspect| Change::Quarantine(suspect.fingerprint, None))
             .collect()
     }
 }
--- a/almondlock-state/src/registration.rs
+++ b/almondlock-state/src/registration.rs
@@ -1,21 +1,20 @@
 //! Registration of upstreams by their own announcements.
 //!
-//! No list of upstreams exists, so each announcement has a stated result:
+//! There is no configured list of upstreams. Each announcement has a defined result:
 //!
 //! | announcement | result |
 //! |---|---|
 //! | a new name | registered |
-//! | the same life, same figures | accepted, nothing changes |
-//! | the same life, other figures (a model was loaded) | replaced |
-//! | a new life on the same host | a restart: replaces the earlier life |
-//! | a new life on another host, the name still registered | `Conflict` until the earlier lease ends |
-//! | a life that was replaced before | `StaleIncarnation` |
-//! | another life at a registered address, under another name | the earlier name is forgotten: its process is gone |
-//! | figures that can't be true | `BadChange` |
+//! | the same incarnation, same values | accepted, nothing changes |
+//! | the same incarnation, other values (a model was loaded) | replaced |
+//! | a new incarnation on the same host | a restart: replaces the earlier incarnation |
+//! | a new incarnation on another host, the name still registered | `Conflict` until the earlier lease ends |
+//! | an incarnation that was replaced before | `StaleIncarnation` |
+//! | another incarnation at a registered address, under another name | the earlier name is removed: its process is gone |
+//! | invalid values | `BadChange` |
 //!
-//! Lives are numbers without an order, so the lives that were replaced are
-//! remembered. A life that was only forgotten (its lease ended while it was cut
-//! off) may come back.
+//! Incarnations are numbers without an order, so the replaced ones are remembered. An
+//! incarnation whose lease only ended, because it was cut off, may register again.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -31,28 +30,30 @@
     limit,
 };
 
-/// The lives that were replaced, by upstream.
+/// The replaced incarnations of each upstream.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Table {
-    lives: BTreeMap<Upstream, Lives>,
+    #[serde(rename = "lives")]
+    incarnations: BTreeMap<Upstream, Incarnations>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
-struct Lives {
+struct Incarnations {
     /// Invariant: at most `limit::MAX_REPLACED_INCARNATIONS`, oldest first.
     replaced: VecDeque<Incarnation>,
-    /// When the name was last seen.
-    seen: Wall,
+    /// When the upstream's registration last changed or was last announced.
+    #[serde(rename = "seen")]
+    last_seen: Wall,
 }
 
-/// Why an announcement is refused.
+/// The refusal of an announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// The code.
+    /// The code of the refusal.
     pub code: Code,
-    /// What is wrong, for people.
+    /// The reason, for people.
     pub message: String,
 }
 
@@ -64,7 +65,7 @@
 }
 
 impl Table {
-    /// Decides about an announcement and gives the changes that it makes.
+    /// Applies an announcement, and returns the changes that it makes to the configuration.
     pub fn announce(
         &mut self,
         config: &Config,
@@ -72,44 +73,50 @@
         registration: Registration,
         now: Wall,
     ) -> Result<Vec<Change>, Error> {
-        check(&registration)?;
-        self.admit(config, name, &registration)?;
+        validate(&registration)?;
+        self.check_admission(config, name, &registration)?;
         let mut changes = Vec::new();
         let neighbours = config
             .upstreams
             .iter()
             .filter(|(other, known)| *other != name && known.address == registration.address)
-            // One process may stand in front of several upstreams.
+            // One sidecar process may serve several upstreams.
             .filter(|(_, known)| known.incarnation != registration.incarnation);
         for (other, known) in neighbours {
-            self.replace(other, known.incarnation, now);
+            self.mark_replaced(other, known.incarnation, now);
             changes.push(Change::Upstream(other.clone(), None));
         }
         let known = config.upstreams.get(name);
         if let Some(known) = known.filter(|known| known.incarnation != registration.incarnation) {
-            self.replace(name, known.incarnation, now);
+            self.mark_replaced(name, known.incarnation, now);
         }
-        self.lives.entry(name.clone()).or_default().seen = now;
+        self.incarnations.entry(name.clone()).or_default().last_seen = now;
         if known != Some(&registration) {
             changes.push(Change::Upstream(name.clone(), Some(registration)));
         }
         Ok(changes)
     }
 
-    fn admit(&self, config: &Config, name: &Upstream, new: &Registration) -> Result<(), Error> {
-        let lives = self.lives.get(name);
-        if lives.is_some_and(|lives| lives.replaced.contains(&new.incarnation)) {
-            let message = "a later life of this upstream has registered";
+    fn check_admission(
+        &self,
+        config: &Config,
+        name: &Upstream,
+        new: &Registration,
+    ) -> Result<(), Error> {
+        let incarnations = self.incarnations.get(name);
+        if incarnations.is_some_and(|incarnations| incarnations.replaced.contains(&new.incarnation))
+        {
+            let message = "a later incarnation of this upstream has registered";
             return Err(Error::new(Code::StaleIncarnation, message));
         }
-        if lives.is_none() && self.lives.len() >= limit::MAX_UPSTREAMS {
+        if incarnations.is_none() && self.incarnations.len() >= limit::MAX_UPSTREAMS {
             return Err(Error::new(Code::LimitReached, "too many upstreams"));
         }
         let Some(known) = config.upstreams.get(name) else {
             return Ok(());
         };
-        // Two processes under one name, each replacing the other, would send
-        // callers' requests to and fro: the later one waits for the lease.
+        // Two processes under one name that replace each other would make requests
+        // alternate between them. The later one waits for the end of the lease instead.
         if known.incarnation != new.incarnation && known.host != new.host {
             let message = format!(
                 "the name is held by host {} until its lease ends",
@@ -123,17 +130,17 @@
         Ok(())
     }
 
-    fn replace(&mut self, name: &Upstream, incarnation: Incarnation, now: Wall) {
-        let lives = self.lives.entry(name.clone()).or_default();
-        lives.replaced.push_back(incarnation);
-        lives.seen = now;
-        if lives.replaced.len() > limit::MAX_REPLACED_INCARNATIONS {
-            lives.replaced.pop_front();
+    fn mark_replaced(&mut self, name: &Upstream, incarnation: Incarnation, now: Wall) {
+        let incarnations = self.incarnations.entry(name.clone()).or_default();
+        incarnations.replaced.push_back(incarnation);
+        incarnations.last_seen = now;
+        if incarnations.replaced.len() > limit::MAX_REPLACED_INCARNATIONS {
+            incarnations.replaced.pop_front();
         }
     }
 
-    /// The changes made by the end of a lease: none when the life has been
-    /// replaced meanwhile.
+    /// Removes a registration whose lease has ended, and returns the changes that this makes:
+    /// none if the incarnation has been replaced meanwhile.
     pub fn forget(
         &mut self,
         config: &Config,
@@ -145,23 +152,23 @@
         if held.is_none_or(|held| held.incarnation != incarnation) {
             return Vec::new();
         }
-        self.lives.entry(name.clone()).or_default().seen = now;
+        self.incarnations.entry(name.clone()).or_default().last_seen = now;
         vec![Change::Upstream(name.clone(), None)]
     }
 
-    /// Forgets the lives of names not seen for long.
+    /// Removes the incarnations of upstreams that have long been gone.
     pub fn expire(&mut self, config: &Config, now: Wall) {
-        self.lives.retain(|name, lives| {
+        self.incarnations.retain(|name, incarnations| {
             config.upstreams.contains_key(name)
-                || now.since(lives.seen) < limit::INCARNATION_RETENTION
+                || now.since(incarnations.last_seen) < limit::INCARNATION_RETENTION
         });
     }
 }
 
-fn check(registration: &Registration) -> Result<(), Error> {
+fn validate(registration: &Registration) -> Result<(), Error> {
     let fault = |message: &str| Err(Error::new(Code::BadChange, message));
     if registration.address.ip().is_unspecified() || registration.address.port() == 0 {
-        return fault("the address is not one to connect to");
+        return fault("the address has no host or no port to connect to");
     }
     if !["", "prefill", "decode", "both"].contains(&registration.role.as_str()) {
         return fault("the role is none of prefill, decode, both");
@@ -171,7 +178,7 @@
         Kind::Engine if !(1..=limit::MAX_CAPACITY_TOKENS).contains(&registration.capacity.0) => {
             fault("the capacity in tokens is out of bounds")
         }
-        Kind::Service if registration.service.is_none() => fault("it names no service"),
+        Kind::Service if registration.service.is_none() => fault("a service must name its service"),
         Kind::Service if registration.model.is_some() => fault("a service loads no model"),
         _ => Ok(()),
     }
--- a/almondlock-state/src/replica.rs
+++ b/almondlock-state/src/replica.rs
@@ -1,9 +1,9 @@
-//! The control replicas, as the state knows them.
+//! The table of control replicas.
 //!
-//! Who votes is decided by the log's own membership entries. The leader copies
-//! them here ([`Command::Replicas`]) whenever they differ; this table says
-//! where each replica is reached and in which failure domain it stands, so that
-//! clients are sent to the leader and a plan can tell what a loss would mean.
+//! The membership entries of the log decide which replicas vote. The leader copies them to
+//! this table ([`Command::Replicas`]) whenever they differ. The table holds the addresses
+//! and failure domain of each replica, so that clients can be redirected to the leader and
+//! plans can assess the loss of a domain.
 //!
 //! [`Command::Replicas`]: crate::command::Command::Replicas
 
@@ -14,39 +14,39 @@
 
 use crate::{machine::Machine, plan::Step};
 
-/// The identity of a replica's disk, which it draws by itself. A wiped disk
-/// comes back with another one.
+/// The identity of a replica's disk, which the replica draws at random. After a disk is
+/// wiped it has another identity.
 pub type Id = u64;
 
-/// Where a replica is.
+/// The addresses and failure domain of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Replica {
-    /// Its inner listener.
+    /// The address of its inner listener.
     pub address: SocketAddr,
-    /// Its listener for operators.
+    /// The address of its listener for operators.
     pub admin: SocketAddr,
     /// Its failure domain.
     pub domain: Domain,
 }
 
-/// One change of the log's membership, carried out by the leader.
+/// A change of the log's membership, carried out by the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Member {
-    /// The replica that waits there is added; it votes once it has caught up
-    /// and synced. Its identity is known only then.
+    /// Adds the replica that waits at this address. It votes once it has caught up and
+    /// synced, and its identity is known only then.
     Add(Replica),
-    /// It votes no more.
+    /// Removes a replica: it no longer votes.
     Remove(Id),
 }
 
-/// The table as it should be for the log's members, unless it is that already.
+/// Returns the table of replicas for the log's members, or `None` if it is up to date.
 ///
-/// The log doesn't know where a replica listens for operators: that is taken
-/// from the table or from the plan that added the replica, by its inner address.
-/// Nothing is copied before the state was seeded.
+/// The log doesn't have the replicas' addresses for operators. They are taken from the
+/// table, or from the plan that added the replica, by its inner address. `None` is returned
+/// also before the state has been seeded.
 pub fn changed_replicas<I>(machine: &Machine, members: I) -> Option<BTreeMap<Id, Replica>>
 where
     I: IntoIterator<Item = (Id, SocketAddr, Domain)>,
@@ -80,7 +80,7 @@
     (members != *known).then_some(members)
 }
 
-/// The failure domains whose loss would leave no majority.
+/// Returns the failure domains whose loss would leave no majority of replicas.
 pub fn critical_domains(replicas: &BTreeMap<Id, Replica>) -> Vec<Domain> {
     let mut counts: BTreeMap<&Domain, usize> = BTreeMap::new();
     for replica in replicas.values() {
--- a/almondlock-state/src/tables.rs
+++ b/almondlock-state/src/tables.rs
@@ -1,9 +1,8 @@
 //! The part of the state that plans change.
 //!
-//! Every such change is one [`Effect`], and each effect touches one [`Part`].
-//! The tables remember when each part was touched last and by which plan, so
-//! that a plan which was computed before can tell whether the ground that it
-//! stands on has moved.
+//! Each such change is one [`Effect`], which changes one [`Resource`]. The tables record
+//! when each resource was last modified and by which plan, so that a plan can be refused as
+//! stale if a resource that it changes was modified after the plan had been computed.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -17,20 +16,20 @@
     replica::{self, Member, Replica},
 };
 
-/// One change made by a plan.
+/// A change of the tables. `None` removes the entry.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// Of the configuration.
+    /// Changes the configuration.
     Config(Change),
-    /// Of an operator; `None` takes it away.
+    /// Sets or removes an operator.
     Operator(String, Option<Operator>),
-    /// Of where a replica is reached; `None` takes it away.
+    /// Sets or removes the addresses and failure domain of a replica.
     Replica(replica::Id, Option<Replica>),
 }
 
-/// What a change touches, as text such as `organisation/acme`.
+/// The name of a resource that an effect changes, such as `organisation/acme`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
@@ -43,12 +42,13 @@
 }
 
 impl Resource {
-    /// All replicas: their number matters to each change of one.
+    /// The resource of all replicas. They are one resource, because each change of a replica
+    /// depends on their number.
     pub fn replicas() -> Resource {
         Resource("replicas".to_owned())
     }
 
-    /// An upstream's place in or out of service.
+    /// The resource of an upstream's drain.
     pub fn drain<N>(name: N) -> Resource
     where
         N: fmt::Display,
@@ -56,7 +56,7 @@
         Resource(format!("upstream/{name}"))
     }
 
-    /// A model.
+    /// The resource of a model.
     pub fn model<N>(name: N) -> Resource
     where
         N: fmt::Display,
@@ -66,7 +66,7 @@
 }
 
 impl Effect {
-    /// What it touches.
+    /// Returns the resource that the effect changes.
     pub fn resource(&self) -> Resource {
         let text = match self {
             Effect::Config(Change::Organisation(name, _)) => format!("organisation/{name}"),
@@ -87,7 +87,7 @@
         Resource(text)
     }
 
-    /// The effect that would put back what is there now.
+    /// Returns the effect that restores the present value of the resource.
     pub fn inverse(&self, tables: &Tables) -> Effect {
         let config = &tables.config;
         let change = match self {
@@ -130,19 +130,19 @@
     }
 }
 
-/// When a part was touched last.
+/// The last modification of a resource.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Modification {
-    /// The count of effects at that time.
+    /// The value of [`Tables::sequence`] after it.
     pub sequence: u64,
-    /// The revision at that time.
+    /// The revision after it.
     pub revision: Revision,
-    /// The plan that did it.
+    /// The plan that made it, if any.
     pub plan: Option<plan::Id>,
 }
 
-/// What plans change.
+/// The tables that plans change.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
@@ -151,20 +151,21 @@
     pub config: Config,
     /// Operators by name.
     pub operators: BTreeMap<String, Operator>,
-    /// Replicas by number.
+    /// Replicas by identity.
     pub replicas: BTreeMap<replica::Id, Replica>,
     /// The last order to each upstream.
     pub orders: order::Table,
-    /// Counts effects up, since not each of them makes a revision.
+    /// The number of effects applied. Not each effect makes a revision.
     pub sequence: u64,
-    touched: BTreeMap<Resource, Modification>,
+    #[serde(rename = "touched")]
+    modifications: BTreeMap<Resource, Modification>,
 }
 
 impl Tables {
-    /// Applies an effect, and gives the change of the configuration it made. A delta whose
-    /// base isn't held does nothing; publications are checked before they come here.
+    /// Applies an effect, and returns the change that it makes to the configuration, if any.
+    /// A delta without its base does nothing; publications are checked beforehand.
     pub fn apply(&mut self, effect: Effect, plan: Option<plan::Id>) -> Option<(Revision, Change)> {
-        let part = effect.resource();
+        let resource = effect.resource();
         let change = match effect {
             Effect::Config(change) => {
                 self.config.apply(change.clone()).ok()?;
@@ -181,8 +182,8 @@
         };
         self.sequence += 1;
         let (sequence, revision) = (self.sequence, self.config.revision);
-        self.touched.insert(
-            part,
+        self.modifications.insert(
+            resource,
             Modification {
                 sequence,
                 revision,
@@ -192,15 +193,16 @@
         change
     }
 
-    /// Notes a change of the membership that was carried out.
+    /// Applies a membership change that has been carried out.
     pub fn apply_member(&mut self, member: &Member, plan: plan::Id) {
-        // The identity of an added one comes with the leader's next copy.
+        // An added replica is entered with its identity by the leader's next
+        // `Command::Replicas`.
         if let Member::Remove(id) = member {
             self.apply(Effect::Replica(*id, None), Some(plan));
         }
     }
 
-    /// Makes the replicas what the log's membership says.
+    /// Sets the replicas to the log's membership.
     pub fn set_replicas(&mut self, replicas: BTreeMap<replica::Id, Replica>) {
         if self.replicas != replicas {
             let gone = self
@@ -217,24 +219,27 @@
         }
     }
 
-    /// When a part was touched after `sequence`, by others than `plan`.
+    /// Returns the last modification of a resource if it came after `sequence` and was not
+    /// made by `plan`.
     pub fn modified_since(
         &self,
-        part: &Resource,
+        resource: &Resource,
         sequence: u64,
         plan: plan::Id,
     ) -> Option<&Modification> {
-        let touch = self.touched.get(part)?;
-        (touch.sequence > sequence && touch.plan != Some(plan)).then_some(touch)
+        let modification = self.modifications.get(resource)?;
+        (modification.sequence > sequence && modification.plan != Some(plan))
+            .then_some(modification)
     }
 
-    /// Forgets touches that no plan can ask about any more: all open plans were
-    /// computed at `sequence` or later.
+    /// Removes the modifications up to `sequence`. No plan needs them when all were computed
+    /// at `sequence` or later.
     pub fn expire(&mut self, sequence: u64) {
-        self.touched.retain(|_, touch| touch.sequence > sequence);
+        self.modifications
+            .retain(|_, modification| modification.sequence > sequence);
     }
 
-    /// The operator whose key has this hash.
+    /// Returns the name and entry of the operator whose key has this hash.
     pub fn find_operator(&self, hash: &str) -> Option<(&str, &Operator)> {
         let mut all = self.operators.iter();
         let found = all.find(|(_, operator)| operator.key == hash)?;
