--- a/almondlock-gateway/src/exchange/aggregator.rs
+++ b/almondlock-gateway/src/exchange/aggregator.rs
@@ -1,11 +1,12 @@
-//! What a relay makes of what hosts tell it. Decides only; the relay sends.
+//! Aggregates the loads that hosts report to a relay, and decides what the relay sends to
+//! which host. Does no I/O.
 //!
-//! **Load pattern.** Three hundred hosts send to three thousand upstreams. Sums of
-//! everything for each host, each 40 ms, filled the hosts' links and took the relay,
-//! which shares a processor with a control replica, all of its time: no
-//! configuration was acknowledged any more. So the sum is made once for all hosts,
-//! each of which takes its own part out itself, and tells what has changed. Every
-//! upstream is told again after some rounds, in case a datagram was lost.
+//! **Load pattern.** Three hundred hosts send requests to three thousand upstreams. When
+//! the relay made a complete sum for each host every 40 ms, the sums filled the hosts'
+//! links and took all of the relay's time. The relay shares a processor with a control
+//! replica, and no configuration was acknowledged any more. So one sum is made for all
+//! hosts, and each host subtracts its own part. A sum has only the loads that have changed.
+//! Every upstream is repeated after some rounds, in case a datagram was lost.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,114 +19,123 @@
 use super::message::{Digest, Introduction, Subscription, Sum};
 use crate::load::{Key, Load};
 
-/// A host that told nothing for this long has stopped: what it had under way
-/// ends with it.
-const GONE: Duration = Duration::from_secs(1);
-/// How often a relay sends sums at the most.
-const ROUND: Duration = Duration::from_millis(20);
-/// The same for each host that follows it: 2,000 sums a second, some hundredths of a
-/// core.
+/// A host that has sent no report for this time has stopped, and its work ended with it.
+const HOST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Minimum time between two rounds of sums.
+const MIN_ROUND: Duration = Duration::from_millis(20);
+/// Minimum time between two rounds for each host that follows the relay closely. This
+/// bounds the relay to 2,000 sums a second, a few hundredths of a core.
 const ROUND_PER_HOST: Duration = Duration::from_micros(500);
-/// How often it sends them at the least, however many hosts follow it, as when it is
-/// the only relay left: a third of the silence after which they leave it.
-const ROUND_MOST: Duration = Duration::from_millis(50);
-/// A sum that tells of no change is left out but for each so many rounds, which show
-/// that the relay is there. Only while rounds are as short as they can be.
-const QUIET_ROUNDS: u64 = 3;
-
-/// Rounds in which each upstream is told once, changed or not; and every how many
-/// rounds hosts are told where the relay is. A second, or 2.5 s with the longest rounds.
-const REPEAT: u64 = 50;
-/// Every how many rounds those who listen seldom are told that the relay is there.
-const SELDOM: u64 = 25;
-/// Other hosts that a host is told of, which it tells its load while no relay answers.
-/// Each is told of those that follow it in the order of addresses, so that each hears from
-/// as many.
+/// Maximum time between two rounds, however many hosts follow the relay, as when it is the
+/// only one left: a third of the silence after which they leave it.
+const MAX_ROUND: Duration = Duration::from_millis(50);
+/// A sum without changes is sent only every this number of rounds, to show that the relay
+/// is alive. This holds only while the time between rounds is the shortest.
+const ROUNDS_PER_QUIET_SUM: u64 = 3;
+
+/// Number of rounds in which each upstream's load is sent once even if it hasn't changed,
+/// and after which introductions are sent. This is 1 s, or 2.5 s with the longest rounds.
+const REPEAT_ROUNDS: u64 = 50;
+/// Number of rounds between two beacons to a host.
+const BEACON_ROUNDS: u64 = 25;
+/// Maximum number of other hosts that a host is told of. It reports its loads to them while
+/// no relay answers. Each host is told of those that follow it in the order of addresses,
+/// so that all hosts hear from the same number of others.
 pub const MAX_PEERS: usize = 64;
-/// The change of the time left to read, in milliseconds, that is told at once: what a
-/// short prompt takes. A smaller one makes no difference to a choice, and is told in
-/// turn.
-const READING: u16 = 20;
-/// The same of the memory in use, in blocks: a short prompt's.
-const MEMORY: u16 = 64;
+/// Change of a backlog, in milliseconds, that is sent at once: the reading time of a short
+/// prompt. A smaller change makes no difference to a choice, and is sent when the upstream
+/// is repeated.
+const READING_CHANGE_MS: u16 = 20;
+/// Change of the memory in use, in blocks, that is sent at once: that of a short prompt.
+const MEMORY_CHANGE_BLOCKS: u16 = 64;
 
 #[derive(Debug)]
-struct Told {
+struct Received {
     at: Mono,
     digest: Digest,
-    /// It was sent everything once, since it began to follow closely.
-    is_met: bool,
+    /// Whether the host was sent a complete sum since it began to follow closely.
+    has_whole_sum: bool,
 }
 
-/// What hosts told last.
+/// The last reports of all hosts.
 #[derive(Debug, Default)]
 pub struct Aggregator {
-    hosts: HashMap<SocketAddr, Told>,
-    /// The loads as they were sent last.
+    hosts: HashMap<SocketAddr, Received>,
+    /// The loads as they were last sent.
     sent: BTreeMap<Key, Load>,
     rounds: u64,
 }
 
-/// What goes out in one round.
+/// What the relay sends in one round. The numbers beside addresses are those of the host's
+/// digest that the sum includes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Round {
-    /// What has changed, and part of the rest.
+    /// Loads that have changed, and those whose turn it is to be repeated.
     pub changes: Sum,
-    /// Who gets the changes, and the number of its digest that they include.
+    /// Hosts that get the changes.
     pub followers: Vec<(SocketAddr, u32)>,
-    /// Everything. Left out if nobody gets it.
+    /// All loads. `None` if no host gets them.
     pub whole: Option<Sum>,
-    /// Who gets everything.
+    /// Hosts that get all loads, since they began to follow closely after the last round.
     pub newcomers: Vec<(SocketAddr, u32)>,
-    /// Who is told only that the relay is there.
+    /// Hosts that get only a beacon.
     pub beacons: Vec<SocketAddr>,
-    /// Who is told where the relay is.
+    /// Hosts that get an introduction.
     pub introductions: Vec<(SocketAddr, Introduction)>,
 }
 
 impl Aggregator {
-    /// A host told something.
+    /// Takes in a host's report.
     pub fn receive_report(&mut self, now: Mono, from: SocketAddr, digest: Digest) {
         let last = self.hosts.get(&from);
-        let is_met = last.is_some_and(|last| {
+        let has_whole_sum = last.is_some_and(|last| {
             let same = last.digest.host == digest.host;
-            last.is_met && same && last.digest.listens == digest.listens
+            last.has_whole_sum && same && last.digest.listens == digest.listens
         });
-        // A datagram that was overtaken by a later one is older news.
+        // A datagram that arrives after a later one is out of date.
         let is_late = last.is_some_and(|last| {
             last.digest.host == digest.host && last.digest.number > digest.number
         });
         if !is_late {
             let at = now;
-            self.hosts.insert(from, Told { at, digest, is_met });
+            self.hosts.insert(
+                from,
+                Received {
+                    at,
+                    digest,
+                    has_whole_sum,
+                },
+            );
         }
     }
 
-    /// The hosts that are heard of.
+    /// Returns the hosts that report to this relay.
     pub fn hosts(&self) -> impl Iterator<Item = SocketAddr> {
         self.hosts.keys().copied()
     }
 
-    /// Whether a host follows this relay closely.
+    /// Returns whether a host follows this relay closely.
     pub fn is_followed_by(&self, host: &SocketAddr) -> bool {
         let told = self.hosts.get(host);
         told.is_some_and(|told| told.digest.listens == Subscription::Closely)
     }
 
-    /// The time until the next round.
+    /// Returns the time until the next round.
     pub fn period(&self) -> Duration {
         let all = self.hosts.values();
         let close = all.filter(|told| told.digest.listens == Subscription::Closely);
         let followers = u32::try_from(close.count()).unwrap_or(u32::MAX);
         let shared = ROUND_PER_HOST.saturating_mul(followers);
-        shared.clamp(ROUND, ROUND_MOST)
+        shared.clamp(MIN_ROUND, MAX_ROUND)
     }
 
-    /// What goes out now, from a relay in this failure domain.
+    /// Begins a round and returns what to send in it. `domain` is the relay's failure
+    /// domain.
     pub fn next_round(&mut self, now: Mono, domain: &Domain) -> Round {
-        self.hosts.retain(|_, told| now.since(told.at) < GONE);
+        self.hosts
+            .retain(|_, told| now.since(told.at) < HOST_TIMEOUT);
         self.rounds += 1;
-        let all = self.all();
+        let all = self.sum_all();
         let hosts = u32::try_from(self.hosts.len()).unwrap_or(u32::MAX);
         let mut round = Round {
             changes: Sum {
@@ -135,20 +145,21 @@
             },
             ..Round::default()
         };
-        let is_seldom = self.rounds.is_multiple_of(SELDOM);
-        let is_short = self.period() == ROUND;
-        let is_quiet =
-            round.changes.loads.is_empty() && is_short && !self.rounds.is_multiple_of(QUIET_ROUNDS);
+        let is_seldom = self.rounds.is_multiple_of(BEACON_ROUNDS);
+        let is_short = self.period() == MIN_ROUND;
+        let is_quiet = round.changes.loads.is_empty()
+            && is_short
+            && !self.rounds.is_multiple_of(ROUNDS_PER_QUIET_SUM);
         for (to, told) in &mut self.hosts {
             let number = told.digest.number;
             match told.digest.listens {
-                Subscription::Closely if told.is_met && is_quiet => {}
-                Subscription::Closely if told.is_met => round.followers.push((*to, number)),
+                Subscription::Closely if told.has_whole_sum && is_quiet => {}
+                Subscription::Closely if told.has_whole_sum => round.followers.push((*to, number)),
                 Subscription::Closely => round.newcomers.push((*to, number)),
                 Subscription::Seldom if is_seldom => round.beacons.push(*to),
                 Subscription::Seldom | Subscription::No => {}
             }
-            told.is_met = true;
+            told.has_whole_sum = true;
         }
         let is_whole_due = !round.newcomers.is_empty();
         round.whole = is_whole_due.then(|| Sum {
@@ -156,13 +167,13 @@
             is_whole: true,
             loads: all.iter().map(|(key, load)| (*key, *load)).collect(),
         });
-        if self.rounds.is_multiple_of(REPEAT) {
+        if self.rounds.is_multiple_of(REPEAT_ROUNDS) {
             round.introductions = self.introductions(domain);
         }
         round
     }
 
-    fn all(&self) -> BTreeMap<Key, Load> {
+    fn sum_all(&self) -> BTreeMap<Key, Load> {
         let mut all: BTreeMap<Key, Load> = BTreeMap::new();
         for told in self.hosts.values() {
             for (key, load) in &told.digest.loads {
@@ -172,8 +183,8 @@
         all
     }
 
-    /// The loads to tell in this round: those that differ from what was sent last,
-    /// and those whose turn it is.
+    /// Returns the loads to send in this round: those that differ from the last ones sent,
+    /// and those whose turn it is to be repeated.
     fn changes(&mut self, all: &BTreeMap<Key, Load>) -> Vec<(Key, Load)> {
         let gone = self.sent.keys().filter(|key| !all.contains_key(key));
         let gone: Vec<Key> = gone.copied().collect();
@@ -183,9 +194,9 @@
             loads.push((key, Load::default()));
         }
         for ((key, load), place) in all.iter().zip(0..) {
-            let is_due = place % REPEAT == self.rounds % REPEAT;
+            let is_due = place % REPEAT_ROUNDS == self.rounds % REPEAT_ROUNDS;
             let last = self.sent.get(key);
-            if is_due || last.is_none_or(|last| differs(last, load)) {
+            if is_due || last.is_none_or(|last| has_changed(last, load)) {
                 self.sent.insert(*key, *load);
                 loads.push((*key, *load));
             }
@@ -211,10 +222,10 @@
     }
 }
 
-/// Whether a load has changed by as much as a short prompt does.
-fn differs(last: &Load, load: &Load) -> bool {
+/// Returns whether a load has changed by at least as much as a short prompt changes it.
+fn has_changed(last: &Load, load: &Load) -> bool {
     let counts = |load: &Load| (load.waiting, load.streams, load.short);
     counts(last) != counts(load)
-        || last.reading.abs_diff(load.reading) >= READING
-        || last.memory.abs_diff(load.memory) >= MEMORY
+        || last.reading.abs_diff(load.reading) >= READING_CHANGE_MS
+        || last.memory.abs_diff(load.memory) >= MEMORY_CHANGE_BLOCKS
 }
--- a/almondlock-gateway/src/slots.rs
+++ b/almondlock-gateway/src/slots.rs
@@ -1,7 +1,8 @@
-//! Short prompts that wait at the host for a free slot of an engine.
+//! Queues short prompts at the host until an engine has a free slot.
 //!
-//! [`almondlock_policy::slots`] decides; here it is told of the engines, and those that it
-//! grants a slot are woken. A prompt that waits holds no connection and no engine memory.
+//! [`almondlock_policy::slots`] decides which prompts are sent. This module feeds it with
+//! the engines' state and wakes the requests that are granted a slot. A waiting prompt
+//! holds no connection and no engine memory.
 
 use std::{
     cell::RefCell,
@@ -30,39 +31,39 @@
     worker::{Target, Worker},
 };
 
-/// How often a prompt that waits looks whether slots are seen free: twice within the age of
-/// what is known.
-const LOOK: Duration = Duration::from_millis(20);
+/// Time after which a waiting prompt checks for free slots again: twice within the age of
+/// the information.
+const CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// The age of the account from which all engines are looked at for it while prompts wait.
-/// Placements usually do so more often.
-const REFRESH: Duration = STATE_AGE.saturating_mul(2);
+/// Age of the account of slots at which it is made anew while prompts wait. Placements
+/// usually do so more often.
+const REFRESH_AGE: Duration = STATE_AGE.saturating_mul(2);
 
-/// Passes of an engine from a slot to the first event at most: the one that runs, and its
-/// own.
-const PASSES: u32 = 2;
+/// Maximum number of engine passes from getting a slot to the first event: the pass in
+/// progress, and the prompt's own.
+const MAX_PASSES_TO_FIRST_EVENT: u32 = 2;
 
 /// A slot that a prompt was granted.
 #[derive(Debug, Default)]
 pub(crate) struct Grant {
-    /// The engine that one of this host's streams has left, if it is such a slot.
+    /// The engine, if the slot was left by one of this host's streams.
     upstream: Option<Upstream>,
 }
 
 /// The waiting prompts of one service.
 #[derive(Debug, Default)]
 struct Queue {
-    desk: Allocator,
+    allocator: Allocator,
     waiters: BTreeMap<Ticket, oneshot::Sender<Grant>>,
-    looked: Mono,
-    /// The objective of the prompts that ask.
+    checked_at: Mono,
+    /// The objective of the service's prompts.
     objective: Duration,
 }
 
 impl Queue {
     fn wake(&mut self, ticket: Ticket, grant: Grant) {
         if let Some(waiter) = self.waiters.remove(&ticket) {
-            // Whoever waited may be leaving: it passes the slot on.
+            // The waiter may be gone; then its drop passes the slot on.
             let _ = waiter.send(grant);
         }
     }
@@ -74,24 +75,24 @@
     }
 }
 
-/// Those of all services.
+/// The waiting prompts of all services.
 #[derive(Debug, Default)]
 pub(crate) struct Queues(RefCell<HashMap<Service, Queue>>);
 
 impl Queues {
-    fn with<T, F>(&self, service: &Service, act: F) -> T
+    fn with_queue<T, F>(&self, service: &Service, act: F) -> T
     where
         F: FnOnce(&mut Queue) -> T,
     {
         let mut lines = self.0.borrow_mut();
         match lines.get_mut(service) {
-            Some(line) => act(line),
+            Some(queue) => act(queue),
             None => act(lines.entry(service.clone()).or_default()),
         }
     }
 }
 
-/// A request's slot as long as it runs.
+/// The slot of a request that is running.
 #[derive(Debug)]
 pub(crate) struct Slot {
     service: Service,
@@ -99,18 +100,18 @@
     slots: u32,
 }
 
-/// What a decision is made with.
+/// The input for deciding whether a short prompt is sent.
 pub(crate) struct Admission<'a> {
     pub(crate) request: &'a Request,
     pub(crate) speed: &'a Speed,
     pub(crate) targets: &'a [Target],
     pub(crate) candidates: &'a [Candidate],
-    /// It may be told to wait.
+    /// Whether the request may be told to wait.
     pub(crate) may_wait: bool,
     pub(crate) grant: Option<&'a Grant>,
 }
 
-/// A request that waits. Leaves the line when dropped.
+/// A waiting request. Leaves the queue when dropped.
 pub(crate) struct Waiter<D>
 where
     D: Dialect,
@@ -119,7 +120,7 @@
     service: Service,
     ticket: Ticket,
     granted: oneshot::Receiver<Grant>,
-    // What its organisation waits for.
+    // The request's part of what its organisation waits for.
     _claim: Option<Claim>,
 }
 
@@ -129,9 +130,11 @@
 {
     pub(crate) fn new(worker: &Rc<Worker<D>>, request: &Request, ticket: Ticket) -> Waiter<D> {
         let (sender, granted) = oneshot::channel();
-        worker.waiting_prompts.with(&request.service, |line| {
-            line.waiters.insert(ticket, sender);
-        });
+        worker
+            .waiting_prompts
+            .with_queue(&request.service, |queue| {
+                queue.waiters.insert(ticket, sender);
+            });
         worker.shared.metrics.rise("slots", "waiting");
         Waiter {
             worker: Rc::clone(worker),
@@ -149,7 +152,7 @@
             tokio::select! {
                 biased;
                 grant = &mut self.granted => break grant.unwrap_or_default(),
-                () = sleep(LOOK) => self.worker.check_slots(&self.service, request.route.objective),
+                () = sleep(CHECK_PERIOD) => self.worker.check_slots(&self.service, request.route.objective),
             }
         };
         tracing::info!(
@@ -168,15 +171,17 @@
     fn drop(&mut self) {
         self.worker.shared.metrics.fall("slots", "waiting");
         let unused = self.granted.try_recv();
-        self.worker.waiting_prompts.with(&self.service, |line| {
-            line.waiters.remove(&self.ticket);
-            line.desk.cancel(self.ticket);
-            if let Ok(grant) = unused
-                && let Some(next) = line.desk.grant_next(clock::mono())
-            {
-                line.wake(next, grant);
-            }
-        });
+        self.worker
+            .waiting_prompts
+            .with_queue(&self.service, |queue| {
+                queue.waiters.remove(&self.ticket);
+                queue.allocator.cancel(self.ticket);
+                if let Ok(grant) = unused
+                    && let Some(next) = queue.allocator.grant_next(clock::mono())
+                {
+                    queue.wake(next, grant);
+                }
+            });
     }
 }
 
@@ -210,11 +215,11 @@
             )
         };
         let hold = pick::slot_duration(speed, demand, speed.slots);
-        let is_scarce = self.waiting_prompts.with(&request.service, |line| {
+        let is_scarce = self.waiting_prompts.with_queue(&request.service, |queue| {
             let rows = pick::slot_usage(candidates, request.route.objective);
-            line.desk.update(now, rows, hold, hosts);
-            line.objective = request.route.objective;
-            line.desk.is_scarce()
+            queue.allocator.update(now, rows, hold, hosts);
+            queue.objective = request.route.objective;
+            queue.allocator.is_scarce()
         });
         if !is_informed || self.shared.is_stopping() {
             self.release_all(&request.service);
@@ -239,14 +244,15 @@
             deadline: request.deadline,
             objective: request.route.objective,
             expected_delay: speed.reading_time(demand.prompt)
-                + speed.pass_time(speed.slots, demand.prompt * u64::from(speed.slots)) * PASSES,
+                + speed.pass_time(speed.slots, demand.prompt * u64::from(speed.slots))
+                    * MAX_PASSES_TO_FIRST_EVENT,
             priority: request.priority(),
             standing: self.standing(now, request),
         };
         let first = has_slot(choice.primary);
         let rng = &mut *self.rng.borrow_mut();
-        self.waiting_prompts.with(&request.service, |line| {
-            let verdict = line.desk.decide(now, &case, first, rng);
+        self.waiting_prompts.with_queue(&request.service, |queue| {
+            let verdict = queue.allocator.decide(now, &case, first, rng);
             let outcome = match verdict {
                 Verdict::Send => "sent",
                 Verdict::Wait(_) => "waited",
@@ -263,11 +269,11 @@
                 self.note_deprioritised(request, now, "queued behind");
             }
             if verdict != Verdict::Send {
-                let account = line.desk.occupancy();
+                let account = queue.allocator.occupancy();
                 tracing::info!(
                     request = %request.id, outcome, slots = account.slots, free = account.free,
                     used = account.in_use, queued = account.queued, hosts,
-                    waiting = line.desk.waiting(), per_second = line.desk.slot_rate(now, case.objective),
+                    waiting = queue.allocator.waiting(), per_second = queue.allocator.slot_rate(now, case.objective),
                     age_ms = age.map(|age| age.as_millis()), "no free slot"
                 );
             }
@@ -275,7 +281,7 @@
         })
     }
 
-    /// The engine whose slot the prompt was granted, if that is still free.
+    /// Returns the engine whose slot the prompt was granted, if that slot is still free.
     fn granted_place(&self, question: &Admission<'_>) -> Option<usize> {
         let upstream = question.grant?.upstream.as_ref()?;
         let mut targets = question.targets.iter();
@@ -297,7 +303,7 @@
         let service = request.service.clone();
         let commitment = self
             .waiting_prompts
-            .with(&service, |line| line.desk.commit(now + hold));
+            .with_queue(&service, |queue| queue.allocator.commit(now + hold));
         Some(Slot {
             service,
             commitment,
@@ -305,7 +311,7 @@
         })
     }
 
-    /// A request has ended, and its slot goes to the next one that waits.
+    /// Passes the slot of a request that has ended to the next waiting one.
     pub(crate) fn leave_slot(&self, slot: &Slot, upstream: &Upstream) {
         let now = clock::mono();
         let total = self.load.borrow().total(now, upstream);
@@ -313,22 +319,22 @@
             self.is_suspect(now, upstream) || self.pacing.rate_and_ejection(upstream).1;
         let is_closed = is_avoided || self.backoff(now, upstream).is_some();
         let is_open = total.requests() < slot.slots && !is_closed;
-        self.waiting_prompts.with(&slot.service, |line| {
-            let has_slot = is_open && !pick::is_backlogged(&total, line.objective);
-            if let Some(next) = line.desk.release(now, slot.commitment, has_slot) {
+        self.waiting_prompts.with_queue(&slot.service, |queue| {
+            let has_slot = is_open && !pick::is_backlogged(&total, queue.objective);
+            if let Some(next) = queue.allocator.release(now, slot.commitment, has_slot) {
                 let upstream = Some(upstream.clone());
-                line.wake(next, Grant { upstream });
+                queue.wake(next, Grant { upstream });
             }
         });
     }
 
-    /// Wakes the prompts for which slots are seen free, or that have waited for as long as
-    /// they may.
+    /// Wakes the prompts for which there are free slots, and those that have waited for as
+    /// long as they may.
     fn check_slots(&self, service: &Service, objective: Duration) {
         let now = clock::mono();
-        let is_due = self.waiting_prompts.with(service, |line| {
-            let is_due = now.since(line.looked) >= LOOK;
-            line.looked = if is_due { now } else { line.looked };
+        let is_due = self.waiting_prompts.with_queue(service, |queue| {
+            let is_due = now.since(queue.checked_at) >= CHECK_PERIOD;
+            queue.checked_at = if is_due { now } else { queue.checked_at };
             is_due
         });
         if !is_due {
@@ -339,8 +345,8 @@
         }
         let account = self
             .waiting_prompts
-            .with(service, |line| *line.desk.occupancy());
-        if now.since(account.seen_at) >= REFRESH {
+            .with_queue(service, |queue| *queue.allocator.occupancy());
+        if now.since(account.seen_at) >= REFRESH_AGE {
             let known = self.snapshot();
             let targets = known.instances.get(service).into_iter().flatten();
             let open = targets.filter(|target| self.backoff(now, &target.name).is_none());
@@ -348,23 +354,24 @@
                 .map(|target| self.candidate(now, target, &[], &[]))
                 .collect();
             let rows = pick::slot_usage(&candidates, objective);
-            self.waiting_prompts.with(service, |line| {
-                line.desk
+            self.waiting_prompts.with_queue(service, |queue| {
+                queue
+                    .allocator
                     .update(now, rows, account.hold_time, account.other_hosts);
             });
         }
         let rng = &mut *self.rng.borrow_mut();
-        self.waiting_prompts.with(service, |line| {
-            let granted = line.desk.grant(now, rng);
-            line.wake_all(granted);
+        self.waiting_prompts.with_queue(service, |queue| {
+            let granted = queue.allocator.grant(now, rng);
+            queue.wake_all(granted);
         });
     }
 
-    /// Wakes all that wait.
+    /// Wakes all waiting prompts of a service.
     fn release_all(&self, service: &Service) {
-        self.waiting_prompts.with(service, |line| {
-            let all = line.desk.drain();
-            line.wake_all(all);
+        self.waiting_prompts.with_queue(service, |queue| {
+            let all = queue.allocator.drain();
+            queue.wake_all(all);
         });
     }
 }
