--- a/almondlock-quorum/src/config.rs
+++ b/almondlock-quorum/src/config.rs
@@ -1,14 +1,15 @@
-//! Settings of one group.
+//! Settings of a replica in one group.
 
 use std::time::Duration;
 
 use crate::error::Error;
 
-/// How a machine behaves. Shared and immutable; made by a [`Builder`].
+/// The settings of a [`Machine`](crate::machine::Machine), immutable once built by a [`Builder`].
 #[derive(Clone, Debug)]
 pub struct Config {
     pub(crate) group: u16,
-    // Invariant: at least twice `heartbeat`, so that one lost heartbeat starts no election.
+    // Invariant: at least twice `heartbeat_interval`, so that losing one heartbeat starts no
+    // election.
     pub(crate) election_timeout: Duration,
     pub(crate) heartbeat_interval: Duration,
     pub(crate) append_bytes: usize,
@@ -21,7 +22,7 @@
 }
 
 impl Config {
-    /// Starts from the usual settings.
+    /// Returns a builder with the default settings.
     pub fn builder() -> Builder {
         Builder {
             config: Config {
@@ -39,22 +40,22 @@
         }
     }
 
-    /// The group's number.
+    /// Returns the group's number.
     pub fn group(&self) -> u16 {
         self.group
     }
 
-    /// The shortest election timeout; the longest is twice that.
+    /// Returns the shortest election timeout. The longest is twice that.
     pub fn election_timeout(&self) -> Duration {
         self.election_timeout
     }
 
-    /// How often a leader that has nothing to send is heard.
+    /// Returns the time between the heartbeats of a leader.
     pub fn heartbeat_interval(&self) -> Duration {
         self.heartbeat_interval
     }
 
-    /// How many entries before a snapshot are kept for those a little behind.
+    /// Returns the number of entries before a snapshot's end that are kept for replicas that lag.
     pub fn retain_entries(&self) -> u64 {
         self.retain_entries
     }
@@ -67,68 +68,69 @@
 }
 
 impl Builder {
-    /// The group's number, carried by each message.
+    /// Sets the group's number, which each message carries on the wire.
     pub fn group(mut self, group: u16) -> Builder {
         self.config.group = group;
         self
     }
 
-    /// The shortest election timeout.
+    /// Sets the shortest election timeout.
     pub fn election_timeout(mut self, span: Duration) -> Builder {
         self.config.election_timeout = span;
         self
     }
 
-    /// The time between heartbeats.
+    /// Sets the time between heartbeats.
     pub fn heartbeat_interval(mut self, span: Duration) -> Builder {
         self.config.heartbeat_interval = span;
         self
     }
 
-    /// The most payload bytes in one append.
+    /// Sets the maximum number of payload bytes in one append.
     pub fn append_bytes(mut self, bytes: usize) -> Builder {
         self.config.append_bytes = bytes;
         self
     }
 
-    /// The most appends to one replica that wait for their reply.
+    /// Sets the maximum number of unanswered appends to one replica.
     pub fn append_window(mut self, appends: usize) -> Builder {
         self.config.append_window = appends;
         self
     }
 
-    /// The most bytes of a snapshot in one message.
+    /// Sets the maximum number of bytes of a snapshot in one message.
     pub fn piece_bytes(mut self, bytes: usize) -> Builder {
         self.config.piece_bytes = bytes;
         self
     }
 
-    /// How many entries before a snapshot are kept in memory and on disk.
+    /// Sets the number of entries before a snapshot's end that are kept in memory and on disk.
     pub fn retain_entries(mut self, entries: u64) -> Builder {
         self.config.retain_entries = entries;
         self
     }
 
-    /// The most bytes of entries before a snapshot that are kept in memory.
+    /// Sets the number of payload bytes above which entries that a snapshot covers are dropped
+    /// from memory.
     pub fn retain_bytes(mut self, bytes: usize) -> Builder {
         self.config.retain_bytes = bytes;
         self
     }
 
-    /// The most entries that may wait for a quorum; more are refused.
+    /// Sets the maximum number of entries that wait to be committed. Further proposals are refused.
     pub fn max_uncommitted(mut self, entries: u64) -> Builder {
         self.config.max_uncommitted = entries;
         self
     }
 
-    /// Seeds the generator that spreads election timeouts. It must differ
-    /// between replicas, or they time out together again and again.
+    /// Sets the seed of the generator that randomises election timeouts. It is combined with the
+    /// replica's identity, so that replicas don't time out together.
     pub fn seed(mut self, seed: u64) -> Builder {
         self.config.seed = seed;
         self
     }
 
-    /// Checks the settings.
+    /// Checks the settings and builds the [`Config`].
     pub fn build(self) -> Result<Config, Error> {
         let config = self.config;
         if config.heartbeat_interval.is_zero()
--- a/almondlock-quorum/src/entry.rs
+++ b/almondlock-quorum/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the log and what identifies them.
+//! Entries of the log, their indexes and terms, and snapshots that replace them.
 
 use std::{fmt, sync::Arc};
 
@@ -15,16 +15,16 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Before the first one.
+            /// The value before the first one.
             pub const ZERO: $name = $name(0);
 
-            /// The one after this.
+            /// Returns the next value.
             #[must_use]
             pub const fn next(self) -> $name {
                 $name(self.0 + 1)
             }
 
-            /// The one before this, or zero.
+            /// Returns the previous value, or zero if there is none.
             #[must_use]
             pub const fn previous(self) -> $name {
                 $name(self.0.saturating_sub(1))
@@ -40,27 +40,28 @@
 }
 
 counter!(
-    /// A place in the log. The first entry has index 1.
+    /// The position of an entry in the log. The first entry has index 1.
     Index
 );
 counter!(
-    /// A term: at most one leader is elected in each.
+    /// A Raft term. At most one leader is elected in each term.
     Term
 );
 
-/// What an entry holds.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
-    /// A command for the state machine, opaque here.
+    /// A command for the state machine. This crate doesn't interpret it.
     Command(Arc<[u8]>),
-    /// Nothing: a new leader commits one, and with it all before it.
+    /// No content. A new leader appends one such entry; committing it commits all entries before
+    /// it.
     Empty,
-    /// The members from this entry on.
+    /// The members of the group, in force from this entry on.
     Members(Arc<Members>),
 }
 
 impl Payload {
-    /// Bytes that count against the limits on messages.
+    /// Returns the number of bytes that count towards the limits on messages and memory.
     pub fn size(&self) -> usize {
         match self {
             Payload::Command(data) => data.len(),
@@ -73,42 +74,45 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its place.
+    /// The entry's index.
     pub index: Index,
-    /// The term of the leader that made it.
+    /// The term of the leader that created the entry.
     pub term: Term,
-    /// What it holds.
+    /// The entry's content.
     pub payload: Payload,
 }
 
-/// Where a proposal was put. It is accepted once an entry of this very term is
-/// committed at this index; another term there means that it never will be.
+/// The term and index of a proposed entry.
+///
+/// The proposal is accepted once an entry of this term is committed at this index. If an
+/// entry of another term is committed there, the proposal was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// The term it was proposed in.
+    /// The term in which the entry was proposed.
     pub term: Term,
-    /// Its place in the log.
+    /// The entry's index.
     pub index: Index,
 }
 
-/// What a replica must remember of elections before it answers anybody.
+/// The term and vote of a replica, which must be on disk before it sends a reply that depends
+/// on them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
-    /// The newest term it has seen.
+    /// The newest term that the replica has seen.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The candidate that the replica voted for in that term.
     pub vote: Option<crate::member::Id>,
 }
 
-/// The state up to an index, in place of the entries that made it.
+/// The state machine's state at an index, which replaces the entries up to that index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The last entry it covers.
+    /// The index of the last entry that the snapshot covers.
     pub index: Index,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: Term,
-    /// The members in force there.
+    /// The members in force at that index.
     pub members: Arc<Members>,
-    /// The state machine's own bytes.
+    /// The serialised state, as the state machine gave it.
     pub data: Arc<[u8]>,
 }
--- a/almondlock-quorum/src/error.rs
+++ b/almondlock-quorum/src/error.rs
@@ -1,4 +1,4 @@
-//! Why something was refused, or went wrong.
+//! Errors of the replicated log and its storage.
 
 use std::{fmt, io};
 
@@ -6,7 +6,7 @@
 
 use crate::member::Id;
 
-/// An error of the log or its storage.
+/// An error of the replicated log or its storage.
 #[derive(Debug)]
 pub struct Error {
     kind: Kind,
@@ -78,7 +78,7 @@
         Kind::Stopped.into()
     }
 
-    /// The numbered code that callers and operators see.
+    /// Returns the result code that callers and operators see.
     pub fn code(&self) -> Code {
         match &self.kind {
             Kind::NotLeader(_) => Code::NotLeader,
@@ -90,7 +90,8 @@
         }
     }
 
-    /// The leader to ask instead, when that is the reason and it is known.
+    /// Returns the leader to ask instead, if this replica refused because it is not the leader
+    /// and knows who is.
     pub fn leader(&self) -> Option<Id> {
         match self.kind {
             Kind::NotLeader(leader) => leader,
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Whether files on disk are not what was written to them. Only a new disk
-    /// under a new identity helps.
+    /// Whether files on disk are missing or differ from what was written. The replica must be
+    /// replaced by one with an empty data folder and a new identity.
     pub fn is_damage(&self) -> bool {
         matches!(self.kind, Kind::Damaged { .. })
     }
@@ -116,7 +117,7 @@
         match &self.kind {
             Kind::NotLeader(Some(id)) => write!(f, "not the leader; replica {id} leads"),
             Kind::NotLeader(None) => write!(f, "not the leader, and none is known"),
-            Kind::Busy(reason) => write!(f, "can't be taken now: {reason}"),
+            Kind::Busy(reason) => write!(f, "can't be accepted now: {reason}"),
             Kind::Refused(reason) => write!(f, "refused: {reason}"),
             Kind::Setting(reason) => write!(f, "bad setting: {reason}"),
             Kind::Damaged { file, reason } => write!(
@@ -131,7 +132,7 @@
                 f,
                 "{doing}: {source}; the replica has stopped, since what reached the disk is unknown"
             ),
-            Kind::Stopped => write!(f, "the storage failed earlier and takes nothing more"),
+            Kind::Stopped => write!(f, "the storage failed earlier and accepts no more writes"),
         }
     }
 }
--- a/almondlock-quorum/src/lib.rs
+++ b/almondlock-quorum/src/lib.rs
@@ -1,4 +1,4 @@
-//! A replicated log without I/O, and its storage on disk.
+//! A log replicated with Raft, as a state machine without I/O, and its storage on disk.
 //!
 //! [`machine::Machine`] is the Raft protocol as a plain state machine: messages,
 //! ticks, proposals and "synced" notices go in; messages, writes, committed
@@ -6,10 +6,10 @@
 //! generator seeded by its [`config::Config`], so that a schedule which once
 //! failed fails again from the same seed. [`storage::Store`] keeps what the
 //! machine asks to have written, in checksummed segments with one sync for many
-//! entries, and refuses to open what it can't vouch for.
+//! entries, and refuses to open files that are damaged.
 //!
-//! Entries are opaque bytes. One process may run several groups; each message
-//! carries its group's number on the wire.
+//! Commands in the log are opaque bytes. One process may run several groups; each
+//! message carries its group's number on the wire.
 //!
 //! The safety argument, rule by rule, is in `docs/replicated-log.md`.
 //!
--- a/almondlock-quorum/src/log.rs
+++ b/almondlock-quorum/src/log.rs
@@ -1,8 +1,8 @@
-//! The part of the log that is held in memory.
+//! The part of the log that a replica holds in memory.
 //!
-//! Entries up to the snapshot's are kept for a while, for replicas that are a
-//! little behind. Members are read from the log as soon as they are appended,
-//! and taken back with the entries that held them.
+//! Some entries that the snapshot covers are retained for replicas that lag slightly. A
+//! membership takes effect as soon as its entry is appended, and is undone if that entry is
+//! truncated.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -11,16 +11,18 @@
     member::Members,
 };
 
+/// The newest snapshot and the entries held in memory.
 #[derive(Debug)]
 pub(crate) struct Log {
-    // The entry before the first one held.
+    // The index of the entry before the first one held.
     base: Index,
     base_term: Term,
     // Invariant: consecutive indexes from `base + 1`, terms never falling.
     entries: VecDeque<Entry>,
-    // Invariant: the sizes of all entries.
+    // Invariant: the sum of the payload sizes of `entries`.
     bytes: usize,
-    // Invariant: indexes rise; the first one is at or before the snapshot's.
+    // The memberships and the indexes that set them. Invariant: indexes rise; the first one is at
+    // or before the snapshot's.
     members: Vec<(Index, Arc<Members>)>,
     // The newest snapshot. Invariant: `base <= snapshot.index <= last`.
     snapshot: Arc<Snapshot>,
@@ -38,8 +40,8 @@
             snapshot,
         };
         if let Some(first) = first.filter(|first| *first <= log.base) {
-            // Entries from before the snapshot: their predecessor's term is not
-            // known, so the first one serves as the base.
+            // The entries start before the snapshot's end. The term of the entry
+            // before them is not known, so the first one serves as the base.
             log.base = first;
             log.base_term = entries[0].term;
         }
@@ -80,7 +82,7 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from `first` on, until the bytes are used up; at least one.
+    /// Returns entries from `first` on that fit in `bytes`, and always the first one if it is held.
     pub(crate) fn batch(&self, first: Index, bytes: usize) -> Vec<Entry> {
         let mut room = bytes;
         let mut batch = Vec::new();
@@ -111,7 +113,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Takes away the entries from `first` on.
+    /// Removes the entries from `first` on.
     pub(crate) fn truncate(&mut self, first: Index) {
         while let Some(entry) = self.entries.pop_back_if(|e| e.index >= first) {
             self.bytes -= entry.payload.size();
@@ -125,7 +127,7 @@
         &self.members[self.members.len() - 1].1
     }
 
-    /// Where the members in force were set.
+    /// Returns the index of the entry or snapshot that set the members in force.
     pub(crate) fn members_index(&self) -> Index {
         self.members[self.members.len() - 1].0
     }
@@ -135,8 +137,9 @@
         &self.members[place.saturating_sub(1)].1
     }
 
-    /// Puts a newer snapshot of this replica's own state in place and forgets
-    /// entries that lie more than `retain` before it, or don't fit in `bytes`.
+    /// Stores a newer snapshot of this replica's own state and drops entries that lie more than
+    /// `retain` indexes before its end. While the log's payloads exceed `bytes`, it drops more
+    /// entries that the snapshot covers, oldest first.
     pub(crate) fn compact(&mut self, snapshot: Arc<Snapshot>, retain: u64, bytes: usize) {
         let keep = Index(snapshot.index.0.saturating_sub(retain));
         while (self.base < keep || self.base < snapshot.index && self.bytes > bytes)
@@ -153,8 +156,8 @@
         self.snapshot = snapshot;
     }
 
-    /// Puts a leader's snapshot in place. Entries after it are kept only if
-    /// the log holds its last entry; returns whether they were.
+    /// Replaces the log up to a leader's snapshot. Entries after it are kept only if the log holds
+    /// the snapshot's last entry. Returns whether they were kept.
     pub(crate) fn install(&mut self, snapshot: Arc<Snapshot>) -> bool {
         if self.term(snapshot.index) == Some(snapshot.term) {
             self.compact(snapshot, 0, 0);
--- a/almondlock-quorum/src/machine/append.rs
+++ b/almondlock-quorum/src/machine/append.rs
@@ -1,4 +1,4 @@
-//! A follower's side of entries.
+//! A follower's handling of appends.
 
 use almondlock_base::time::Mono;
 
@@ -10,15 +10,15 @@
 };
 
 impl Machine {
-    /// Answers once what the append brought is synced; at once if it brought nothing, and once a
-    /// heartbeat.
+    /// Handles an append. Replies once its new entries are synced, and at once if it has no new
+    /// entries or the last immediate reply is at least a heartbeat interval old.
     ///
-    /// **Failure.** On slow disks a sync takes longer than an election timeout. Were the leader
-    /// answered only after it, each would hear nobody and step down, again and again. An answer
-    /// at once promises only what is synced already.
+    /// **Failure.** On slow disks a sync takes longer than an election timeout. If followers
+    /// replied only after a sync, each leader would hear nobody and step down. An immediate
+    /// reply acknowledges only entries that are already synced.
     pub(super) fn on_append(&mut self, now: Mono, from: Id, append: Append) {
         if self.is_leader() {
-            // Only a replica that lost its memory of this term could say so.
+            // Can only come from a replica that lost its record of this term.
             tracing::error!(%from, "another leader in the same term; message dropped");
             return;
         }
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Whether the logs agree before the entries sent; else the last index at
-    /// which they may.
+    /// Checks that the logs agree at the entry before those sent. Otherwise returns the last index
+    /// at which they may agree.
     fn check_previous(&self, append: &Append) -> Result<(), Index> {
         let index = append.previous_index;
         if index <= self.log.base() || index <= self.commit {
-            // Accepted already, so it agrees.
+            // The entry is committed, so it agrees.
             return Ok(());
         }
         let Some(term) = self.log.term(index) else {
@@ -62,7 +62,7 @@
         if term == append.previous_term {
             return Ok(());
         }
-        // The whole run of that term can't be the leader's.
+        // Skip all entries of this term at once: at least the last one differs from the leader's.
         let mut hint = index;
         while hint > self.commit && self.log.term(hint) == Some(term) {
             hint = hint.previous();
@@ -70,7 +70,7 @@
         Err(hint)
     }
 
-    /// Takes the entries in. Returns the last index that agrees, and whether any was new.
+    /// Appends the new entries. Returns the last index that agrees, and whether any entry was new.
     fn accept(&mut self, append: Append) -> (Index, bool) {
         let last = Index(append.previous_index.0 + append.entries.len() as u64);
         let mut wrote = false;
--- a/almondlock-quorum/src/machine/ballot.rs
+++ b/almondlock-quorum/src/machine/ballot.rs
@@ -1,5 +1,5 @@
-//! What is known of votes asked for and refused, for whoever looks for the
-//! cause of a missing leader. Nothing here decides anything.
+//! Records of votes requested, granted and refused, to diagnose why there is no leader. They
+//! don't affect elections.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,21 +13,21 @@
     message::{Body, Message, VoteRequest},
 };
 
-/// The most denials kept until they are taken.
+/// The maximum number of denials kept until they are taken.
 const MAX_DENIALS: usize = 16;
 
-/// A round of votes.
+/// A pre-vote or an election that this replica started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ballot {
-    /// It only asks whether the votes would be given.
+    /// Whether this is a pre-vote, which only asks whether the votes would be granted.
     pub pre: bool,
     /// The term that the votes are for.
     pub term: Term,
-    /// How many votes win.
+    /// The number of votes needed to win.
     pub quorum: usize,
-    /// The voters that gave theirs.
+    /// The voters that granted their vote.
     pub granted: BTreeSet<Id>,
-    /// The voters that refused, and the term that each was in.
+    /// The voters that refused, with the term of each refusal.
     pub refused: BTreeMap<Id, Term>,
     /// The voters that have not answered. This replica is among them until its
     /// own vote is synced.
@@ -39,13 +39,13 @@
 pub struct Denial {
     /// The candidate.
     pub to: Id,
-    /// It only asked whether it would get the vote.
+    /// Whether the candidate asked for a pre-vote.
     pub pre: bool,
     /// The term that the vote was for.
     pub term: Term,
     /// The candidate's last entry.
     pub last: Position,
-    /// Why.
+    /// The reason for the refusal.
     pub reason: Reason,
 }
 
@@ -56,31 +56,31 @@
     LeaderHeard,
     /// The candidate lacks entries that are held here.
     LogBehind,
-    /// The vote of that term is given to another.
+    /// This replica voted for another candidate in that term.
     VoteGiven,
-    /// A newer term than the candidate's is known here.
+    /// This replica knows a term at least as new as the one that the vote was for.
     OldTerm,
 }
 
-/// What a machine keeps of votes besides those that count.
+/// Refused votes and failed ballots, kept for diagnosis.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
-    /// The refusals of the present round.
+    /// The voters that refused in the current ballot, with the term of each refusal.
     refused: BTreeMap<Id, Term>,
-    /// The newest round that ended without a leader.
+    /// The newest ballot that ended without a leader.
     failed: Option<Ballot>,
     denials: BTreeMap<Id, Denial>,
 }
 
 impl Tally {
-    /// A round begins.
+    /// Clears the refusals when an election begins.
     pub(super) fn clear(&mut self) {
         self.refused.clear();
     }
 }
 
 impl Machine {
-    /// The round of votes that is under way here.
+    /// Returns the current ballot, if this replica stands for election or asks for pre-votes.
     pub fn ballot(&self) -> Option<Ballot> {
         let (pre, term) = match self.role {
             Role::PreCandidate => (true, self.hard.term.next()),
@@ -103,17 +103,17 @@
         Some(ballot)
     }
 
-    /// The newest round of votes that ended without a leader, until one is known.
+    /// Returns the newest ballot that ended without a leader, until a leader is known.
     pub fn failed_ballot(&self) -> Option<&Ballot> {
         self.tally.failed.as_ref()
     }
 
-    /// The votes refused since the last call, the newest for each candidate.
+    /// Returns the newest denial for each candidate since the last call.
     pub fn take_denials(&mut self) -> impl Iterator<Item = Denial> + use<> {
         mem::take(&mut self.tally.denials).into_values()
     }
 
-    /// A round of votes ends, if one is under way.
+    /// Ends the current ballot, if any, and keeps it as failed.
     pub(super) fn close_ballot(&mut self) {
         if let Some(ballot) = self.ballot() {
             self.tally.failed = Some(ballot);
@@ -121,14 +121,14 @@
         self.tally.refused.clear();
     }
 
-    /// A leader is known.
+    /// Clears the records of ballots, since a leader is known.
     pub(super) fn clear_ballots(&mut self) {
         self.tally.failed = None;
         self.tally.refused.clear();
     }
 
-    /// Takes note of a refused vote. To be called before the message's term is
-    /// looked at: a refusal of a newer term ends the round.
+    /// Records the refusal of a vote. Must be called before the message's term is
+    /// handled, since a refusal with a newer term ends the ballot.
     pub(super) fn record_refusal(&mut self, from: Id, message: &Message) {
         let Body::VoteReply(reply) = &message.body else {
             return;
--- a/almondlock-quorum/src/machine/change.rs
+++ b/almondlock-quorum/src/machine/change.rs
@@ -1,10 +1,10 @@
-//! Membership, one change at a time.
+//! Membership changes, one at a time.
 //!
-//! A change is an entry that holds the members after it, in force from the
-//! moment it is appended. The next one waits until it is accepted, and the first
-//! of a term until an entry of that term is: without the second wait two leaders
-//! in a row could each start from the same members and change them differently,
-//! to sets whose majorities need not meet.
+//! A change is an entry that holds the new members. They are in force as soon as the entry is
+//! appended. The next change waits until this one is committed, and the first change of a
+//! term waits until an entry of that term is committed. Without the second rule two
+//! successive leaders could change the same members differently, to sets whose majorities
+//! need not overlap.
 
 use almondlock_base::time::Mono;
 
@@ -16,15 +16,15 @@
 };
 
 impl Machine {
-    /// Puts a change of the members into the log, if this replica leads and hears a majority of
-    /// those that the change leaves.
+    /// Appends a change of the members to the log, if this replica leads and has recently heard a
+    /// majority of the members after the change.
     pub fn change(&mut self, now: Mono, change: &Change) -> Result<Position, Error> {
         self.check_writer()?;
         if self.log.members_index() > self.commit {
             return Err(Error::busy("another change of the members is under way"));
         }
         if self.log.term(self.commit) != Some(self.hard.term) {
-            return Err(Error::busy("the new leader has not accepted anything yet"));
+            return Err(Error::busy("the new leader has not committed an entry yet"));
         }
         if let Change::Promote(id) = change
             && !self.is_caught_up(*id)
@@ -32,8 +32,8 @@
             return Err(Error::busy("the learner has not caught up yet"));
         }
         let members = self.log.members().changed(change)?;
-        // In force from its append on: one that can't be accepted ends the group, though a
-        // majority of the members before it may be there.
+        // The change is in force once appended. If it can't be committed, the group accepts nothing
+        // more, even where a majority of the members before the change is available.
         if !self.has_recent_quorum(now, &members) {
             return Err(Error::busy(
                 "a majority of the members after the change doesn't answer",
@@ -48,12 +48,13 @@
         position
     }
 
-    /// Of a leader: whether another member has synced all that was accepted.
+    /// Whether another member has synced all committed entries. Always false unless this replica
+    /// leads.
     ///
-    /// A learner gets its vote only then. Promoted earlier it would count towards
-    /// majorities without holding what the others promised, and the next loss would
-    /// take away the quorum until it had caught up. Judged by the commit index at the
-    /// last heartbeat: under steady load the newest one is always an exchange ahead.
+    /// A learner is promoted only then. If it were promoted earlier, it would count towards
+    /// majorities without holding committed entries, and after the next loss of a voter there
+    /// would be no quorum until it had caught up. The check uses the commit index at the last
+    /// heartbeat, since under steady load the newest commit index is always ahead of the replies.
     pub fn is_caught_up(&self, id: Id) -> bool {
         let needed = self.recent_commit.max(self.log.members_index());
         self.matched(id).is_some_and(|index| index >= needed)
--- a/almondlock-quorum/src/machine/election.rs
+++ b/almondlock-quorum/src/machine/election.rs
@@ -1,10 +1,9 @@
-//! Who leads.
+//! Elections, and how leaders step down or transfer their leadership.
 //!
-//! Before it raises its term, a replica asks whether it could win at all
-//! (pre-vote), and those that hear a leader say no. So a replica that was cut
-//! off for minutes returns without unseating anyone. A leader that hasn't heard
-//! a majority for one election timeout steps down, so a silent minority stops
-//! answering as if it led.
+//! Before a replica raises its term, it asks in a pre-vote whether it could win, and replicas
+//! that hear a leader refuse. So a replica that was cut off for minutes returns without
+//! disturbing the leader. A leader that hasn't heard a majority for one election timeout
+//! steps down, so a leader cut off with a minority stops serving.
 
 use almondlock_base::time::Mono;
 use rand::Rng;
@@ -16,11 +15,11 @@
     message::{AppendReply, Body, Message, VoteReply, VoteRequest},
 };
 
-/// Doublings of the time between elections at the most. The longest election timeout bounds it
-/// long before.
+/// Maximum number of doublings of the time between elections. It only prevents an overflow: the
+/// limits in election timeouts are reached earlier.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
-/// The longest wait after failed elections, in election timeouts, before it is spread.
+/// The longest wait after failed elections, in election timeouts, before the random part is added.
 const MAX_BACKOFF_TIMEOUTS: u32 = 4;
 
 impl Machine {
@@ -32,12 +31,13 @@
         self.election_at = now + least + least.mul_f64(self.rng.random_range(0.0..1.0));
     }
 
-    /// Waits for an election to end that this replica stands in, or gave its vote in.
+    /// Schedules the next election after the current one, in which this replica is a candidate or
+    /// has voted.
     ///
-    /// **Failure.** Votes take longer to be synced than a candidate waits, or than its voters do
-    /// before they stand themselves. Each election is given up for the next one, and nobody leads
-    /// for as long as the disks are slow. So the wait begins when the vote is synced here, and
-    /// each time that it was too short it doubles.
+    /// **Failure.** On slow disks a vote takes longer to sync than the candidate or the voters wait
+    /// before they start the next election. Each election is abandoned for the next one, and
+    /// nobody leads while the disks are slow. Therefore the wait begins when the vote is synced
+    /// here, and doubles after each failed election.
     pub(super) fn back_off_election(&mut self, now: Mono) {
         let failed = self
             .election_attempts
@@ -52,16 +52,16 @@
         self.election_at = now + least + least.mul_f64(self.rng.random_range(0.0..spread));
     }
 
-    /// The first time to stand for election after a start: soon, because all
-    /// replicas may have started together, and until one leads nobody is told
-    /// what is in force. Where there is a leader, those that hear it refuse
-    /// the question that comes before an election, and its next heartbeat puts
-    /// this one off.
+    /// Schedules an election while no leader has been known since the start.
+    ///
+    /// The first election comes soon, because all replicas may have started together, and without
+    /// a leader the hosts get no configuration. If there is a leader, the replicas that hear it
+    /// refuse the pre-vote, and its next heartbeat resets the timer.
     ///
     /// **Failure.** Two replicas stand at the same moment and get half of the votes each. Until
-    /// one stands again nobody leads, and hosts that have started with them serve nobody. So
-    /// the next rounds come soon too, further apart each time: votes on slow disks may take
-    /// longer than a round.
+    /// one stands again nobody leads, and hosts that started with them serve no requests. So
+    /// the next elections come soon too, with growing intervals, since votes on slow disks may
+    /// take longer than an interval.
     pub(super) fn schedule_early_election(&mut self, now: Mono) {
         let doublings = self
             .election_attempts
@@ -72,7 +72,7 @@
         self.election_at = now + least + least.mul_f64(self.rng.random_range(0.0..1.5));
     }
 
-    /// Becomes a follower in this term, of this leader if one is known.
+    /// Becomes a follower in this term, and of this leader if one is given.
     pub(super) fn become_follower(&mut self, now: Mono, term: Term, leader: Option<Id>) {
         if term > self.hard.term {
             self.hard.term = term;
@@ -96,7 +96,7 @@
         self.reject_reads();
     }
 
-    /// A leader of this term spoke.
+    /// Records that the leader of this term was heard.
     pub(super) fn hear_leader(&mut self, now: Mono, leader: Id) {
         if self.role != Role::Follower || self.leader != Some(leader) {
             self.become_follower(now, self.hard.term, Some(leader));
@@ -131,8 +131,8 @@
         self.hard.term = self.hard.term.next();
         self.hard.vote = Some(self.id);
         self.leader_heard = None;
-        // Its own vote counts once it is on disk, as any other: forgotten in a
-        // crash, it could be given to another in the same term.
+        // The replica's own vote also counts only once it is on disk. If a crash lost
+        // it, the replica could vote for another candidate in the same term.
         self.output.mark_hard_state_changed();
         self.request_votes(false);
     }
@@ -184,13 +184,13 @@
         self.elected_at = now;
         self.heartbeat_at = now + self.config.heartbeat_interval;
         self.add_missing_peers();
-        // Entries of earlier terms count as accepted only together with one of
-        // this term (replication::advance_commit), so there must be one.
+        // Entries of earlier terms are committed only together with one of this term
+        // (`advance_commit`), so the leader appends one.
         self.append_as_leader(Payload::Empty);
     }
 
-    /// Keeps one progress for each other member. Those removed stay until that
-    /// is accepted, so that they hear of it.
+    /// Adds a progress for each other member that has none. Removed members keep theirs until the
+    /// removal is committed, so that they learn of it.
     pub(super) fn add_missing_peers(&mut self) {
         let members = self.log.members();
         let (id, next) = (self.id, self.log.last().next());
@@ -252,16 +252,16 @@
         self.send_synced(from, Body::VoteReply(reply));
     }
 
-    /// Whether this follower hears a leader and knows to be accepted all that
-    /// the leader said to be. A leader that has accepted nothing of its own term
-    /// doesn't know yet what its predecessor accepted, so it doesn't count.
+    /// Whether this follower hears a leader and has committed everything that the leader announced
+    /// as committed. A leader that has not committed an entry of its own term doesn't know yet
+    /// what its predecessor committed, so its announcements don't count.
     pub fn is_current(&self, now: Mono) -> bool {
         let said = self.leader_commit.filter(|said| *said <= self.commit);
         let own = said.is_some_and(|said| self.log.term(said) == Some(self.hard.term));
         own && !self.is_leader() && self.hears_leader(now)
     }
 
-    /// Whether this replica leads, or heard a leader of the present term within an election
+    /// Whether this replica leads, or heard the leader of the current term within the last election
     /// timeout.
     pub fn hears_leader(&self, now: Mono) -> bool {
         let recent = |at: Mono| now.since(at) < self.config.election_timeout;
@@ -285,8 +285,8 @@
         }
     }
 
-    /// Tells a speaker of an older term of the present one, so that an old
-    /// leader steps down and a candidate catches up.
+    /// Replies to a message of an older term with the current term, so that an old leader steps
+    /// down and a candidate adopts the term.
     pub(super) fn reply_to_stale(&mut self, from: Id, term: Term, body: &Body) {
         match body {
             Body::Append(append) => {
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Steps down unless a majority was heard within one election timeout.
+    /// Steps down unless a majority was heard within the last election timeout.
     pub(super) fn check_quorum(&mut self, now: Mono) {
         if now.since(self.elected_at) >= self.config.election_timeout
             && !self.has_recent_quorum(now, self.log.members())
@@ -327,7 +327,7 @@
         }
     }
 
-    /// Of a leader: whether a majority of these was heard within one election timeout.
+    /// Whether this leader heard a majority of `members` within the last election timeout.
     pub(super) fn has_recent_quorum(&self, now: Mono, members: &Members) -> bool {
         members.has_quorum(|id| {
             let heard = self.peers.get(&id).and_then(|peer| peer.heard);
@@ -335,11 +335,12 @@
         })
     }
 
-    /// Hands leadership to the voter that has the most, for a graceful stop. Gives that
-    /// voter.
+    /// Transfers leadership to the voter that holds the most entries, for a graceful stop. Returns
+    /// that voter.
     ///
-    /// From now on no entry is written, since voters that hold one which the successor lacks
-    /// would refuse it their vote. The successor is told once it has all.
+    /// From now on no entry is appended, since voters that hold an entry which the successor
+    /// lacks would refuse to vote for it. The successor is asked to take over once it holds all
+    /// entries.
     pub fn transfer_leadership(&mut self, now: Mono) -> Option<Id> {
         let to = self.best_voter(now)?;
         self.successor = Some(to);
@@ -347,8 +348,8 @@
         Some(to)
     }
 
-    /// Of a leader: the other voter that has the most, of those that were heard within an
-    /// election timeout if there are any; of equals the one that was heard last.
+    /// Returns the other voter that holds the most entries, if this replica leads. Voters heard
+    /// within the last election timeout are preferred; among equals, the one heard last.
     fn best_voter(&self, now: Mono) -> Option<Id> {
         let voters = &self.log.members().voters;
         let best = self
@@ -363,7 +364,7 @@
         best.filter(|_| self.is_leader())
     }
 
-    /// Tells a replica to stand for election if it is the successor and has all entries.
+    /// Asks a replica to stand for election if it is the successor and holds all entries.
     pub(super) fn notify_successor(&mut self, id: Id) {
         let has_all = self.matched(id) == Some(self.log.last());
         if self.successor == Some(id) && has_all {
@@ -371,7 +372,7 @@
         }
     }
 
-    /// Steps down at once in favour of the voter that has the most.
+    /// Steps down at once and asks the voter that holds the most entries to take over.
     pub(super) fn step_down(&mut self, now: Mono) {
         if let Some(to) = self.best_voter(now) {
             self.send(to, Body::TimeoutNow);
--- a/almondlock-quorum/src/machine/mod.rs
+++ b/almondlock-quorum/src/machine/mod.rs
@@ -1,16 +1,16 @@
-//! The protocol of one replica of one group, without I/O.
+//! The Raft protocol of one replica of one group, without I/O.
 //!
-//! Whoever drives a machine hands it messages, ticks, proposals and notices of
-//! finished syncs, and after each call (or several) takes its [`Output`]: the
-//! write goes to the disk in order, messages go out at once and in any order,
-//! committed entries are applied in order. What must not be said before it is
-//! on disk is held back here until [`Machine::synced`], so a driver can't get
-//! that order wrong.
+//! A driver passes messages, ticks, proposals and notices of finished syncs to a
+//! [`Machine`] and takes its [`Output`] after one or more calls. The driver writes to disk in
+//! order, sends messages at once and in any order, and applies committed entries in order.
+//! The machine holds back each message that depends on a write until [`Machine::synced`]
+//! reports that write, so that a driver can't get this order wrong.
 //!
-//! The parts: `election` (who leads), `replication` (entries to others),
-//! `append` (entries from the leader), `snapshot` (whole states in pieces),
-//! `read` (reads that are never stale), `change` (membership), `ballot` (what is
-//! known of votes).
+//! The modules: `election` (elections and leadership), `replication` (the leader's appends),
+//! `append` (a follower's handling of appends), `snapshot` (snapshots sent in pieces),
+//! `read` (linearizable reads), `change` (membership changes), `ballot` (records of votes
+//! for diagnosis), `progress` (the leader's view of each replica) and `output` (what the
+//! driver has to do).
 
 mod append;
 mod ballot;
@@ -45,29 +45,29 @@
     storage::Loaded,
 };
 
-/// What a replica is at the moment.
+/// The role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It follows a leader, or waits for one.
+    /// The replica follows a leader, or waits for one.
     Follower,
-    /// It asks whether it could win an election.
+    /// The replica asks in a pre-vote whether it could win an election.
     PreCandidate,
-    /// It stands for election.
+    /// The replica stands for election.
     Candidate,
-    /// It leads.
+    /// The replica leads.
     Leader,
 }
 
 /// Why a replica stands for election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// No leader was heard for an election timeout.
+    /// The replica heard no leader for an election timeout.
     Silence,
-    /// The leader told it to, since it stops.
+    /// The leader asked the replica to take over.
     HandOver,
 }
 
-/// One replica of one group.
+/// The protocol state of one replica of one group.
 #[derive(Debug)]
 pub struct Machine {
     config: Config,
@@ -76,47 +76,49 @@
     log: Log,
     role: Role,
     leader: Option<Id>,
-    // Invariant: never goes down; entries up to it are held by a majority.
+    // Invariant: never decreases; entries up to it are held by a majority.
     commit: Index,
-    // Invariant: `delivered <= commit`; the driver was given all entries up to it.
+    // The driver was given all entries up to this index. Invariant: `delivered <= commit`.
     delivered: Index,
-    // Invariant: the entries up to it, of the present log, are synced here.
+    // Invariant: the entries of the current log up to this index are synced here.
     durable: Index,
     rng: SmallRng,
-    // When to stand for election, for all but a leader.
+    // The time at which a replica that doesn't lead starts a pre-vote.
     election_at: Mono,
-    // A leader was known in this life, or it was this replica.
+    // Whether a leader, possibly this replica, has been known since the start.
     has_known_leader: bool,
-    // How often it stood for election since it knew a leader.
+    // The number of elections that this replica started since it last knew a leader.
     election_attempts: u32,
-    // When a leader of the present term was last heard.
+    // The time at which the leader of the current term was last heard.
     leader_heard: Option<Mono>,
-    // Of a follower: when it last answered its leader before a sync, or first heard it.
+    // Follower only: the time at which it last answered an append without waiting for a sync, or
+    // first heard its leader.
     answered_at: Mono,
-    // What the present term's leader last said to be accepted.
+    // The highest commit index that a leader announced in the current term.
     leader_commit: Option<Index>,
     votes: BTreeSet<Id>,
     tally: ballot::Tally,
-    // Why it last stood for election.
+    // The cause of the last election that this replica started.
     cause: Option<Cause>,
-    // Of a leader: the others, by identity.
+    // Leader only: the replication progress of the other members.
     peers: BTreeMap<Id, progress::Progress>,
     heartbeat_at: Mono,
-    // The commit index when the last heartbeats went out.
+    // The commit index at the time of the last heartbeats.
     recent_commit: Index,
-    // Of a leader: since when it has led.
+    // Leader only: the time at which it was elected.
     elected_at: Mono,
-    // Of a leader: whom it hands leadership to. Invariant: no entry is appended while it is set.
+    // Leader only: the voter to which it transfers leadership. Invariant: no entry is appended
+    // while it is set.
     successor: Option<Id>,
     reads: read::Queue,
     incoming: Option<snapshot::Incoming>,
-    // Of a leader: entries were appended that no message holds yet.
+    // Leader only: whether entries were appended since the last replication.
     unsent: bool,
     output: output::Pending,
 }
 
 impl Machine {
-    /// Starts from what the disk holds.
+    /// Creates a follower from the state loaded from disk.
     pub fn new(config: Config, id: Id, loaded: Loaded, now: Mono) -> Machine {
         let snapshot = loaded.snapshot.unwrap_or_else(|| {
             Arc::new(Snapshot {
@@ -162,7 +164,7 @@
         machine
     }
 
-    /// Takes in a message. Whoever calls vouches for `from`.
+    /// Handles a message. The caller guarantees that it comes from the replica `from`.
     pub fn receive(&mut self, now: Mono, from: Id, message: Message) {
         self.record_refusal(from, &message);
         if message.term > self.hard.term && !is_pre_vote(&message.body) {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Lets time pass. To be called a few times per heartbeat.
+    /// Handles timeouts and heartbeats that are due. Call it several times per heartbeat interval.
     pub fn tick(&mut self, now: Mono) {
         if self.role == Role::Leader {
             self.tick_leader(now);
@@ -192,18 +194,17 @@
         }
     }
 
-    /// Puts a command into the log, if this replica leads. It is accepted when
-    /// an entry of the position's term and index comes out committed.
+    /// Appends a command to the log, if this replica leads. The command is accepted once an
+    /// entry with the position's term and index is committed.
     pub fn propose(&mut self, data: Arc<[u8]>) -> Result<Position, Error> {
         self.check_writer()?;
         if self.log.last().0 - self.commit.0 >= self.config.max_uncommitted {
-            return Err(Error::busy("too many entries wait for a quorum"));
+            return Err(Error::busy("too many entries wait to be committed"));
         }
         Ok(self.append_as_leader(Payload::Command(data)))
     }
 
-    /// All writes up to this sequence number are on disk, file and folder
-    /// synced.
+    /// Reports that all writes up to this sequence number are on disk, with file and folder synced.
     pub fn synced(&mut self, now: Mono, sequence: u64) {
         let waited = !self.output.is_hard_state_synced();
         let done = self.output.synced(sequence);
@@ -224,8 +225,8 @@
         }
     }
 
-    /// Gives the state machine's state at an applied index, so that entries
-    /// before it can be forgotten. Older ones than the last are passed over.
+    /// Stores a snapshot of the state machine's state at an applied index, so that entries up to
+    /// that index can be dropped. Ignored if it is not newer than the last snapshot.
     pub fn compact(&mut self, index: Index, data: Arc<[u8]>) {
         let Some(term) = self.log.term(index) else {
             return;
@@ -244,8 +245,8 @@
         self.log.compact(snapshot, retain, bytes);
     }
 
-    /// What to do now. Nothing in it comes a second time. Entries proposed since
-    /// the last call go out together.
+    /// Returns the work for the driver since the last call. Entries proposed since the last call
+    /// are sent together.
     pub fn take(&mut self, now: Mono) -> Output {
         if std::mem::take(&mut self.unsent) && self.is_leader() {
             self.replicate_all(now);
@@ -259,52 +260,52 @@
         self.output.take(hard, log, committed)
     }
 
-    /// Whether this replica leads, as far as it knows.
+    /// Whether this replica believes that it leads.
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// What this replica is.
+    /// Returns the replica's current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Why it stands for election, if it does.
+    /// Returns the cause of the current election, if this replica is a candidate.
     pub fn election_cause(&self) -> Option<Cause> {
         self.cause.filter(|_| self.role == Role::Candidate)
     }
 
-    /// Its identity.
+    /// Returns the replica's identity.
     pub fn id(&self) -> Id {
         self.id
     }
 
-    /// Its settings.
+    /// Returns the replica's settings.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// The newest term it has seen.
+    /// Returns the newest term that the replica has seen.
     pub fn term(&self) -> Term {
         self.hard.term
     }
 
-    /// The leader of the present term, as far as known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<Id> {
         self.leader
     }
 
-    /// The last entry known to be accepted.
+    /// Returns the index of the last entry known to be committed.
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// The last entry of the log, accepted or not.
+    /// Returns the index of the last entry of the log, committed or not.
     pub fn last(&self) -> Index {
         self.log.last()
     }
 
-    /// The last entry of the log with its term.
+    /// Returns the index and term of the last entry of the log.
     pub fn last_position(&self) -> Position {
         Position {
             term: self.log.last_term(),
@@ -312,43 +313,44 @@
         }
     }
 
-    /// The newest snapshot.
+    /// Returns the newest snapshot.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         self.log.snapshot()
     }
 
-    /// The members in force here, accepted or not.
+    /// Returns the members in force at this replica, committed or not.
     pub fn members(&self) -> &Arc<Members> {
         self.log.members()
     }
 
-    /// Whether the members in force here are known to be accepted.
+    /// Whether the members in force at this replica are known to be committed.
     pub fn has_accepted_members(&self) -> bool {
         self.log.members_index() <= self.commit
     }
 
-    /// The term of an entry that is held here.
+    /// Returns the term of an entry, if it is held in memory.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         self.log.term(index)
     }
 
-    /// Of a leader: up to where another replica has everything synced.
+    /// Returns the last index up to which another replica has synced the leader's log. `None` if
+    /// this replica doesn't lead.
     pub fn matched(&self, id: Id) -> Option<Index> {
         self.peers.get(&id).map(|peer| peer.matched)
     }
 
-    /// Of a leader: when another replica was last heard in this term.
+    /// Returns the time at which the leader last heard another replica in this term.
     pub fn heard(&self, id: Id) -> Option<Mono> {
         self.peers.get(&id).and_then(|peer| peer.heard)
     }
 
-    /// Of a leader: when another replica was last heard and held all entries, or more than
-    /// before. One whose disk hangs answers and doesn't come to hold more.
+    /// Returns the time at which the leader last heard another replica that held all entries or
+    /// more than before. A replica whose disk hangs still answers, but doesn't advance.
     pub fn advanced(&self, id: Id) -> Option<Mono> {
         self.peers.get(&id).and_then(|peer| peer.advanced)
     }
 
-    /// Of a leader: since when it has led.
+    /// Returns the time at which this replica was last elected leader.
     pub fn leader_since(&self) -> Mono {
         self.elected_at
     }
@@ -361,7 +363,7 @@
         }
     }
 
-    /// Whether this replica leads and writes entries.
+    /// Returns an error unless this replica leads and is not transferring its leadership.
     fn check_writer(&self) -> Result<(), Error> {
         self.check_leader()?;
         match self.successor {
@@ -394,7 +396,7 @@
         self.output.send(to, Message { term, body });
     }
 
-    /// Sends once all that was written so far is synced.
+    /// Sends a message once all writes so far are synced.
     fn send_synced(&mut self, to: Id, body: Body) {
         let term = self.hard.term;
         self.output.hold(to, Message { term, body });
--- a/almondlock-quorum/src/machine/output.rs
+++ b/almondlock-quorum/src/machine/output.rs
@@ -1,10 +1,10 @@
-//! What a machine wants done, and what it holds back until a sync.
+//! The work that a machine has for its driver, and messages held back until a sync.
 //!
-//! Replies that promise something (a vote, entries kept) leave only when the
-//! promise is on disk: a replica that crashed between the two would otherwise
-//! forget a vote that was counted, or an entry that its acknowledgement made
-//! accepted. Each held message waits for the newest write at its time, which is
-//! enough since the disk finishes writes in order.
+//! A reply that grants a vote or acknowledges entries is sent only once the vote or the
+//! entries are on disk. Otherwise a replica that crashes in between would forget a vote that
+//! was counted, or an entry that was committed because of its acknowledgement. A held
+//! message waits for the newest write at the time it was queued, which is enough since the
+//! disk finishes writes in order.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -17,45 +17,49 @@
     storage::Write,
 };
 
-/// What to do now.
+/// Work for the driver, from [`Machine::take`](super::Machine::take).
 #[derive(Debug, Default)]
 pub struct Output {
-    /// To be written and synced, in the order taken. Each is answered by
-    /// [`Machine::synced`](super::Machine::synced), one call may answer many.
+    /// Data to write and sync, in the order in which outputs are taken. The driver reports it with
+    /// [`Machine::synced`](super::Machine::synced); one call may report many writes.
     pub write: Option<Write>,
-    /// To be sent, in any order; losing one is allowed.
+    /// Messages to send, in any order. They may be lost.
     pub messages: Vec<Envelope>,
-    /// Replaces the state machine's state; comes before `committed`.
+    /// A snapshot that replaces the state machine's state, before `committed` is applied.
     pub restore: Option<Arc<Snapshot>>,
-    /// To be applied in order.
+    /// Committed entries to apply in order.
     pub committed: Vec<Entry>,
-    /// Answers to reads. Each is to wait until its index is applied.
+    /// Outcomes of reads. A read is answered once the grant's index is applied.
     pub grants: Vec<Grant>,
 }
 
+/// The parts of the next [`Output`], and messages that wait for a sync.
 #[derive(Debug, Default)]
 pub(super) struct Pending {
-    // The number of the newest write taken.
+    // The sequence number of the newest write taken.
     sequence: u64,
-    // All writes up to it are synced.
+    // All writes up to this sequence number are synced.
     done: u64,
-    // The write that is being gathered has something in it.
+    // Whether there is anything to put into the next write.
     dirty: bool,
+    // The first index of the entries for the next write.
     first: Option<Index>,
     reset: bool,
     snapshot: Option<Arc<Snapshot>>,
-    // The last entry of each write taken and not yet synced, or of its snapshot.
+    // The position of the last entry, or else of the snapshot, of each write that was taken and
+    // is not yet synced.
     in_flight: VecDeque<(u64, Position)>,
+    // Messages held back, each with the sequence number of the write that it waits for.
     held: VecDeque<(u64, Envelope)>,
     messages: Vec<Envelope>,
     restore: Option<Arc<Snapshot>>,
     grants: Vec<Grant>,
-    // The write that holds the present term and vote.
+    // The sequence number of the write that holds the current term and vote.
     hard: u64,
 }
 
 impl Pending {
-    /// The number that the write being gathered will have.
+    /// Returns the sequence number of the write that holds all changes so far.
     fn next(&self) -> u64 {
         if self.dirty {
             self.sequence + 1
@@ -64,18 +68,18 @@
         }
     }
 
-    /// The term or the vote changed.
+    /// Records that the term or the vote changed.
     pub(super) fn mark_hard_state_changed(&mut self) {
         self.dirty = true;
         self.hard = self.next();
     }
 
-    /// Whether the present term and vote are synced.
+    /// Whether the current term and vote are synced.
     pub(super) fn is_hard_state_synced(&self) -> bool {
         !self.is_held(self.hard)
     }
 
-    /// Entries from `first` on are new.
+    /// Records that entries from `first` on are new.
     pub(super) fn mark_entries_written(&mut self, first: Index) {
         self.dirty = true;
         self.first = Some(self.first.map_or(first, |old| old.min(first)));
@@ -86,8 +90,8 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// A leader's snapshot came. Unless entries after it were kept, the log
-    /// starts anew behind it.
+    /// Adds a leader's snapshot. Unless entries after it were kept, the log is
+    /// reset and starts after the snapshot.
     pub(super) fn install(&mut self, snapshot: Arc<Snapshot>, kept: bool) {
         self.save(Arc::clone(&snapshot));
         if !kept {
@@ -119,7 +123,8 @@
         sequence > self.done
     }
 
-    /// Frees what waited for these writes. Returns their last entry.
+    /// Releases the messages that waited for writes up to `sequence`. Returns the position of the
+    /// last entry that is newly synced.
     pub(super) fn synced(&mut self, sequence: u64) -> Option<Position> {
         self.done = self.done.max(sequence.min(self.sequence));
         while let Some((_, envelope)) = self.held.pop_front_if(|(at, _)| *at <= self.done) {
--- a/almondlock-quorum/src/machine/progress.rs
+++ b/almondlock-quorum/src/machine/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one other replica.
+//! The leader's view of how far another replica's log agrees with its own.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -6,32 +6,36 @@
 
 use crate::entry::{Index, Snapshot};
 
+/// The replication state of one other replica.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// Everything up to here is synced there and agrees with this log.
+    /// The last index up to which the replica's synced log agrees with the leader's.
     pub(super) matched: Index,
-    /// The next entry to send. Invariant: `next > matched`.
+    /// The index of the next entry to send. Invariant: `next > matched`.
     pub(super) next: Index,
     pub(super) mode: Mode,
-    /// The newest round of heartbeats that it answered.
+    /// The newest heartbeat round that the replica answered.
     pub(super) round: u64,
-    // Answers to appends of earlier rounds don't say what it holds: it lost entries since.
+    // The round in which the replica was found to have lost entries. Replies of earlier rounds
+    // are ignored.
     valid_from: u64,
-    /// When it was last heard in this term.
+    /// The time at which the replica was last heard in this term.
     pub(super) heard: Option<Mono>,
-    /// When it was last heard and held all entries, or more than before.
+    /// The time at which the replica was last heard and held all entries or more than before.
     pub(super) advanced: Option<Mono>,
 }
 
+/// How the leader sends its log to the replica.
 #[derive(Debug)]
 pub(super) enum Mode {
-    /// Where the logs part is not known: one append at a time. Once it refused what it had
-    /// acknowledged, with the round in which it was asked whether it still holds `matched`.
+    /// The leader looks for the index where the logs diverge, with one append at a time. After
+    /// the replica refused entries that it had acknowledged, `asked` is the round in which it
+    /// is asked whether it still holds `matched`.
     Probe { waiting: bool, asked: Option<u64> },
-    /// Appends follow each other without waiting; the last index of each that
-    /// has not been answered.
+    /// Appends are sent without waiting for replies. `in_flight` has the last index of each append
+    /// that has not been answered.
     Pipeline { in_flight: VecDeque<Index> },
-    /// It needs entries that are gone.
+    /// The replica needs entries that the leader has dropped, and is sent a snapshot.
     Snapshot {
         snapshot: Arc<Snapshot>,
         offset: u64,
@@ -39,16 +43,16 @@
     },
 }
 
-/// What a refused append tells the leader.
+/// What the leader concludes from a refused append.
 #[derive(Debug)]
 pub(super) enum Refusal {
-    /// Nothing: it answers an older append, or a snapshot is on its way.
+    /// Nothing, since the refusal answers an older append or a snapshot is being sent.
     Stale,
-    /// Where to go on.
+    /// The logs diverge, and the leader continues at the hinted index.
     Diverged,
-    /// It may not hold what it acknowledged. It is to be asked in a new round.
+    /// The replica may have lost entries that it acknowledged, and must be asked in a new round.
     Unverified,
-    /// It doesn't hold what it acknowledged.
+    /// The replica has lost entries that it acknowledged.
     Lost,
 }
 
@@ -70,15 +74,15 @@
         self.mode = Mode::probe();
     }
 
-    /// It agrees up to `index`, in answer to an append of this round. Returns whether more may be
-    /// sent.
+    /// Handles a reply to an append of this round: the logs agree up to `index`. Returns whether
+    /// more appends may be sent.
     pub(super) fn on_matched(&mut self, index: Index, round: u64) -> bool {
         if self.is_stale(round) {
             return false;
         }
         self.matched = self.matched.max(index);
         match &mut self.mode {
-            // An answer to an older append says nothing about the probe.
+            // A reply to an older append says nothing about the probe.
             Mode::Probe { .. } if index < self.next.previous() => return false,
             Mode::Probe { .. } => {
                 self.mode = Mode::Pipeline {
@@ -95,11 +99,11 @@
         true
     }
 
-    /// It refused an append of this round; nothing after `hint` can agree.
+    /// Handles the refusal of an append of this round. The logs can't agree after `hint`.
     ///
-    /// A refusal below what it acknowledged may be late, or its hint passed over entries that do
-    /// agree, since it passes over a whole term. Then the next append names the last entry that
-    /// it acknowledged, in a new round: who refuses one of that round doesn't hold that entry.
+    /// A hint below `matched` may come from a late refusal, or may skip entries that do agree,
+    /// since it skips a whole term. Therefore the next append names the entry at `matched`, in
+    /// a new round. A replica that refuses an append of that round has lost that entry.
     pub(super) fn on_refused(&mut self, hint: Index, round: u64) -> Refusal {
         if self.is_stale(round) {
             return Refusal::Stale;
@@ -120,7 +124,8 @@
         }
     }
 
-    /// Asks in this round, which must be new, whether it holds what it acknowledged.
+    /// Makes the next append ask whether the replica still holds the entry at `matched`. `round`
+    /// must be new.
     pub(super) fn verify_matched(&mut self, round: u64) {
         self.next = self.matched.next();
         self.mode = Mode::Probe {
@@ -129,15 +134,15 @@
         };
     }
 
-    /// It holds nothing after `hint` any more. What it acknowledged before this round, which must
-    /// be new, doesn't count.
+    /// Discards what the replica acknowledged before `round`, which must be new. The replica lost
+    /// entries and holds none after `hint`.
     pub(super) fn reset_matched(&mut self, hint: Index, round: u64) {
         self.matched = Index::ZERO;
         self.valid_from = round;
         self.probe(hint.next().min(self.next));
     }
 
-    // Answers to pieces of a snapshot name no round.
+    // Replies to pieces of a snapshot carry no round.
     fn is_stale(&self, round: u64) -> bool {
         let piece = round == 0 && matches!(self.mode, Mode::Snapshot { .. });
         round < self.valid_from && !piece
--- a/almondlock-quorum/src/machine/read.rs
+++ b/almondlock-quorum/src/machine/read.rs
@@ -1,35 +1,38 @@
-//! Reads that are never stale.
+//! Linearizable reads, confirmed by a round of heartbeats (Raft's ReadIndex).
 //!
-//! A leader may have been replaced without knowing. Before it answers a read it
-//! has a majority confirm, in a round of heartbeats begun after the read came,
-//! that it still leads; then nothing newer than its commit index at the
-//! round's start had been accepted when the read came. No clock takes part.
-//! Reads that come during a round share the next one.
+//! A leader may have been replaced without knowing it. Before it grants a read, a majority
+//! must confirm that it still leads, in a round of heartbeats that began after the read
+//! arrived. Then nothing beyond its commit index at the start of the round had been
+//! committed when the read arrived. This depends on no clock. Reads that arrive during a
+//! round share the next one.
 
 use almondlock_base::time::Mono;
 
 use super::Machine;
 use crate::{entry::Index, error::Error, member::Id};
 
-/// The answer to a read.
+/// The outcome of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// As given with the read.
+    /// The token given with the read.
     pub token: u64,
-    /// Answer from the state after this index; `None`: this replica leads no
-    /// more, ask another.
+    /// The index that must be applied before the read is answered. `None` if this replica no longer
+    /// leads and another one must be asked.
     pub index: Option<Index>,
 }
 
+/// The reads that wait to be confirmed.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    // The newest round begun. Rises through all terms.
+    // The newest round begun. Never reset, also not in a new term.
     round: u64,
+    // The tokens of the reads that the round `confirming` confirms.
     running: Vec<u64>,
-    // The round that confirms those running. Invariant: `confirming <= round`.
+    // The round that confirms the reads in `running`. Invariant: `confirming <= round`.
     confirming: u64,
-    // The commit index when that round began.
+    // The commit index at the start of that round.
     index: Index,
+    // The tokens of the reads that wait for the next round.
     waiting: Vec<u64>,
 }
 
@@ -38,7 +41,8 @@
         self.round
     }
 
-    /// Begins a round. Answers of this round or later ones answer what is sent from now on.
+    /// Begins a round and returns it. Replies with this round or a later one answer messages sent
+    /// from now on.
     pub(super) fn next_round(&mut self) -> u64 {
         self.round += 1;
         self.round
@@ -46,7 +50,7 @@
 }
 
 impl Machine {
-    /// Asks to read. The token comes back in a [`Grant`].
+    /// Requests a read. The token is returned in a [`Grant`].
     pub fn read(&mut self, now: Mono, token: u64) -> Result<(), Error> {
         self.check_leader()?;
         self.reads.waiting.push(token);
@@ -54,8 +58,8 @@
         Ok(())
     }
 
-    /// Begins a round unless one runs. Before an entry of this term is
-    /// accepted the leader doesn't know which earlier ones are, and waits.
+    /// Begins a round for the waiting reads unless one is running. Until an entry of its own term
+    /// is committed, the leader doesn't know which earlier entries are, so the reads wait.
     fn begin_read_round(&mut self, now: Mono) {
         let current = self.log.term(self.commit) == Some(self.hard.term);
         if !self.reads.running.is_empty() || self.reads.waiting.is_empty() || !current {
--- a/almondlock-quorum/src/machine/replication.rs
+++ b/almondlock-quorum/src/machine/replication.rs
@@ -1,8 +1,8 @@
-//! A leader's entries to the others.
+//! The leader's replication of its log to the other members.
 //!
-//! Appends follow each other without waiting for replies, up to a window. A
-//! heartbeat names the last entry sent: if an append before it was lost, the
-//! follower refuses it, and the leader goes back to probing.
+//! Appends are sent without waiting for replies, up to a window of unanswered appends. A
+//! heartbeat names the last entry sent. If an append before it was lost, the follower
+//! refuses the heartbeat and the leader returns to probing.
 
 use std::sync::Arc;
 
@@ -47,9 +47,9 @@
             Mode::Pipeline { .. } => {
                 let previous = peer.next.previous();
                 if previous < self.log.base() {
-                    // Its appends were lost and their entries are gone since.
-                    // No heartbeat can name the last one any more, so nothing
-                    // would ever be refused and the full window never emptied.
+                    // The appends were lost and the log has since dropped their entries.
+                    // A heartbeat can no longer name the last one, so it would never be
+                    // refused and the window would stay full for ever.
                     let next = peer.matched.next();
                     peer.probe(next);
                     self.replicate(now, id);
@@ -59,7 +59,7 @@
             }
             Mode::Snapshot { sent, .. } => {
                 let due = now.since(*sent) >= self.config.heartbeat_interval;
-                // Agrees with any log, so it only says that the leader is there.
+                // Agrees with any log, so it only shows that the leader is alive.
                 self.send_append(id, Index::ZERO, Vec::new());
                 if due {
                     self.send_piece(now, id);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes the next append to a replica out of its progress, if one may go.
+    /// Returns the next append to a replica, if one may be sent, and updates its progress.
     fn next_append(&mut self, id: Id) -> Option<(Index, Vec<Entry>)> {
         let window = self.config.append_window;
         let peer = self.peers.get_mut(&id)?;
@@ -150,12 +150,13 @@
         self.confirm_reads(now);
     }
 
-    /// Returns whether something is to be sent.
+    /// Handles a refused append. Returns whether something is to be sent.
     ///
     /// **Failure.** A file system loses the end of a synced file, and the replica returns with
-    /// less than it acknowledged. Refused for ever it would hold nothing, yet be heard, so that
-    /// nobody replaces it and the leader stays; a second one like it ends the group. It is sent
-    /// its entries again, and what it acknowledged before no longer counts.
+    /// fewer entries than it acknowledged. If the leader ignored its refusals, the replica would
+    /// get no entries but still be heard, so it would not be replaced and the leader would not
+    /// step down. A second such replica would end the group. The entries are therefore sent
+    /// again, and earlier acknowledgements no longer count.
     fn on_refused(&mut self, from: Id, reply: AppendReply) -> bool {
         let Some(peer) = self.peers.get_mut(&from) else {
             return false;
@@ -178,12 +179,12 @@
         true
     }
 
-    /// Accepts what a majority has synced, if it is of the present term.
+    /// Commits the entries that a majority has synced, if the last of them is of the current term.
     ///
-    /// An entry of an earlier term may be held by a majority and yet be
-    /// overwritten by a leader that never saw it; one of this term can't, since
-    /// its holders refuse their vote to anybody without it. Those before it are
-    /// accepted with it.
+    /// An entry of an earlier term may be held by a majority and still be overwritten by a
+    /// leader that never received it. An entry of the current term can't, since the replicas
+    /// that hold it refuse their vote to a candidate without it. Earlier entries are committed
+    /// together with it.
     pub(super) fn advance_commit(&mut self, now: Mono) {
         let members = self.log.members();
         let mut synced: Vec<Index> = members
@@ -214,7 +215,7 @@
                 self.send_heartbeats(now);
                 self.peers.retain(|id, _| members.contains(*id));
             }
-            // A leader that its own change took out leads until that is accepted.
+            // A leader that a change removes leads until the change is committed.
             if !members.is_voter(self.id) {
                 self.send_heartbeats(now);
                 self.step_down(now);
--- a/almondlock-quorum/src/machine/snapshot.rs
+++ b/almondlock-quorum/src/machine/snapshot.rs
@@ -1,6 +1,6 @@
-//! Whole states, in bounded pieces, for replicas that need entries which are
-//! gone. The receiver says which offset it wants next, so a piece that is lost,
-//! doubled or late costs no more than a repetition.
+//! Snapshots, sent in bounded pieces to replicas that need entries which the leader has
+//! dropped. The receiver replies with the offset that it wants next, so a lost, duplicated
+//! or late piece only costs a retransmission.
 
 use std::sync::Arc;
 
@@ -13,6 +13,7 @@
     message::{AppendReply, Body, Piece, PieceReply},
 };
 
+/// A snapshot that is being received. `head` is its first piece.
 #[derive(Debug)]
 pub(super) struct Incoming {
     head: Piece,
@@ -92,7 +93,7 @@
         }
         self.hear_leader(now, from);
         if piece.last_index <= self.commit {
-            // All of it is here already.
+            // This replica holds everything that the snapshot covers.
             let reply = AppendReply {
                 matched: true,
                 index: self.commit,
@@ -119,7 +120,7 @@
         self.send_synced(from, Body::PieceReply(reply));
     }
 
-    /// Adds a piece; returns the whole, or the offset wanted next.
+    /// Adds a piece. Returns the snapshot once complete, otherwise the offset wanted next as `Err`.
     fn collect_piece(&mut self, piece: Piece) -> Result<Snapshot, u64> {
         let same = |old: &Incoming| {
             (old.head.last_index, old.head.last_term) == (piece.last_index, piece.last_term)
@@ -153,7 +154,7 @@
         let index = snapshot.index;
         let kept = self.log.install(Arc::clone(&snapshot));
         if !kept {
-            // Until the snapshot is synced.
+            // Nothing counts as synced until the snapshot is.
             self.durable = Index::ZERO;
         }
         self.commit = index;
--- a/almondlock-quorum/src/member.rs
+++ b/almondlock-quorum/src/member.rs
@@ -1,9 +1,9 @@
-//! Who takes part, who votes, and how voters are spread over failure domains.
+//! Members of a group, changes of the membership, and the spread of voters over failure domains.
 //!
-//! A member is a disk, not a host: [`Id`] is drawn once, when a data folder is
-//! made, and dies with the folder. A host that lost its disk comes back as
-//! another member, so the votes and entries that the old disk promised can
-//! never be promised a second time by an empty one.
+//! A member is a disk, not a host: its [`Id`] is drawn at random when the data folder is
+//! created, and is lost with the folder. A host that lost its disk returns as another member.
+//! Under its old identity it could vote twice in one term, and would be counted as holding
+//! entries that it lost.
 
 use std::{collections::BTreeMap, fmt, net::SocketAddr};
 
@@ -12,7 +12,7 @@
 
 use crate::error::Error;
 
-/// The identity of a replica's disk.
+/// The identity of a replica's disk, which identifies the replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
@@ -24,23 +24,23 @@
     }
 }
 
-/// One member.
+/// A member of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
-    /// The identity of its disk.
+    /// The identity of the member's disk.
     pub id: Id,
-    /// The host's name.
+    /// The name of the member's host.
     pub name: Host,
-    /// Where it listens for other processes.
+    /// The address on which the member listens for other processes.
     pub address: SocketAddr,
-    /// What it may be lost together with.
+    /// The failure domain of the member's host.
     pub domain: Domain,
 }
 
 impl Member {
-    /// A member made up from a number, for examples and tests: each tenth
-    /// number shares a failure domain with the number below it.
+    /// Returns a made-up member for examples and tests. Numbers with the same last digit share a
+    /// failure domain.
     #[doc(hidden)]
     pub fn sample(number: u64) -> Member {
         let name = |text: String| Host::new(&text).unwrap_or_else(|e| panic!("{e}"));
@@ -54,32 +54,32 @@
     }
 }
 
-/// The members at one place of the log.
+/// The members of a group at one index of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Members {
-    /// Those whose acknowledgement counts. No id stands here and in `learners`.
+    /// The members that count towards majorities. No member is in both `voters` and `learners`.
     pub voters: BTreeMap<Id, Member>,
-    /// Those that are sent everything and count for nothing yet.
+    /// The members that are sent all entries and don't vote yet.
     pub learners: BTreeMap<Id, Member>,
 }
 
-/// A change of the members. One at a time: two sets that differ by one voter
-/// always have a replica in common between any majority of each.
+/// A change of the members, by one member at a time: if two sets differ by one voter, any
+/// majority of one shares a replica with any majority of the other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
-    /// A new member that doesn't vote yet.
+    /// Adds a learner.
     Add(Member),
-    /// A learner that has caught up gets a vote.
+    /// Makes a voter of a learner that has caught up.
     Promote(Id),
-    /// A voter or learner goes.
+    /// Removes a voter or a learner.
     Remove(Id),
 }
 
 impl Members {
-    /// Members that all vote.
+    /// Returns a membership in which all members vote.
     pub fn of_voters<I>(members: I) -> Members
     where
         I: IntoIterator<Item = Member>,
@@ -90,32 +90,32 @@
         }
     }
 
-    /// Whether the replica votes.
+    /// Whether the replica is a voter.
     pub fn is_voter(&self, id: Id) -> bool {
         self.voters.contains_key(&id)
     }
 
-    /// Whether the replica takes part at all.
+    /// Whether the replica is a voter or a learner.
     pub fn contains(&self, id: Id) -> bool {
         self.get(id).is_some()
     }
 
-    /// The member with this identity.
+    /// Returns the member with this identity.
     pub fn get(&self, id: Id) -> Option<&Member> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
 
-    /// All members, voters first.
+    /// Iterates over all members, voters first.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.voters.values().chain(self.learners.values())
     }
 
-    /// How many voters make a majority.
+    /// Returns the number of voters that make a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether those for which `test` holds are a majority of the voters.
+    /// Whether `test` holds for a majority of the voters.
     pub fn has_quorum<F>(&self, test: F) -> bool
     where
         F: Fn(Id) -> bool,
@@ -123,8 +123,8 @@
         self.voters.keys().filter(|id| test(**id)).count() >= self.quorum()
     }
 
-    /// The members after a change, if it makes sense and keeps the voters
-    /// spread.
+    /// Returns the members after a change, or an error if the change doesn't fit the members or
+    /// concentrates the voters in too few failure domains.
     pub fn changed(&self, change: &Change) -> Result<Members, Error> {
         let mut members = self.clone();
         match change {
@@ -156,15 +156,17 @@
             .or_else(|| self.learners.remove(&id));
         match gone {
             None => Err(Error::refused(format!("{id} is not a member"))),
-            Some(_) if self.voters.is_empty() => Err(Error::refused("the last voter can't go")),
+            Some(_) if self.voters.is_empty() => {
+                Err(Error::refused("the last voter can't be removed"))
+            }
             Some(_) => Ok(()),
         }
     }
 
-    /// Refuses voters whose majority one failure domain could take away, if the
-    /// members' domains allow for better. With too few domains, or an even
-    /// number of voters half-way through a replacement, the most even spread is
-    /// asked for instead; a change that leaves the voters alone is not judged.
+    /// Refuses a set of voters that would lose its majority with one failure domain, if the
+    /// members' domains allow a better spread. With too few domains, or an even number of
+    /// voters in the middle of a replacement, the most even spread is required instead. A
+    /// change that leaves the voters as they are is not checked.
     fn check_spread(&self, before: &Members) -> Result<(), Error> {
         if self.voters.keys().eq(before.voters.keys()) {
             return Ok(());
--- a/almondlock-quorum/src/message.rs
+++ b/almondlock-quorum/src/message.rs
@@ -1,7 +1,7 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 //!
-//! The field `term` of [`Message`] is the speaker's, but for a pre-vote, which
-//! names the term that the speaker would like to begin.
+//! The field `term` of [`Message`] is the sender's term, except in a pre-vote request and in a
+//! reply that grants one: there it is the term that the candidate would begin.
 
 use std::sync::Arc;
 
@@ -10,114 +10,114 @@
     member::{Id, Members},
 };
 
-/// A message to one replica.
+/// A message with its recipient.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// To whom.
+    /// The recipient.
     pub to: Id,
-    /// What.
+    /// The message.
     pub message: Message,
 }
 
-/// What is said.
+/// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The speaker's term.
+    /// The sender's term, or the term that a pre-vote is for.
     pub term: Term,
-    /// The rest.
+    /// The content, by kind of message.
     pub body: Body,
 }
 
-/// The kinds of message.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// Asks for a vote, or whether one would be given.
+    /// A candidate asks for a vote or a pre-vote.
     VoteRequest(VoteRequest),
-    /// Answers it.
+    /// A voter grants or refuses a vote or a pre-vote.
     VoteReply(VoteReply),
-    /// Entries, or none: then it is a heartbeat.
+    /// The leader sends entries, or a heartbeat if there are none.
     Append(Append),
-    /// Answers it.
+    /// A replica answers an append.
     AppendReply(AppendReply),
-    /// A piece of a snapshot.
+    /// The leader sends a piece of a snapshot.
     Piece(Piece),
-    /// Answers it.
+    /// A replica answers a piece of a snapshot.
     PieceReply(PieceReply),
-    /// The leader asks a voter to take over at once.
+    /// The leader asks a voter to start an election at once, without a pre-vote.
     TimeoutNow,
 }
 
-/// Asks for a vote.
+/// A request for a vote or a pre-vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteRequest {
-    /// Only asks whether the vote would be given.
+    /// Whether this is a pre-vote, which only asks whether the vote would be granted.
     pub pre: bool,
-    /// The candidate's last entry.
+    /// The index of the candidate's last entry.
     pub last_index: Index,
-    /// Its term.
+    /// The term of the candidate's last entry.
     pub last_term: Term,
 }
 
-/// Answers a request for a vote.
+/// The reply to a [`VoteRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteReply {
-    /// As in the request.
+    /// Whether the request was a pre-vote.
     pub pre: bool,
-    /// Whether the vote is given.
+    /// Whether the vote is granted.
     pub granted: bool,
 }
 
-/// Entries to follow the one named.
+/// Entries to append after a named entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Append {
-    /// The entry before the first one sent.
+    /// The index of the entry before the first one sent.
     pub previous_index: Index,
-    /// Its term.
+    /// The term of that entry.
     pub previous_term: Term,
     /// The leader's commit index.
     pub commit: Index,
-    /// The round of heartbeats, for reads.
+    /// The leader's newest heartbeat round, which the reply repeats. It confirms reads.
     pub round: u64,
     /// The entries, oldest first.
     pub entries: Vec<Entry>,
 }
 
-/// Answers an append.
+/// The reply to an [`Append`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendReply {
-    /// Whether the logs agree at the entry named.
+    /// Whether the logs agree at the append's `previous_index`.
     pub matched: bool,
-    /// The last entry that agrees and is synced; when none does, the last
-    /// entry that may.
+    /// If `matched`, the last index that agrees and is synced here; otherwise the
+    /// last index at which the logs may agree.
     pub index: Index,
-    /// As in the append.
+    /// The round of the append.
     pub round: u64,
 }
 
-/// A bounded piece of a snapshot.
+/// A piece of a snapshot, of bounded size.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Piece {
-    /// The snapshot's last entry.
+    /// The index of the last entry that the snapshot covers.
     pub last_index: Index,
-    /// Its term.
+    /// The term of that entry.
     pub last_term: Term,
-    /// The members there.
+    /// The members in force at that index.
     pub members: Arc<Members>,
-    /// Where the piece starts.
+    /// The offset of the piece in the snapshot's data, in bytes.
     pub offset: u64,
-    /// The size of the whole.
+    /// The size of the snapshot's data, in bytes.
     pub total: u64,
-    /// The piece.
+    /// The bytes of the piece.
     pub data: Vec<u8>,
 }
 
-/// Answers a piece.
+/// The reply to a [`Piece`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PieceReply {
-    /// As in the piece.
+    /// The `last_index` of the piece.
     pub last_index: Index,
-    /// The offset wanted next.
+    /// The offset of the next piece to send, in bytes.
     pub offset: u64,
-    /// Whether the whole snapshot is in force and synced.
+    /// Whether the snapshot is complete, in force and synced.
     pub done: bool,
 }
--- a/almondlock-quorum/src/storage/disk.rs
+++ b/almondlock-quorum/src/storage/disk.rs
@@ -1,7 +1,7 @@
-//! The few operations that storage needs of a file system.
+//! The file system operations that the storage needs.
 //!
-//! A trait, so that tests can fail a write or a sync at a chosen moment; used
-//! as a generic parameter, so that the real one costs no indirection.
+//! They are a trait, so that tests can make a chosen write or sync fail, and a
+//! generic parameter, so that the real file system costs no indirection.
 
 use std::{
     fs, io,
@@ -14,28 +14,28 @@
     /// A file opened for appending.
     type File: File;
 
-    /// Names of all files, in order.
+    /// Returns the names of all files, sorted.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The whole of a file.
+    /// Returns the contents of a file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Makes an empty file, replacing one of that name.
+    /// Creates an empty file, replacing any file of that name.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Gives a file another name, replacing one of that name.
+    /// Renames a file, replacing any file of the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Takes a file away.
+    /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Syncs the folder, and with it which files exist.
+    /// Syncs the folder, so that files created, renamed and removed stay so after a crash.
     fn sync(&self) -> io::Result<()>;
 }
 
 /// A file opened for appending.
 pub trait File {
-    /// Adds bytes at the end.
+    /// Appends bytes.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
     /// Syncs the file's bytes and length.
@@ -46,15 +46,15 @@
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    // Held for as long as the folder is, if it was locked.
+    // The lock file, held until this handle is dropped, if the folder was locked.
     lock: Option<fs::File>,
 }
 
-/// The file that a process locks to have the folder for itself.
+/// The file that a process locks to use the folder exclusively.
 const LOCK_FILE_NAME: &str = "lock";
 
 impl Folder {
-    /// Opens a folder, making it if it is missing.
+    /// Opens a folder, creating it if it is missing.
     pub fn open(path: &Path) -> io::Result<Folder> {
         fs::create_dir_all(path)?;
         if let Some(parent) = path.parent().filter(|p| !p.as_os_str().is_empty()) {
@@ -66,9 +66,8 @@
         })
     }
 
-    /// Opens a folder for this handle alone, until it is dropped or the process
-    /// ends. Two processes that append to one log would each overwrite what the
-    /// other promised.
+    /// Opens a folder and locks it until the handle is dropped or the process ends. Two processes
+    /// that append to one log would overwrite entries that the other has acknowledged.
     pub fn lock(path: &Path) -> io::Result<Folder> {
         let mut folder = Folder::open(path)?;
         let file = fs::File::create(path.join(LOCK_FILE_NAME))?;
@@ -129,8 +128,8 @@
     }
 }
 
-/// Writes a whole file so that after a crash either the old one or the new one
-/// is there, and syncs it and the folder.
+/// Replaces a file atomically: after a crash either the old or the new content is there. Syncs
+/// the file and the folder.
 pub(super) fn replace<D>(disk: &D, name: &str, bytes: &[u8]) -> io::Result<()>
 where
     D: Disk,
@@ -143,5 +142,5 @@
     disk.sync()
 }
 
-/// Ends the name of a file that is not whole yet.
+/// The suffix of the name of a file that is still being written.
 pub(super) const TEMPORARY_SUFFIX: &str = ".tmp";
--- a/almondlock-quorum/src/storage/identity.rs
+++ b/almondlock-quorum/src/storage/identity.rs
@@ -1,8 +1,8 @@
-//! Whose disk this is.
+//! The identity of a replica's disk.
 //!
-//! The identity is drawn when the folder is first used and kept in a file of
-//! its own. Losing the folder loses the identity: whatever starts on an empty
-//! folder is somebody else, whom no member list names.
+//! The identity is drawn at random when the folder is first used, and kept in a file of its
+//! own. It is lost with the folder: a replica that starts on an empty folder is a new one,
+//! which is not a member yet.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,20 +15,20 @@
 
 const FILE_NAME: &str = "identity";
 
-/// A disk's identity, and whether it was just drawn.
+/// A disk's identity, and whether it was just created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Identity {
-    /// The identity.
+    /// The replica's identity.
     pub id: Id,
-    /// The folder was empty.
+    /// Whether the folder was empty, so that the identity is new.
     pub fresh: bool,
 }
 
 impl Identity {
-    /// Reads the folder's identity, or makes `drawn` its identity if the folder
-    /// is empty. Files without an identity are refused: whose they are, and what
-    /// that replica promised, is unknown.
+    /// Reads the folder's identity, or stores `drawn` as its identity if the folder is empty. A
+    /// folder with other files but no identity is refused, since it is unknown which replica they
+    /// belong to and what it acknowledged.
     pub fn open<D>(disk: &D, group: u16, drawn: Id) -> Result<Identity, Error>
     where
         D: Disk,
@@ -45,7 +45,7 @@
         {
             return Err(Error::damaged(
                 FILE_NAME,
-                "it is missing beside other files",
+                "it is missing, though the folder holds other files",
             ));
         }
         write(disk, group, drawn)?;
@@ -85,7 +85,10 @@
         return Err(Error::format(FILE_NAME, header.format));
     }
     if header.group != group || header.file != FILE_NAME || end != bytes.len() {
-        return Err(Error::damaged(FILE_NAME, "it belongs to something else"));
+        return Err(Error::damaged(
+            FILE_NAME,
+            "it belongs to another group, or is not an identity file",
+        ));
     }
     Ok(Identity {
         id: header.disk,
--- a/almondlock-quorum/src/storage/mod.rs
+++ b/almondlock-quorum/src/storage/mod.rs
@@ -1,16 +1,16 @@
-//! What a replica keeps on disk.
+//! A replica's storage on disk.
 //!
-//! One data folder holds one identity, a sequence of append-only segments and
-//! the newest snapshot. Everything between two syncs costs one sync. A failed
-//! write or sync ends the store: the kernel may have dropped the pages that it
-//! failed to write and a second sync would then succeed without them, so what
-//! is on disk is unknown until the folder is opened and checked again.
+//! A data folder holds one identity, a sequence of append-only segments and the newest
+//! snapshot. All writes between two syncs share one sync. After a failed write or sync the
+//! store takes no more writes: the kernel may have dropped the pages that it failed to
+//! write, and a second sync would succeed without them. What is on disk is then unknown
+//! until the folder is opened and checked again.
 //!
-//! Opening tells a torn tail from damage. A crash cuts the last segment short:
-//! the bytes that are missing were never synced, so nobody was promised them,
-//! and the cut record is taken away. A record that is whole but fails its
-//! checksum may have been promised; guessing that it wasn't could take back an
-//! accepted entry, so the store refuses to open and the replica is replaced.
+//! Opening a folder tells a torn tail from damage. If a crash cut the last segment short, the
+//! missing bytes were never synced and so never acknowledged, and the incomplete record is
+//! removed. A complete record that fails its checksum may have been acknowledged. Removing
+//! it could lose a committed entry, so the store refuses to open and the replica must be
+//! replaced.
 
 pub mod disk;
 pub mod identity;
@@ -27,38 +27,38 @@
     member::Members,
 };
 
-/// The version of the files' format.
+/// The version of the file format.
 pub const FORMAT: u32 = 1;
 
-/// Things to put on disk together, as a machine asks for them.
+/// A set of changes that a machine wants on disk together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// Counts up with each write of a machine's life.
+    /// The sequence number, which rises by one with each write of a machine.
     pub sequence: u64,
-    /// Term and vote.
+    /// The current term and vote.
     pub hard: HardState,
-    /// A snapshot, to be in place before the rest.
+    /// A snapshot to store before the rest.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// The log starts anew behind the snapshot.
+    /// Whether to drop all entries on disk, so that the log starts after the snapshot.
     pub reset: bool,
-    /// Entries. They take the place of any at the same and later indexes.
+    /// Entries to append. They replace any entries at the same and later indexes.
     pub entries: Vec<Entry>,
 }
 
-/// What a disk holds when a replica starts.
+/// The state that a replica loads from disk when it starts.
 #[derive(Clone, Debug, Default)]
 pub struct Loaded {
-    /// Term and vote.
+    /// The last term and vote.
     pub hard: HardState,
     /// The newest snapshot, if any.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// Consecutive entries; if any, they reach at least to the snapshot's last
-    /// one or start right after it.
+    /// Consecutive entries. If there are any, they reach at least to the snapshot's last entry or
+    /// start right after it.
     pub entries: Vec<Entry>,
 }
 
 impl Loaded {
-    /// The start of a group: these members, and an empty log.
+    /// Returns the initial state of a group with these members and an empty log.
     pub fn initial(members: Members) -> Loaded {
         Loaded {
             hard: HardState::default(),
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Whether nothing was ever promised from here.
+    /// Whether there is nothing on disk, so that this replica never acknowledged anything.
     pub fn is_empty(&self) -> bool {
         self.snapshot.is_none() && self.entries.is_empty() && self.hard == HardState::default()
     }
 
-    /// Adds what a write says, as a disk would.
+    /// Applies a write, with the same result as writing it to disk and loading it.
     pub fn apply(&mut self, write: &Write) {
         self.hard = write.hard;
         if let Some(snapshot) = &write.snapshot {
@@ -94,8 +94,8 @@
         self.entries.extend(write.entries.iter().cloned());
     }
 
-    /// Takes away what the snapshot makes useless. Returns false when entries
-    /// had to go that a later opening would take for good ones.
+    /// Removes entries that don't agree with the snapshot. Returns false if it removed any, since
+    /// the log on disk must then be reset, or a later opening would take them for valid.
     pub fn settle(&mut self) -> bool {
         let Some(snapshot) = &self.snapshot else {
             return true;
--- a/almondlock-quorum/src/storage/record.rs
+++ b/almondlock-quorum/src/storage/record.rs
@@ -1,9 +1,9 @@
-//! Checksummed records, of which all files are made.
+//! Checksummed records, of which all files consist.
 //!
-//! A record is its body's length, a checksum of the length, a checksum of the
-//! body, and the body. The length has a checksum of its own, because a flipped
-//! bit that lengthens the last record would otherwise look like a record cut
-//! short by a crash, and an accepted entry would be taken away as torn.
+//! A record consists of the length of its body, a checksum of the length, a checksum of the
+//! body, and the body. The length has a checksum of its own, because a flipped bit that
+//! lengthens the last record would otherwise look like a record cut short by a crash, and a
+//! committed entry would be removed as torn.
 
 use std::sync::Arc;
 
@@ -16,10 +16,10 @@
 
 const HEAD_BYTES: usize = 12;
 
-/// The longest body. A longer one can only be damage.
+/// The maximum length of a body. A greater length means damage.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// What a file's first record says.
+/// The content of each file's first record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct Header {
@@ -29,7 +29,7 @@
     pub(super) disk: Id,
 }
 
-/// What a snapshot's second record says.
+/// The content of a snapshot file's second record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct Meta {
@@ -45,22 +45,22 @@
     Header(Header),
     HardState(HardState),
     Entry(Entry),
-    /// The log starts anew behind this index.
+    /// Drops all entries before this record; the log continues after this index.
     Reset(Index),
     Meta(Meta),
     Data(Vec<u8>),
 }
 
-/// What stands at a place in a file.
+/// The result of reading at an offset of a file.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Found {
-    /// A record, and where the next one starts.
+    /// A record, and the offset of the next one.
     Record(Record, usize),
-    /// The end.
+    /// The end of the file.
     End,
     /// A record that a crash cut short.
     Torn,
-    /// Something that was never written.
+    /// Bytes that were never written as they are, with the reason.
     Damaged(&'static str),
 }
 
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Reads what stands at `at`.
+    /// Reads the record at offset `at`.
     pub(super) fn read(bytes: &[u8], at: usize) -> Found {
         let rest = bytes.get(at..).unwrap_or_default();
         if rest.is_empty() {
             return Found::End;
         }
-        // A crash may leave the file longer than what was written to it; what
-        // lies between reads as zeros.
+        // A crash may leave the file longer than the data written to it. The
+        // rest reads as zeros.
         if rest.iter().all(|byte| *byte == 0) || rest.len() < HEAD_BYTES {
             return Found::Torn;
         }
@@ -140,7 +140,7 @@
     T: Serialize,
 {
     out.push(kind);
-    // Plain structs of numbers, names and maps with plain keys: it can't fail.
+    // Can't fail: plain structs of numbers, names and maps with plain keys.
     let json = serde_json::to_vec(value).unwrap_or_default();
     out.extend_from_slice(&json);
 }
--- a/almondlock-quorum/src/storage/segment.rs
+++ b/almondlock-quorum/src/storage/segment.rs
@@ -1,8 +1,8 @@
-//! Segments: append-only files of records, numbered in order.
+//! Segments: the append-only, numbered files of records that hold the log.
 //!
-//! Each starts with a header and the term and vote of that moment, so that the
-//! ones before it may go. Only the last one can have a torn tail, since a new
-//! one is begun after the one before it was synced.
+//! Each segment starts with a header and the term and vote at that time, so that earlier
+//! segments can be removed. Only the last one can have a torn tail, since a new segment
+//! is begun only after the previous one was synced.
 
 use super::{
     FORMAT, Loaded, Write,
@@ -32,18 +32,18 @@
     }
 }
 
-/// A segment that was read.
+/// The result of reading a segment.
 #[derive(Debug)]
 pub(super) struct Segment {
-    /// Bytes that hold whole records.
+    /// The number of bytes at the start that hold complete records.
     pub(super) valid: usize,
-    /// Whether more followed, cut short by a crash.
+    /// Whether a record cut short by a crash follows.
     pub(super) torn: bool,
-    /// The highest index in it.
+    /// The highest index of an entry in the segment.
     pub(super) highest: Index,
 }
 
-/// Reads a segment into what was loaded so far.
+/// Reads a segment and adds its records to `loaded`.
 pub(super) fn read(
     bytes: &[u8],
     wanted: &Header,
@@ -86,7 +86,10 @@
             Err(Error::format(&wanted.file, header.format))
         }
         Record::Header(header) if first && header == *wanted => Ok(()),
-        _ if first => Err(Error::damaged(&wanted.file, "its header is another's")),
+        _ if first => Err(Error::damaged(
+            &wanted.file,
+            "its header names another file, group or replica",
+        )),
         Record::HardState(hard) => {
             loaded.hard = hard;
             Ok(())
--- a/almondlock-quorum/src/storage/snapshot.rs
+++ b/almondlock-quorum/src/storage/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot files: written whole beside the old one, then renamed.
+//! Snapshot files. A new one is written under a temporary name and then renamed.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 
 const PREFIX: &str = "snapshot-";
 
-/// Bytes of the state in one record.
+/// The maximum number of bytes of the state in one record.
 const CHUNK_BYTES: usize = 1 << 20;
 
 pub(super) fn name(index: Index) -> String {
@@ -67,7 +67,10 @@
         return Err(Error::format(name, header.format));
     }
     if (header.group, header.disk, header.file.as_str()) != (group, id, name) {
-        return Err(Error::damaged(name, "its header is another's"));
+        return Err(Error::damaged(
+            name,
+            "its header names another file, group or replica",
+        ));
     }
     let Found::Record(Record::Meta(meta), mut at) = Record::read(&bytes, at) else {
         return Err(damaged());
--- a/almondlock-quorum/src/storage/store.rs
+++ b/almondlock-quorum/src/storage/store.rs
@@ -1,4 +1,4 @@
-//! The store: writes of a machine, in order, to one folder.
+//! The store, which puts a machine's writes into one folder, in order.
 
 use std::{collections::VecDeque, io, sync::Arc};
 
@@ -15,10 +15,10 @@
     member::{Id, Members},
 };
 
-/// A segment is closed when it holds this many bytes.
+/// The size in bytes at which a segment is closed.
 const SEGMENT_BYTES: usize = 16 << 20;
 
-/// A replica's files.
+/// A replica's open data folder.
 #[derive(Debug)]
 pub struct Store<D>
 where
@@ -28,19 +28,19 @@
     group: u16,
     id: Id,
     retain: u64,
-    // The present segment.
+    // The current segment: its file, number, size in bytes and highest index.
     file: D::File,
     number: u64,
     size: usize,
     highest: Index,
-    // Closed segments, oldest first, and the highest index in each.
+    // The numbers of closed segments, oldest first, and the highest index in each.
     closed: VecDeque<(u64, Index)>,
     hard: HardState,
-    // The newest snapshot on disk.
+    // The index of the newest snapshot on disk.
     snapshot: Option<Index>,
-    // Records not yet given to the file.
+    // Records not yet written to the file.
     buffer: Vec<u8>,
-    // Invariant: once set it stays, and nothing is written or synced any more.
+    // Whether a write or sync failed. Invariant: never cleared; nothing is written or synced then.
     failed: bool,
     syncs: u64,
 }
@@ -49,9 +49,8 @@
 where
     D: Disk,
 {
-    /// Opens the folder of the disk with this identity, checks all that is in
-    /// it, and begins a new segment. `retain` entries before a snapshot are
-    /// kept.
+    /// Opens the data folder of this identity, checks all files in it, and begins a new segment.
+    /// `retain` entries before a snapshot's end are kept.
     pub fn open(disk: D, group: u16, id: Id, retain: u64) -> Result<(Store<D>, Loaded), Error> {
         let mut loaded = Loaded::default();
         let names = disk
@@ -63,7 +62,7 @@
         let number = closed.back().map_or(0, |(number, _)| number + 1);
         let file = disk
             .create(&segment::name(number))
-            .map_err(|e| Error::io("can't begin a segment", e))?;
+            .map_err(|e| Error::io("can't create a segment", e))?;
         let mut store = Store {
             disk,
             group,
@@ -89,18 +88,17 @@
         Ok((store, loaded))
     }
 
-    /// Sets the members that a group starts with, on a folder that holds
-    /// nothing yet.
+    /// Stores the initial members of a group in a folder that holds no state yet.
     pub fn initialize(&mut self, members: Members) -> Result<Loaded, Error> {
         let empty = self.snapshot.is_none() && self.hard == HardState::default();
         if !empty || self.highest != Index::ZERO || self.failed {
-            return Err(Error::refused("the folder is in use already"));
+            return Err(Error::refused("the data folder already holds state"));
         }
         self.save_snapshot(&initial_snapshot(members.clone()))?;
         Ok(Loaded::initial(members))
     }
 
-    /// Takes in a write. It is on disk after the next [`sync`](Store::sync).
+    /// Adds a write. It is on disk after the next [`sync`](Store::sync).
     pub fn write(&mut self, write: &Write) -> Result<(), Error> {
         if self.failed {
             return Err(Error::stopped());
@@ -123,7 +121,7 @@
         Ok(())
     }
 
-    /// Puts all that was written on disk. An error is final.
+    /// Writes and syncs all writes added so far. After an error the store takes no more writes.
     pub fn sync(&mut self) -> Result<(), Error> {
         if self.failed {
             return Err(Error::stopped());
@@ -142,7 +140,7 @@
         Ok(())
     }
 
-    /// How many syncs of segments there were, each for any number of entries.
+    /// Returns the number of syncs of segments so far. Each may cover many entries.
     pub fn syncs(&self) -> u64 {
         self.syncs
     }
@@ -171,7 +169,7 @@
         self.size = 0;
         self.highest = Index::ZERO;
         let created = self.disk.create(&segment::name(self.number));
-        self.file = self.check(created, "can't begin a segment")?;
+        self.file = self.check(created, "can't create a segment")?;
         self.write_header();
         self.sync()?;
         self.sync_folder()
@@ -191,12 +189,11 @@
         self.remove_segments(Index(new.index.0.saturating_sub(self.retain)))
     }
 
-    /// Removes closed segments, oldest first, while all that they hold lies at
-    /// or before `index`.
+    /// Removes closed segments, oldest first, whose entries all lie at or before `index`.
     ///
-    /// **Failure.** The power fails, and of several removals that were not synced any may come
-    /// back. An older segment without the next one looks like a damaged log. So each removal is
-    /// synced before the next one.
+    /// **Failure.** After a power failure any of several unsynced removals may be undone. An older
+    /// segment without the next one looks like a damaged log. Therefore each removal is synced
+    /// before the next one.
     fn remove_segments(&mut self, index: Index) -> Result<(), Error> {
         let mut unsynced = false;
         while let Some((number, _)) = self.closed.pop_front_if(|(_, high)| *high <= index) {
@@ -267,12 +264,12 @@
             return Err(Error::damaged(&name, "a part of the log is missing"));
         }
         if is_last {
-            // Its end may be torn, or whole in the kernel's memory and yet not
-            // on disk, after a sync that failed. What was read is written
-            // again and synced under the same name, so that nothing is
-            // promised from here on that a power failure could take back.
+            // The end may be torn, or, after a failed sync, complete in the
+            // kernel's memory but not on disk. The complete records are written
+            // again and synced under the same name, so that a power failure
+            // can't take back anything that is acknowledged from here on.
             disk::replace(disk, &name, &bytes[..read.valid])
-                .map_err(|e| Error::io(format!("can't settle the end of {name}"), e))?;
+                .map_err(|e| Error::io(format!("can't rewrite {name}"), e))?;
         }
         closed.push_back((*number, read.highest));
     }
