--- a/almondlock-quorum/tests/bit_flip.rs
+++ b/almondlock-quorum/tests/bit_flip.rs
@@ -1,4 +1,4 @@
-//! A disk gives back other bytes than were written.
+//! A disk returns other bytes than were written.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,10 +14,9 @@
     fs::write(path, bytes).unwrap();
 }
 
-/// One bit of the log turns over after it was synced and acknowledged. Taking
-/// the record away as torn would take back an accepted entry, and with a second
-/// such replica nobody would know. So, whichever bit it is, the replica doesn't
-/// start, says that the folder is damaged, and has to be replaced.
+/// Guards against a committed entry that is removed as torn, because a bit of the log flipped
+/// after the entry was synced and acknowledged; with a second such replica it would be lost
+/// without a sign. Whichever bit it is, the replica must refuse to start and report damage.
 #[test]
 fn log_refused() {
     let folder = tempfile::tempdir().unwrap();
@@ -37,7 +36,8 @@
     assert!(open(folder.path()).is_ok());
 }
 
-/// The same for a snapshot, whose entries may be gone from the log.
+/// Guards against a snapshot with a flipped bit being loaded. The log may no longer hold the
+/// entries that the snapshot covers.
 #[test]
 fn snapshot_refused() {
     let folder = tempfile::tempdir().unwrap();
@@ -60,8 +60,8 @@
     assert!(open(folder.path()).is_ok());
 }
 
-/// A whole segment is missing between others, or a file cut short isn't the
-/// newest: no crash does that.
+/// Guards against a log with a missing segment between others, or a torn segment that isn't the
+/// newest, being accepted. No crash leaves such files.
 #[test]
 fn missing_middle() {
     let folder = tempfile::tempdir().unwrap();
--- a/almondlock-quorum/tests/cluster/check.rs
+++ b/almondlock-quorum/tests/cluster/check.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step.
+//! The invariants that are checked after every step.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,7 +10,7 @@
 
 use super::{Node, State};
 
-/// All that was ever accepted, by any replica.
+/// All entries that any replica ever committed, with the resulting states, and all leaders.
 #[derive(Default)]
 pub struct History {
     entries: BTreeMap<Index, Entry>,
@@ -23,7 +23,7 @@
         self.entries.keys().next_back().copied().unwrap_or_default()
     }
 
-    /// The members that were accepted last, if they ever changed.
+    /// Returns the last committed members, if they ever changed.
     pub fn members(&self) -> Option<Arc<Members>> {
         let members = |entry: &Entry| match &entry.payload {
             Payload::Members(members) => Some(Arc::clone(members)),
@@ -36,8 +36,8 @@
         self.states.values().next_back().map_or(0, |s| s.register)
     }
 
-    /// Election safety, and leader completeness: a new leader holds all that
-    /// was accepted before.
+    /// Checks election safety (one leader in each term) and leader completeness (a new leader holds
+    /// all entries committed before).
     pub fn leader(&mut self, machine: &Machine) {
         if !machine.is_leader() {
             return;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// State-machine safety: all apply the same entries.
+    /// Checks state-machine safety: all replicas apply the same entries.
     pub fn accepted(&mut self, entry: &Entry, state: State) {
         let known = self
             .entries
@@ -74,7 +74,7 @@
     }
 }
 
-/// Log matching: logs with the same term at an index agree before it.
+/// Checks log matching: logs with the same term at an index agree before it.
 pub fn logs(nodes: &[Node]) {
     let machines: Vec<&Machine> = nodes.iter().filter_map(|n| n.machine.as_ref()).collect();
     for (place, a) in machines.iter().enumerate() {
@@ -92,7 +92,7 @@
         let (Some(x), Some(y)) = (a.term_at(index), b.term_at(index)) else {
             return;
         };
-        assert!(!same || x == y, "logs part before {index}");
+        assert!(!same || x == y, "logs differ before {index}");
         same = x == y;
         index = index.previous();
         left -= 1;
--- a/almondlock-quorum/tests/cluster/mod.rs
+++ b/almondlock-quorum/tests/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! Machines joined by a network and disks made of memory, all driven by one
-//! seeded generator, and checked after every step.
+//! A simulated cluster: machines with a network and disks in memory, all driven by one seeded
+//! generator and checked after every step.
 
-// Each test file uses its own part of this.
+// Each test file uses only some of these items.
 #![allow(dead_code, unreachable_pub)]
 
 mod check;
@@ -24,11 +24,10 @@
 
 use self::{check::History, network::Network};
 
-/// Milliseconds between steps.
+/// The milliseconds between steps.
 const STEP: u64 = 5;
 
-/// What a state machine of these tests holds: a register and a chain of hashes
-/// over all that was applied.
+/// The state machine of these tests: a register, and a chain of hashes over all applied entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct State {
     pub index: Index,
@@ -72,13 +71,13 @@
     pub state: State,
     pub disk: Loaded,
     pub writes: VecDeque<Write>,
-    /// Its disk takes its time.
+    /// Whether writes are synced only where a test calls `Cluster::sync`.
     pub slow: bool,
-    /// How long each of its syncs takes, if it isn't left to chance.
+    /// The duration of each sync in milliseconds, or `None` for random syncs.
     pub sync_millis: Option<u64>,
-    // The sync under way: its end, and how many writes it covers.
+    // The end of the running sync, and the number of writes that it covers.
     syncing: Option<(u64, usize)>,
-    /// Its process hangs.
+    /// Whether the process hangs.
     pub paused: bool,
     compacted: Index,
 }
@@ -125,7 +124,7 @@
     pub tokens: BTreeMap<u64, Index>,
     pub retain: u64,
     pub compact_every: u64,
-    /// The most bytes in one append.
+    /// The maximum number of payload bytes in one append.
     pub batch: usize,
     value: u64,
 }
@@ -193,7 +192,7 @@
         node.machine = Some(Machine::new(config, node.id, node.disk.clone(), now));
     }
 
-    /// The process dies; of the writes under way a part reached the disk.
+    /// Stops the process. Some of the unsynced writes reach the disk.
     pub fn crash(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         let reached = self.rng.random_range(0..=node.writes.len());
@@ -204,7 +203,7 @@
         node.syncing = None;
     }
 
-    /// The process dies, and its disk loses the last entries of those that it synced.
+    /// Stops the process and removes the last synced entries from its disk.
     pub fn cut(&mut self, n: usize, entries: usize) {
         self.crash(n);
         let disk = &mut self.nodes[n].disk;
@@ -212,7 +211,7 @@
         disk.entries.truncate(left);
     }
 
-    /// The disk is lost; the host returns with an empty one, as somebody else.
+    /// Replaces the disk by an empty one, so that the host returns under a new identity.
     pub fn wipe(&mut self, n: usize) {
         self.crash(n);
         let mut member = Member::sample(self.next_id);
@@ -229,7 +228,7 @@
         self.nodes.iter().position(|n| n.id == id)
     }
 
-    /// The leader of the highest term.
+    /// Returns the leader of the highest term.
     pub fn leader(&self) -> Option<usize> {
         let leads = |n: &usize| {
             self.nodes[*n]
@@ -303,13 +302,13 @@
         check::logs(&self.nodes);
     }
 
-    /// One sync for all writes that wait.
+    /// Syncs all waiting writes.
     pub fn sync(&mut self, n: usize) {
         self.nodes[n].syncing = None;
         self.sync_first(n, self.nodes[n].writes.len());
     }
 
-    /// Ends a sync that has had its time, and begins the next one for all writes that wait.
+    /// Ends a sync whose duration has passed, and begins the next one for all waiting writes.
     fn sync_slowly(&mut self, n: usize, span: u64) {
         if let Some((end, writes)) = self.nodes[n].syncing
             && end <= self.now
@@ -374,14 +373,14 @@
         }
     }
 
-    /// Steps until something holds; fails after two simulated minutes.
+    /// Steps until `test` holds, and fails after two simulated minutes.
     pub fn until<F>(&mut self, what: &str, mut test: F)
     where
         F: FnMut(&Cluster) -> bool,
     {
         let limit = self.now + 120_000;
         while !test(self) {
-            assert!(self.now < limit, "never: {what}");
+            assert!(self.now < limit, "not reached within two minutes: {what}");
             self.step();
         }
     }
@@ -393,13 +392,13 @@
         }
     }
 
-    /// Steps to a leader that all of these follow.
+    /// Steps until there is a leader and returns it.
     pub fn elect(&mut self) -> usize {
         self.until("a leader", |c| c.leader().is_some());
         self.leader().unwrap()
     }
 
-    /// Proposes until one is accepted.
+    /// Proposes until an entry is committed, and returns the newest committed index.
     pub fn accept(&mut self) -> Index {
         let before = self.history.newest();
         let value = self.value;
@@ -409,7 +408,7 @@
                 self.propose(n);
             }
             self.run(50);
-            assert!(self.now < 10_000_000, "nothing is accepted");
+            assert!(self.now < 10_000_000, "no entry is committed");
         }
         assert!(self.history.newest() > before);
         self.history.newest()
--- a/almondlock-quorum/tests/cluster/network.rs
+++ b/almondlock-quorum/tests/cluster/network.rs
@@ -1,4 +1,4 @@
-//! A network that loses, doubles, delays and reorders.
+//! A simulated network that drops, duplicates, delays and reorders messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
 pub struct Network {
     in_flight: BTreeMap<(u64, u64), (Id, Id, Message)>,
     count: u64,
-    /// Pairs (from, to) between which everything is lost without a sign.
+    /// Pairs (from, to) between which all messages are dropped silently.
     pub cut: BTreeSet<(Id, Id)>,
 }
 
@@ -47,7 +47,7 @@
             .collect()
     }
 
-    /// Cuts one replica off from the others, both ways.
+    /// Cuts one replica off from the others in both directions.
     pub fn isolate<I>(&mut self, one: Id, others: I)
     where
         I: IntoIterator<Item = Id>,
--- a/almondlock-quorum/tests/current_follower.rs
+++ b/almondlock-quorum/tests/current_follower.rs
@@ -1,4 +1,4 @@
-//! When a follower may say that its state is recent.
+//! When a follower may report that its state is current.
 
 #![allow(clippy::unwrap_used)]
 
@@ -31,11 +31,10 @@
     machine.receive(NOW, Id(2), Message { term, body });
 }
 
-/// A replica returns after hundreds of changes and hears the leader at once. It
-/// has applied all that it knows to be accepted, which is little; a process that
-/// fetched from it then and took it for recent would act on an old configuration.
-/// It is recent only once it has what the leader says to be accepted, of a leader
-/// that has accepted something itself, and hears it.
+/// Guards against a replica that returns after hundreds of changes and claims to be current
+/// as soon as it hears the leader, so that processes act on an old configuration. It is
+/// current only once it hears a leader that has committed an entry of its own term, and has
+/// committed everything that this leader announced.
 #[test]
 fn behind_is_not_current() {
     let founding = Loaded::initial(Members::of_voters((1..=3).map(Member::sample)));
--- a/almondlock-quorum/tests/data_folder.rs
+++ b/almondlock-quorum/tests/data_folder.rs
@@ -1,4 +1,4 @@
-//! Opening a folder again: identity, format, snapshots and what they replace.
+//! Opening a data folder again: identity, format, and snapshots that replace entries.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,9 +14,8 @@
 };
 use faults::{DISK, indexes, newest, open, snapshot, write};
 
-/// A host's disk is wiped and the host started again with the same settings.
-/// Under its old identity it would vote a second time in a term, and be counted
-/// as holding entries that it lost. It comes back as somebody else.
+/// Guards against a host that keeps its identity after its disk was wiped. It could vote twice in
+/// one term, and would be counted as holding entries that it lost.
 #[test]
 fn wiped_identity() {
     let path = tempfile::tempdir().unwrap();
@@ -32,7 +31,8 @@
     assert_eq!((wiped.id, wiped.fresh), (Id(7), true));
 }
 
-/// Only the identity's file is lost: whose files these are is unknown.
+/// Guards against a folder that lost only its identity file being used. It is unknown which
+/// replica its files belong to.
 #[test]
 fn identity_missing() {
     let path = tempfile::tempdir().unwrap();
@@ -41,7 +41,8 @@
     assert!(Identity::open(&folder, 0, Id(6)).unwrap_err().is_damage());
 }
 
-/// Files of another replica, or of another group, copied into the folder.
+/// Guards against files of another replica or group being loaded, after they were copied into the
+/// folder.
 #[test]
 fn foreign_files() {
     let path = tempfile::tempdir().unwrap();
@@ -61,7 +62,7 @@
     );
 }
 
-/// A newer version's files are refused as such, not as damaged.
+/// Guards against files of a newer version being reported as damaged.
 #[test]
 fn newer_format() {
     let path = tempfile::tempdir().unwrap();
@@ -122,9 +123,9 @@
     assert_eq!(indexes(&loaded), [6, 7, 8, 9, 10, 11]);
 }
 
-/// A leader's snapshot replaces a log that went another way. The entries behind
-/// it were never accepted and must not come back, also if the process dies
-/// between the snapshot's file and the log's new start.
+/// Guards against entries that return after a leader's snapshot replaced a diverging log. The
+/// entries after the snapshot were never committed, and must stay away even if the process
+/// dies between the write of the snapshot and the reset of the log.
 #[test]
 fn stale_suffix() {
     for died in [false, true] {
--- a/almondlock-quorum/tests/failing_disk.rs
+++ b/almondlock-quorum/tests/failing_disk.rs
@@ -1,4 +1,4 @@
-//! The disk refuses a write or a sync.
+//! A write or a sync fails.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,10 +7,10 @@
 use almondlock_base::Code;
 use faults::{indexes, open, open_faulty, snapshot, write};
 
-/// A sync fails once; the next would succeed, since the kernel has dropped the
-/// pages that it couldn't write. A caller who was told "accepted" after such a
-/// second sync would have nothing on disk. So the store takes nothing more, and
-/// a restart finds what was synced before.
+/// Guards against a second sync after a failed one. It would succeed, since the kernel has
+/// dropped the pages that it couldn't write, and entries that are not on disk would be
+/// acknowledged. The store must accept no more writes, and a restart must find what was
+/// synced before.
 #[test]
 fn sync_fails() {
     let folder = tempfile::tempdir().unwrap();
@@ -29,8 +29,8 @@
     assert!(indexes(&loaded).starts_with(&[1, 2]));
 }
 
-/// The folder's sync fails while a snapshot is put in place: whether the new
-/// name is on disk is unknown.
+/// Guards against writes after the folder's sync failed for a new snapshot, when it is unknown
+/// whether the snapshot's name is on disk.
 #[test]
 fn folder_sync_fails() {
     let folder = tempfile::tempdir().unwrap();
@@ -47,8 +47,8 @@
     assert_eq!(loaded.entries.last().unwrap().index.0, 5);
 }
 
-/// The disk is full, at any byte of a batch. The replica stops; once there is
-/// room again a restart finds all that was synced, and it goes on from there.
+/// Guards against lost entries when the disk fills up at any byte of a batch. The replica stops;
+/// with free space again, a restart must find all synced entries and continue from there.
 #[test]
 fn disk_full() {
     for room in 0..260 {
--- a/almondlock-quorum/tests/faults/mod.rs
+++ b/almondlock-quorum/tests/faults/mod.rs
@@ -1,6 +1,6 @@
-//! A real folder whose writes and syncs fail when told to.
+//! A data folder whose writes and syncs can be made to fail, and helpers to fill one.
 
-// Each test file uses its own part of this.
+// Each test file uses only some of these items.
 #![allow(dead_code, unreachable_pub)]
 
 use std::{cell::Cell, fs, io, path::Path, rc::Rc, sync::Arc};
@@ -16,14 +16,14 @@
 
 pub const DISK: Id = Id(77);
 
-/// What fails next; shared by a disk and its files.
+/// The faults to inject, shared by a disk and its files.
 #[derive(Clone, Default)]
 pub struct Plan {
-    /// Bytes that still fit.
+    /// The number of bytes that can still be written.
     pub room: Rc<Cell<Option<usize>>>,
-    /// The next sync of a file fails, and only that one.
+    /// Whether the next sync of a file fails. Later ones succeed.
     pub sync: Rc<Cell<bool>>,
-    /// The next sync of the folder fails.
+    /// Whether the next sync of the folder fails.
     pub folder: Rc<Cell<bool>>,
 }
 
@@ -127,7 +127,7 @@
     })
 }
 
-/// Opens with a retention of 2.
+/// Opens a folder with two entries retained before a snapshot.
 pub fn open(path: &Path) -> Result<(Store<Folder>, Loaded), almondlock_quorum::error::Error> {
     Store::open(Folder::open(path).unwrap(), 0, DISK, 2)
 }
@@ -146,7 +146,7 @@
     loaded.entries.iter().map(|e| e.index.0).collect()
 }
 
-/// The name of the newest segment.
+/// Returns the path of the newest segment.
 pub fn newest(path: &Path) -> std::path::PathBuf {
     let names = Folder::open(path).unwrap().list().unwrap();
     let name = names.iter().rfind(|n| n.starts_with("segment-")).unwrap();
--- a/almondlock-quorum/tests/handed_over.rs
+++ b/almondlock-quorum/tests/handed_over.rs
@@ -1,5 +1,5 @@
-//! A leader that stops on purpose hands leadership to the voter that has the most, which
-//! leads the next term.
+//! A leader that stops gracefully transfers its leadership to the voter that holds the most
+//! entries, which then leads the next term.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,7 +9,7 @@
 use cluster::Cluster;
 use rand::Rng;
 
-/// A leader of three that has accepted a few entries, and its term.
+/// Returns a cluster of three, its leader that has committed some entries, and the leader's term.
 fn led(seed: u64) -> (Cluster, usize, Term) {
     let mut cluster = Cluster::new(seed, 3);
     cluster.elect();
@@ -27,7 +27,7 @@
     machine.transfer_leadership(now);
 }
 
-/// The term of the leader after the one that stops, which still runs for a heartbeat.
+/// Stops the leader after one more heartbeat interval and returns the term of the next leader.
 fn next_term(cluster: &mut Cluster, leader: usize) -> Term {
     let config = cluster.nodes[leader].machine.as_ref().unwrap().config();
     let heartbeat = config.heartbeat_interval().as_millis() as u64;
@@ -37,8 +37,8 @@
     cluster.nodes[next].machine.as_ref().unwrap().term()
 }
 
-/// The seeds with which the successor isn't the leader of the next term, where the leader
-/// has so many entries under way, and others come after it has told its successor.
+/// Returns the seeds with which the next leader is not in the next term. `before` entries are
+/// proposed right before the transfer begins, and `after` entries are tried after it.
 fn late(before: usize, after: usize) -> Vec<u64> {
     let mut late = Vec::new();
     for seed in 0..100 {
@@ -58,7 +58,8 @@
     late
 }
 
-/// Guards against a successor that loses because another voter holds entries that it lacks.
+/// Guards against a successor that loses the election because another voter holds entries that
+/// it lacks.
 #[test]
 fn entries_beside() {
     for (before, after) in [(0, 0), (3, 0), (0, 3), (3, 3)] {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Guards against a hand-over to a voter that has died, though it holds as much as the other.
+/// Guards against a transfer to a voter that has died, though it holds as much as the other.
 #[test]
 fn dead_voter() {
     for seed in 0..40 {
@@ -78,7 +79,7 @@
         cluster.run(200);
         let dead = (0..3).rev().find(|n| *n != leader).unwrap();
         cluster.crash(dead);
-        // Two heartbeats: no leader knows sooner.
+        // Two heartbeat intervals: the leader can't notice the loss sooner.
         cluster.run(200);
         transfer_leadership(&mut cluster, leader);
         cluster.run(100);
--- a/almondlock-quorum/tests/held_reply.rs
+++ b/almondlock-quorum/tests/held_reply.rs
@@ -1,4 +1,4 @@
-//! What is promised before it is on disk is a promise that a crash takes back.
+//! Replies must not be sent before what they depend on is on disk, or a crash invalidates them.
 
 #![allow(clippy::unwrap_used)]
 
@@ -60,8 +60,8 @@
     assert!(machine.is_leader());
 }
 
-/// A voter crashes after it said yes and before the vote is on disk; back again
-/// it votes for another in the same term, and two lead.
+/// Guards against two leaders in one term: a voter grants its vote, crashes before the vote is on
+/// disk, and votes for another candidate after its restart.
 #[test]
 fn vote_waits() {
     let mut machine = machine(1, 3, Vec::new());
@@ -82,8 +82,8 @@
     );
 }
 
-/// A candidate's own vote is a vote: counted before it is on disk, it can be
-/// given to another after a crash.
+/// Guards against a candidate's own vote being counted before it is on disk. After a crash the
+/// replica could vote for another candidate in the same term.
 #[test]
 fn own_vote_waits() {
     let mut machine = machine(1, 3, Vec::new());
@@ -96,8 +96,8 @@
     assert!(machine.is_leader());
 }
 
-/// A follower says that it holds an entry, the leader counts it and accepts,
-/// and the follower's host loses power before the entry is on disk.
+/// Guards against a committed entry that a follower loses: it acknowledges the entry, the leader
+/// commits it, and the follower's host loses power before the entry is on disk.
 #[test]
 fn entry_waits() {
     let mut machine = machine(1, 3, Vec::new());
@@ -115,8 +115,8 @@
     assert_eq!(machine.take(NOW).messages.len(), 1);
 }
 
-/// A follower says that it holds a snapshot, the leader counts all that it
-/// stands for, and the power fails before the snapshot is on disk.
+/// Guards against a snapshot that a follower acknowledges and then loses in a power failure,
+/// after the leader has counted all entries that it covers.
 #[test]
 fn snapshot_waits() {
     let mut machine = machine(1, 3, Vec::new());
@@ -136,7 +136,7 @@
     assert!(matches!(replies[0].message.body, Body::PieceReply(reply) if reply.done));
 }
 
-/// The leader itself counts towards the majority only once it has synced.
+/// Guards against a leader that counts itself towards the majority before it has synced.
 #[test]
 fn leader_waits() {
     let mut machine = machine(1, 3, Vec::new());
@@ -153,9 +153,9 @@
     assert_eq!(machine.commit(), Index(1));
 }
 
-/// An entry of an earlier term is held by a majority and counted as accepted; a
-/// replica that never saw it, but has a newer entry, wins the next election and
-/// overwrites it. (The figure 8 of the Raft paper.)
+/// Guards against an entry of an earlier term being committed because a majority holds it. A
+/// replica that never received it, but has a newer entry, could win the next election and
+/// overwrite it (figure 8 of the Raft paper).
 #[test]
 fn earlier_term_not_counted() {
     let mut machine = machine(1, 5, vec![entry(1, 1), entry(2, 2)]);
--- a/almondlock-quorum/tests/leader_found.rs
+++ b/almondlock-quorum/tests/leader_found.rs
@@ -1,4 +1,4 @@
-//! Whenever enough voters with their disks run and reach each other, one of them leads soon.
+//! Whenever enough voters run with their disks and reach each other, one of them soon leads.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,7 +14,8 @@
 use rand::Rng;
 use yare::parameterized;
 
-/// How long the voters may take, in milliseconds: five of the longest election timeouts.
+/// The time within which a leader must be found, in milliseconds: five of the longest election
+/// timeouts.
 const SOON: u64 = 5_000;
 
 struct Schedule {
@@ -22,7 +23,7 @@
     founding: Arc<Members>,
     // Replicas that never return.
     gone: BTreeSet<usize>,
-    // Those that run with a disk that hangs.
+    // Replicas that run with a disk that hangs.
     hung: BTreeSet<usize>,
 }
 
@@ -53,7 +54,8 @@
         n.is_some_and(|n| self.c.nodes[n].machine.is_some() && !self.hung.contains(&n))
     }
 
-    /// Whether those that run could elect among any members that one of them may go by.
+    /// Whether the running replicas could elect a leader under any membership that one of them may
+    /// use.
     fn should_lead(&self) -> bool {
         let logs = (0..self.c.nodes.len()).filter_map(|n| self.members(n));
         let accepted = self.c.history.members();
@@ -62,8 +64,7 @@
         sets.all(|set| set.voters.is_empty() || set.has_quorum(|id| self.runs(id)))
     }
 
-    /// A replica joins, learns, votes; or one that is gone is removed. Any step may be left
-    /// half done.
+    /// Adds, promotes or removes a replica. Any step may be left incomplete.
     fn change(&mut self) {
         let Some(leader) = self.c.leader() else {
             return;
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Some hold a change of the members, and perhaps nobody will ever accept it.
+    /// Interrupts a change of the members, so that only some replicas hold it and it may never be
+    /// committed.
     fn interrupt(&mut self, leader: usize) {
         let rest = self.c.rng.random_range(0..60);
         self.c.run(rest);
@@ -193,8 +195,8 @@
         }
     }
 
-    /// Ends all faults, but for some replicas that are down or hang; gives the time until the
-    /// rest has accepted something, if it can.
+    /// Ends all faults, except that some replicas stay down or hang. Returns the milliseconds until
+    /// the others have committed an entry, or `None` if they don't.
     fn recover(&mut self) -> Option<u64> {
         self.c.faults = CALM;
         self.c.network.heal();
@@ -229,7 +231,7 @@
     }
 }
 
-/// Runs a schedule with a recovery after each of its parts.
+/// Runs a schedule of faults, with a recovery after each of its sections.
 fn run(seed: u64, size: u64) {
     let faults = Faults {
         drop: 0.02,
@@ -251,9 +253,9 @@
     }
 }
 
-/// Guards against a group that elects nobody, or whose leader accepts nothing, though it could:
-/// after restarts of all, losses, changes of the members half made, hand-overs cut short, slow
-/// syncs and cut links, while some are down or hang.
+/// Guards against a group that elects no leader, or whose leader commits nothing, although it
+/// could: after restarts of all replicas, losses, incomplete membership changes, interrupted
+/// leadership transfers, slow syncs and cut links, while some replicas are down or hang.
 #[parameterized(
     three = { 3, 0..150 },
     five = { 5, 10_000..10_040 },
@@ -264,9 +266,9 @@
     }
 }
 
-/// Guards against a replica whose disk hangs and which stands for election again and again: its
-/// terms, which it never synced, end the elections of the others. Those need every vote, and only
-/// one of them has all that was accepted. Both seeds found it.
+/// Guards against a replica whose disk hangs and which keeps starting elections: its terms, which
+/// it never synced, end the elections of the others. The others need every vote, and only one
+/// of them holds all committed entries. Both seeds reproduced the failure.
 #[parameterized(
     from_three = { 1316, 3 },
     from_five = { 10_175, 5 },
--- a/almondlock-quorum/tests/lost_removals.rs
+++ b/almondlock-quorum/tests/lost_removals.rs
@@ -1,5 +1,5 @@
-//! After a power failure each file that was removed without a sync of the folder is there again,
-//! or isn't, independently of the others.
+//! After a power failure, any of the files that were removed without a sync of the folder may be
+//! there again.
 
 #![allow(clippy::unwrap_used)]
 
@@ -61,9 +61,9 @@
     to
 }
 
-/// Guards against a replica that never starts again, "a part of the log is missing", because a
-/// snapshot freed several segments and a power failure brought back some of them. Each start adds
-/// a segment, and all replicas may be in that state at once.
+/// Guards against a replica that never starts again ("a part of the log is missing"), because
+/// several segments were removed after a snapshot and a power failure brought back some of
+/// them. Each start adds a segment, and all replicas may be in that state at once.
 #[test]
 fn some_return() {
     let folder = tempfile::tempdir().unwrap();
--- a/almondlock-quorum/tests/lost_tail.rs
+++ b/almondlock-quorum/tests/lost_tail.rs
@@ -26,8 +26,8 @@
     c.nodes[n].machine.as_ref().unwrap().term()
 }
 
-/// Guards against a replica that stays without entries, and a group that accepts nothing any
-/// more once a second one is in that state, while every process runs.
+/// Guards against a replica that never gets its entries again, and a group that commits nothing
+/// once a second replica is in that state, although every process runs.
 #[parameterized(
     one_entry = { 1 },
     ten_entries = { 10 },
@@ -37,7 +37,7 @@
     for seed in 0..20 {
         let mut c = Cluster::new(seed, 3);
         let leader = c.elect();
-        // Nothing is compacted, so that no snapshot helps.
+        // The log is not compacted, so that no snapshot restores the entries.
         for _ in 0..20 {
             c.accept();
         }
@@ -46,7 +46,7 @@
             c.cut(n, lost);
             c.start(n);
             let newest = c.history.newest();
-            c.until("it holds what was accepted", |c| {
+            c.until("the replica holds all committed entries", |c| {
                 c.nodes[n].state.index >= newest
             });
             c.accept();
@@ -55,8 +55,8 @@
     }
 }
 
-/// Guards against a leader that is heard by a majority and accepts nothing for ever, so that
-/// nobody stands for election either.
+/// Guards against a leader that never commits anything again but is heard by a majority, so that
+/// no other replica stands for election.
 #[test]
 fn beside_dead_one() {
     for seed in 0..20 {
@@ -72,8 +72,8 @@
     }
 }
 
-/// Guards against a replica that is taken for one that lost entries because its refusals come
-/// late: nothing that it acknowledged may be taken back.
+/// Guards against late refusals being taken for lost entries: acknowledgements of the replica
+/// must stay valid.
 #[test]
 fn late_refusals() {
     let faults = Faults {
@@ -143,7 +143,7 @@
     }))
 }
 
-/// Makes replica 1 the leader of term 4; gives the number of its last write.
+/// Makes replica 1 the leader of term 4. Returns the sequence number of its last write.
 fn lead(machine: &mut Machine) -> u64 {
     machine.tick(NOW);
     for pre in [true, false] {
@@ -159,7 +159,7 @@
     machine.take(NOW).write.map_or(0, |write| write.sequence)
 }
 
-/// The round of the last append to replica 2.
+/// Returns the round of the last append to replica 2.
 fn round(machine: &mut Machine) -> u64 {
     let messages = machine.take(NOW).messages;
     let rounds = messages.iter().filter(|m| m.to == Id(2));
@@ -170,21 +170,21 @@
     appends.next_back().unwrap()
 }
 
-/// Guards against an entry that counts as held by a replica that acknowledged and lost it: with
-/// the leader's own copy it would be accepted while one disk holds it.
+/// Guards against an entry that counts as held by a replica that acknowledged and lost it. With
+/// the leader's own copy it would be committed while only one disk holds it.
 #[test]
 fn not_counted_twice() {
     let mut machine = machine(1, Vec::new(), 1000);
     let own = lead(&mut machine);
     machine.receive(NOW, Id(2), reply(true, 2, 0));
     assert_eq!(machine.matched(Id(2)), Some(Index(2)));
-    // It returns without anything: the first refusal may be a late one, the second answers an
-    // append from after the first.
+    // The replica returns without entries. The first refusal may be late; the second one
+    // answers an append sent after the first.
     machine.receive(NOW, Id(2), reply(false, 0, 0));
     let asked = round(&mut machine);
     machine.receive(NOW, Id(2), reply(false, 0, asked));
     assert_eq!(machine.matched(Id(2)), Some(Index::ZERO));
-    // An acknowledgement from before the loss comes late.
+    // An acknowledgement from before the loss arrives late.
     machine.receive(NOW, Id(2), reply(true, 2, 0));
     machine.receive(NOW, Id(2), reply(true, 2, asked));
     machine.synced(NOW, own);
@@ -194,8 +194,8 @@
     assert_eq!(machine.commit(), Index(2));
 }
 
-/// Carries all messages between a leader and replica 2 until there are none, but for the appends
-/// that `lost` names.
+/// Delivers all messages between a leader and replica 2 until there are none left, except the
+/// appends that `lost` selects.
 fn exchange<F>(leader: &mut Machine, follower: &mut Machine, mut lost: F)
 where
     F: FnMut(&Body) -> bool,
@@ -225,8 +225,8 @@
 }
 
 /// Guards against a replica that lost nothing and never gets an entry again: an append is lost,
-/// and it refuses the next ones below what it acknowledged, since its next entry is of the same
-/// term as those before and the hint passes over a whole term.
+/// and the replica refuses the next ones with a hint below what it acknowledged, because its
+/// next entry is of the same term as those before and the hint skips a whole term.
 #[test]
 fn hint_below_acknowledged() {
     let entries = (1..=6).map(|i| entry(i, 2)).chain([entry(7, 3)]);
--- a/almondlock-quorum/tests/member_changes.rs
+++ b/almondlock-quorum/tests/member_changes.rs
@@ -1,4 +1,4 @@
-//! Replicas come and go, one at a time.
+//! Replicas are added, promoted and removed, one at a time.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,7 +11,7 @@
 use cluster::Cluster;
 use yare::parameterized;
 
-/// Members whose domains are the last digits of their numbers.
+/// Returns members whose failure domains are the last digits of their numbers.
 fn members(voters: &[u64], learners: &[u64]) -> Members {
     let mut members = Members::of_voters(voters.iter().map(|n| Member::sample(*n)));
     let learners = learners.iter().map(|n| Member::sample(*n));
@@ -19,8 +19,8 @@
     members
 }
 
-/// Losing a whole failure domain must not lose the majority, if the domains
-/// there are allow for that.
+/// Guards against voters whose majority is lost with one failure domain, although the members'
+/// domains allow a better spread.
 #[parameterized(
     third_in_a_new_domain = { &[1, 2], &[3], Change::Promote(Id(3)), true },
     two_of_three_together = { &[1, 2], &[11, 3], Change::Promote(Id(11)), false },
@@ -40,8 +40,8 @@
     assert_eq!(result.is_ok(), allowed, "{result:?}");
 }
 
-/// Two changes at once: three voters become five, of which two alone still
-/// take themselves for a majority of three.
+/// Guards against two changes at once: three voters become five, and two of them still believe
+/// to be a majority of three.
 #[test]
 fn one_at_a_time() {
     let mut c = Cluster::new(5, 3);
@@ -53,13 +53,13 @@
     assert!(c.change(leader, &Change::Add(Member::sample(5))));
 }
 
-/// A new leader changes the members before it has accepted anything: the one
-/// before may have changed them otherwise, unknown to it, and both sets have a
-/// majority without the other.
+/// Guards against a new leader that changes the members before it has committed an entry. Its
+/// predecessor may have made another change that it doesn't know, and each set of members
+/// would have a majority without the other.
 #[test]
 fn not_before_own_entry() {
     let mut c = Cluster::new(6, 3);
-    c.until("a leader that has accepted nothing", |c| {
+    c.until("a leader that has committed nothing", |c| {
         let leads = |n: &cluster::Node| {
             let machine = n.machine.as_ref().unwrap();
             machine.is_leader() && machine.term_at(machine.commit()) != Some(machine.term())
@@ -72,8 +72,8 @@
     assert!(c.change(leader, &Change::Add(Member::sample(4))));
 }
 
-/// An operator promotes a newcomer that holds nothing yet, and a voter is lost:
-/// the newcomer would be counted on for what it never had.
+/// Guards against the promotion of a learner that holds no entries yet. When a voter is then
+/// lost, the majority depends on entries that the learner never had.
 #[test]
 fn caught_up_first() {
     let mut c = Cluster::new(7, 3);
@@ -100,9 +100,9 @@
     );
 }
 
-/// A voter is lost, and the newcomer dies before it is promoted. Were it promoted, three of four
-/// voters would be needed and two be there: nothing is ever accepted again, nor anybody elected,
-/// though a majority of those accepted is there and holds everything.
+/// Guards against the promotion of a learner that has died, while a voter is lost as well. Three
+/// of four voters would then be needed and two be there, so that nothing is committed and no
+/// leader elected any more, although a majority of the three voters before it is available.
 #[test]
 fn majority_after_it_answers() {
     for seed in 0..20 {
@@ -128,8 +128,8 @@
     }
 }
 
-/// The leader is taken out: it leads until that is accepted, then another does,
-/// and it never stands again.
+/// Guards against a removed leader that stops before its removal is committed, or stands for
+/// election afterwards.
 #[test]
 fn leader_removed() {
     let mut c = Cluster::new(8, 4);
@@ -137,7 +137,9 @@
     c.accept();
     let id = c.nodes[old].id;
     assert!(c.change(old, &Change::Remove(id)));
-    c.until("another leads", |c| c.leader().is_some_and(|n| n != old));
+    c.until("another replica leads", |c| {
+        c.leader().is_some_and(|n| n != old)
+    });
     c.accept();
     let term = c.nodes[c.leader().unwrap()]
         .machine
@@ -163,9 +165,9 @@
     );
 }
 
-/// A leader that is cut off begins a change, and the others overwrite it. Were
-/// the change left in force there, that replica would count its majorities over
-/// members that nobody agreed on.
+/// Guards against a change that stays in force at a leader that was cut off, after the others
+/// have overwritten it. That replica would count majorities over members that were never
+/// committed.
 #[test]
 fn not_accepted_is_taken_back() {
     let mut c = Cluster::new(9, 3);
--- a/almondlock-quorum/tests/missing_votes.rs
+++ b/almondlock-quorum/tests/missing_votes.rs
@@ -1,4 +1,4 @@
-//! What a replica tells of votes that are missing, while nobody leads.
+//! What a replica reports about missing votes while there is no leader.
 
 #![allow(clippy::unwrap_used)]
 
@@ -24,7 +24,7 @@
     of.iter().copied().map(Id).collect()
 }
 
-/// The first of three.
+/// Returns replica 1 of a group of three.
 fn machine() -> Machine {
     let members = Members::of_voters((1..=3).map(Member::sample));
     let config = Config::builder().build().unwrap();
@@ -57,7 +57,7 @@
     }
 }
 
-/// Guards against a group of four voters that lost two and doesn't say which.
+/// Guards against a group of four voters that lost two and doesn't report which.
 #[test]
 fn two_of_four() {
     let mut c = Cluster::new(1, 4);
@@ -83,7 +83,8 @@
     }
 }
 
-/// Guards against a candidacy that ends in a slow disk and looks like silent voters.
+/// Guards against a candidate whose own vote waits for a slow disk, and which seems to lack the
+/// votes of others.
 #[test]
 fn own_vote_unsynced() {
     let mut machine = machine();
@@ -104,15 +105,15 @@
     assert_eq!(ballot.unanswered, ids(&[1, 2, 3]));
 }
 
-/// Nobody stands for election before its term is synced.
+/// Reports all writes as synced, since no replica stands for election before its term is synced.
 fn sync(machine: &mut Machine, now: Mono) {
     if let Some(write) = machine.take(now).write {
         machine.synced(now, write.sequence);
     }
 }
 
-/// Guards against a vote from outside that looks like one that counts: a replica on an empty
-/// disk answers at the address of the voter that it was.
+/// Guards against a vote of a replica that is not a voter being reported as one that counts. A
+/// replica that lost its disk answers under a new identity at its old address.
 #[test]
 fn outside_vote() {
     let mut machine = machine();
@@ -132,8 +133,8 @@
     assert_eq!(ballot.unanswered, ids(&[2, 3]));
 }
 
-/// Guards against refusals that are forgotten since they name a newer term, which ends the
-/// round, or an older one.
+/// Guards against refusals that are not recorded because their term is older, or is newer and
+/// ends the ballot.
 #[parameterized(
     older = { 0 },
     newer = { 7 },
@@ -160,7 +161,7 @@
     assert_eq!(ballot.unanswered, ids(&[3]));
 }
 
-/// Guards against a refusal whose reason stays with the voter that refused.
+/// Guards against a voter that doesn't report why it refused a vote.
 #[parameterized(
     leader_heard = { heartbeat(5), request(true, 6, 9), Reason::LeaderHeard },
     leader_of_the_term = { heartbeat(5), request(false, 5, 9), Reason::LeaderHeard },
@@ -176,7 +177,11 @@
     let denials: Vec<_> = machine.take_denials().collect();
     assert_eq!(denials.len(), 1);
     assert_eq!((denials[0].to, denials[0].reason), (Id(3), reason));
-    assert_eq!(machine.take_denials().count(), 0, "told twice");
+    assert_eq!(
+        machine.take_denials().count(),
+        0,
+        "a denial was reported twice"
+    );
 }
 
 #[test]
@@ -185,7 +190,7 @@
     let leader = c.elect();
     let index = c.accept();
     let follower = (leader + 1) % 3;
-    c.until("it holds the entry", |c| {
+    c.until("the replica holds the entry", |c| {
         c.nodes[follower].state.index >= index
     });
     let now = Mono::from_millis(c.now + 10_000);
--- a/almondlock-quorum/tests/random_schedules.rs
+++ b/almondlock-quorum/tests/random_schedules.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use yare::parameterized;
 
-/// Puts faults in by chance.
+/// Injects random faults.
 fn disturb(c: &mut Cluster) {
     let n = c.rng.random_range(0..c.nodes.len());
     let faults = c.faults;
@@ -53,7 +53,8 @@
         })
 }
 
-/// The operator's next step towards members that have their disks.
+/// Makes the next membership change towards members that all have their disks, as an operator
+/// would.
 fn repair(c: &mut Cluster) {
     let Some(n) = c.leader() else { return };
     let Some(members) = c.nodes[n].machine.as_ref().map(|m| m.members().clone()) else {
@@ -124,10 +125,9 @@
     }
 }
 
-/// A follower never catches up again: the leader's appends to it are lost until
-/// the window is full, then a snapshot takes their entries out of the leader's
-/// log, and a heartbeat that names none of them is always agreed to. Seed 25
-/// found it.
+/// Guards against a follower that never catches up: the leader's appends are lost until the
+/// window is full, then a snapshot drops their entries from the leader's log, and a heartbeat
+/// that names none of them is always matched. Seed 25 reproduced the failure.
 #[test]
 fn regression_window_full() {
     let faults = Faults {
--- a/almondlock-quorum/tests/silent_minority.rs
+++ b/almondlock-quorum/tests/silent_minority.rs
@@ -1,4 +1,4 @@
-//! A replica is cut off without errors, for minutes.
+//! A replica is cut off for minutes without any network error.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,9 +6,9 @@
 
 use cluster::Cluster;
 
-/// Reads and changes reach a leader that is cut off. Within one election
-/// timeout (500 ms here, and a heartbeat to notice) it refuses both; the others
-/// elect meanwhile. On its return it takes nothing back and unseats nobody.
+/// Guards against a leader that is cut off and still accepts reads and proposals. It must refuse
+/// both after one election timeout (500 ms here, and a heartbeat to notice), while the others
+/// elect a leader. On its return it must neither undo entries nor disturb the new leader.
 #[test]
 fn leader_cut_off() {
     let mut c = Cluster::new(1, 5);
@@ -16,9 +16,12 @@
     c.accept();
     let ids: Vec<_> = c.nodes.iter().map(|n| n.id).collect();
     c.network.isolate(ids[old], ids.clone());
-    assert!(c.propose(old), "it can't know yet");
+    assert!(c.propose(old), "a leader just cut off can't know it yet");
     c.run(620);
-    assert!(!c.propose(old) && !c.read(old), "it still takes work");
+    assert!(
+        !c.propose(old) && !c.read(old),
+        "the cut-off leader still accepts work"
+    );
     let accepted = c.accept();
     c.run(120_000);
     let (leader, term) = (c.leader().unwrap(), term(&c));
@@ -34,8 +37,8 @@
     assert!(c.nodes[old].state.index >= accepted);
 }
 
-/// A follower is cut off while others work. It can't win an election, so it
-/// doesn't raise its term, and nobody has to follow that on its return.
+/// Guards against a follower that raises its term while it is cut off, and unseats the leader on
+/// its return. It can't win a pre-vote, so its term must stay.
 #[test]
 fn follower_returns() {
     let mut c = Cluster::new(2, 3);
@@ -51,17 +54,16 @@
     assert_eq!((c.leader(), term(&c)), (Some(leader), before));
 }
 
-/// A follower hears the leader no more, but the leader and the rest hear it: a
-/// one-way loss. Its log is as complete as theirs. It asks for votes all the
-/// time, and is refused by those who hear the leader, whose work goes on
-/// without a new election.
+/// Guards against elections caused by a follower that no longer receives the leader's messages
+/// while all others receive its own. Its log is complete, so only the replicas that hear the
+/// leader can refuse its pre-votes.
 #[test]
 fn deaf_follower() {
     let mut c = Cluster::new(3, 3);
     let leader = c.elect();
     let deaf = (leader + 1) % 3;
     let index = c.accept();
-    c.until("all hold it", |c| {
+    c.until("all replicas hold the entry", |c| {
         c.nodes.iter().all(|n| n.state.index >= index)
     });
     let pair = (c.nodes[leader].id, c.nodes[deaf].id);
@@ -72,20 +74,20 @@
     assert_eq!((c.leader(), term(&c)), (Some(leader), before));
 }
 
-/// The leader's process hangs for longer than an election takes; the others
-/// elect and accept a change. When it wakes, a read is the first thing that
-/// reaches it, before any message or timer: it must not answer from the state
-/// before the change.
+/// Guards against a stale read from a leader whose process hung while the others elected a new
+/// leader and committed a change. The read reaches it before any message or timer.
 #[test]
 fn leader_wakes() {
     let mut c = Cluster::new(4, 3);
     let old = c.elect();
     let before = c.accept();
     c.nodes[old].paused = true;
-    c.until("another leads", |c| c.leader().is_some_and(|n| n != old));
+    c.until("another replica leads", |c| {
+        c.leader().is_some_and(|n| n != old)
+    });
     assert!(c.accept() > before);
     c.nodes[old].paused = false;
-    assert!(c.read(old), "it can't know yet");
+    assert!(c.read(old), "a leader just cut off can't know it yet");
     c.run(5_000);
     assert_eq!(c.nodes[old].state.index, c.history.newest());
 }
--- a/almondlock-quorum/tests/slow_disks.rs
+++ b/almondlock-quorum/tests/slow_disks.rs
@@ -1,4 +1,4 @@
-//! Syncs that take as long as an election timeout, or longer; disks that hang for seconds.
+//! Syncs that take an election timeout or longer, and disks that hang for seconds.
 
 #![allow(clippy::unwrap_used)]
 
@@ -18,8 +18,8 @@
 use cluster::Cluster;
 use yare::parameterized;
 
-/// Guards against elections and leaders that are given up again and again, since a vote or an
-/// acknowledgement takes longer to be synced than it is waited for. Nobody led for as long as the
+/// Guards against elections and leaders that are abandoned again and again, because syncing a
+/// vote or an acknowledgement takes longer than the timeout for it. Nobody led while the
 /// disks were slow.
 #[parameterized(
     half_a_timeout = { 3, 250, false },
@@ -34,7 +34,7 @@
 fn led_at_last(size: u64, millis: u64, one_fast: bool) {
     for seed in 0..8 {
         let mut c = Cluster::new(seed, size);
-        // One append holds all that comes while another is synced.
+        // One append holds all entries proposed during the sync of another.
         c.batch = 100_000;
         for n in 0..c.nodes.len() {
             c.nodes[n].sync_millis = Some(millis).filter(|_| n > 0 || !one_fast);
@@ -52,7 +52,7 @@
     }
 }
 
-/// Guards against an election, and all the refusals meanwhile, each time that the disks hang.
+/// Guards against an election, with refused requests until it ends, each time that the disks hang.
 #[test]
 fn hang_ends() {
     for seed in 0..20 {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Guards against a voter whose disk hangs for good, and whom nobody replaces since it answers.
+/// Guards against a voter whose disk hangs for good and which is not replaced, since it answers.
 #[test]
 fn hung_not_heard() {
     let mut c = Cluster::new(1, 3);
@@ -97,8 +97,8 @@
     assert!(silence(fine) < Duration::from_millis(300));
 }
 
-/// Guards against entries that count as held before they are synced, for the same reason: they
-/// come a second time while the first sync runs.
+/// Guards against entries that count as held before they are synced, because they arrive a second
+/// time while the first sync is running.
 #[test]
 fn entry_not_promised() {
     const NOW: Mono = Mono::from_millis(10_000);
@@ -135,8 +135,8 @@
     assert_eq!(indexes(&mut machine), [1]);
 }
 
-/// Guards against a snapshot that counts as held before it is synced, since an append that brings
-/// nothing new is answered at once.
+/// Guards against a snapshot that counts as held before it is synced, because an append without
+/// new entries is answered at once.
 #[test]
 fn snapshot_not_promised() {
     const NOW: Mono = Mono::from_millis(10_000);
--- a/almondlock-quorum/tests/split_start.rs
+++ b/almondlock-quorum/tests/split_start.rs
@@ -1,5 +1,5 @@
-//! All replicas start at the same moment, one of them without its disk. Two stand for
-//! election at once and get half of the votes each.
+//! All replicas but one start at the same moment. Two stand for election at once and get half of
+//! the votes each.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,7 +9,7 @@
 
 use cluster::Cluster;
 
-/// Milliseconds until a group of so many, of which one is down, has a leader.
+/// Returns the milliseconds until a group of `size` replicas with one down has a leader.
 fn led_after(seed: u64, size: u64) -> u64 {
     let mut cluster = Cluster::new(seed, size);
     cluster.crash(0);
@@ -19,8 +19,9 @@
     u64::try_from(span.as_millis()).unwrap()
 }
 
-/// Guards against hosts that wait for a leader, since after a split vote nobody stands for the
-/// time that a silent leader is given. Two rounds fit into the shortest of these.
+/// Guards against hosts that wait for a leader for long, because after a split vote no replica
+/// starts another election for a whole election timeout. Two elections fit into the shortest
+/// timeout.
 #[test]
 fn tried_again_soon() {
     for size in [3, 5] {
@@ -36,8 +37,8 @@
     }
 }
 
-/// Guards against replicas that raise terms for ever where a vote takes longer to be written
-/// than the time between the first rounds.
+/// Guards against replicas that start elections for ever, because writing a vote takes longer
+/// than the time between the first elections.
 #[test]
 fn slow_disks() {
     for seed in 0..40 {
--- a/almondlock-quorum/tests/torn_tail.rs
+++ b/almondlock-quorum/tests/torn_tail.rs
@@ -1,4 +1,4 @@
-//! A crash cuts the newest segment short, at any byte.
+//! A crash cuts the newest segment short at an arbitrary byte.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,9 +8,8 @@
 
 use faults::{indexes, newest, open, write};
 
-/// An operator pulls the plug on a replica and starts it again: it comes back
-/// by itself. The bytes that are missing were never synced, so no caller was
-/// promised anything by them; every record before the cut is there.
+/// Guards against a replica that doesn't start after a power failure, or loses records before
+/// the cut. The missing bytes were never synced and so never acknowledged.
 #[test]
 fn cut_anywhere() {
     let folder = tempfile::tempdir().unwrap();
@@ -31,7 +30,7 @@
         assert!(found.len() <= most.len() + 1, "cut at {length}: {found:?}");
         let next = found.len() as u64 + 1;
         most = found;
-        // What is written after the cut is found again.
+        // Entries written after the cut are loaded again.
         store.write(&write(1, 4, next..=next)).unwrap();
         store.sync().unwrap();
         drop(store);
@@ -41,8 +40,8 @@
     assert_eq!(most, [1, 2, 3, 4]);
 }
 
-/// A file system that extends the file before it writes the bytes leaves zeros
-/// behind the last record; they were never written by anybody.
+/// Guards against zeros after the last record being taken for damage. A file system leaves them
+/// if it extends the file before it writes the bytes.
 #[test]
 fn zeros_behind() {
     let folder = tempfile::tempdir().unwrap();
