--- a/almondlock-control/src/replica/core.rs
+++ b/almondlock-control/src/replica/core.rs
@@ -213,7 +213,10 @@
 
     pub(super) fn change(&mut self, now: Mono, change: &Change) -> Result<Answer<()>, Refusal> {
         self.check()?;
-        let changed = self.machine.change(now, change).map_err(Refusal::from);
+        let changed = self
+            .machine
+            .propose_change(now, change)
+            .map_err(Refusal::from);
         self.note_change(change, changed.as_ref().err());
         let position = changed?;
         let (asker, answer) = oneshot::channel();
@@ -237,7 +240,7 @@
         self.next_read += 1;
         let (asker, answer) = oneshot::channel();
         self.reads.insert(token, asker);
-        self.machine.read(now, token)?;
+        self.machine.request_read(now, token)?;
         Ok(answer)
     }
 
@@ -260,7 +263,7 @@
     fn hand_over(&mut self, now: Mono) {
         if let Some(to) = self.machine.transfer_leadership(now) {
             let (term, matched) = (self.machine.term().0, self.machine.matched(to));
-            let (last, matched) = (self.machine.last().0, matched.map(|index| index.0));
+            let (last, matched) = (self.machine.last_index().0, matched.map(|index| index.0));
             tracing::info!(%to, term, matched, last, "hands leadership over");
         }
     }
@@ -371,7 +374,7 @@
     /// Whether a follower holds all that was accepted up to an election timeout ago, and
     /// hears the leader.
     pub(super) fn is_current(&self, now: Mono) -> bool {
-        let applied = self.applied == self.machine.commit();
+        let applied = self.applied == self.machine.commit_index();
         self.stopped.is_none() && applied && self.machine.is_current(now)
     }
 
--- a/almondlock-control/src/replica/core/log.rs
+++ b/almondlock-control/src/replica/core/log.rs
@@ -65,7 +65,7 @@
     /// they are known to be accepted.
     fn log_members(&mut self) {
         let members = self.machine.members();
-        let accepted = self.machine.has_accepted_members();
+        let accepted = self.machine.has_committed_members();
         if let Some((logged, was)) = &self.logged.members
             && *was == accepted
             && (Arc::ptr_eq(logged, members) || logged == members)
@@ -82,7 +82,7 @@
             return;
         }
         let term = self.machine.term().0;
-        let (commit, last) = (self.machine.commit().0, self.machine.last().0);
+        let (commit, last) = (self.machine.commit_index().0, self.machine.last_index().0);
         tracing::info!(
             %own,
             votes = members.is_voter(own),
@@ -106,7 +106,7 @@
         if term > self.logged.candidacy {
             self.logged.candidacy = term;
             self.logged.counts.elections += 1;
-            let last = self.machine.last().0;
+            let last = self.machine.last_index().0;
             tracing::info!(term = term.0, ?cause, last, "stands for election");
         }
     }
@@ -124,7 +124,7 @@
         self.logged.leader = leader;
         self.logged.counts.leaders += u64::from(leader.is_some());
         let leader = leader.map_or_else(|| "none".to_owned(), |id| id.to_string());
-        let (term, commit) = (self.machine.term().0, self.machine.commit().0);
+        let (term, commit) = (self.machine.term().0, self.machine.commit_index().0);
         let leads = self.machine.is_leader();
         tracing::info!(%leader, term, commit, leads, "leader changed");
     }
--- a/almondlock-control/src/replica/core/log/ballots.rs
+++ b/almondlock-control/src/replica/core/log/ballots.rs
@@ -34,7 +34,7 @@
 impl From<&Ballot> for Outcome {
     fn from(ballot: &Ballot) -> Outcome {
         Outcome::Failed {
-            pre: ballot.pre,
+            pre: ballot.is_pre_vote,
             quorum: ballot.quorum,
             granted: ballot.granted.clone(),
             refused: ballot.refused.keys().copied().collect(),
@@ -69,9 +69,9 @@
         }
         let refused = ballot.refused.iter();
         let refused = refused.map(|(id, term)| format!("{} in term {}", self.name(*id), term.0));
-        let last = self.machine.last().0;
+        let last = self.machine.last_index().0;
         tracing::warn!(
-            pre = ballot.pre,
+            pre = ballot.is_pre_vote,
             term = ballot.term.0,
             quorum = ballot.quorum,
             voters = self.machine.members().voters.len(),
@@ -100,10 +100,10 @@
     pub(super) fn log_denials(&mut self, now: Mono) {
         for denial in self.machine.take_denials() {
             let told = &mut self.logged.denials;
-            if told.len() >= CANDIDATES && !told.contains_key(&denial.to) {
+            if told.len() >= CANDIDATES && !told.contains_key(&denial.candidate) {
                 told.pop_first();
             }
-            let told = told.entry(denial.to).or_default();
+            let told = told.entry(denial.candidate).or_default();
             if !told.is_due(now, denial.reason) {
                 continue;
             }
@@ -115,8 +115,8 @@
             };
             let (last, own_last) = (denial.last, self.machine.last_position());
             tracing::info!(
-                candidate = %self.name(denial.to),
-                pre = denial.pre,
+                candidate = %self.name(denial.candidate),
+                pre = denial.is_pre_vote,
                 term = denial.term.0,
                 own_term = self.machine.term().0,
                 reason,
--- a/almondlock-control/src/replica/core/log/changes.rs
+++ b/almondlock-control/src/replica/core/log/changes.rs
@@ -38,7 +38,7 @@
         let others = members.filter(|other| other.id != self.own.id && other.id != id);
         let others = List(others.map(|other| self.describe(now, other.id)).collect());
         let led_ms = millis(now.since(self.machine.leader_since()));
-        let (term, last) = (self.machine.term().0, self.machine.last().0);
+        let (term, last) = (self.machine.term().0, self.machine.last_index().0);
         match reason {
             None => {
                 tracing::info!(
@@ -70,13 +70,13 @@
 
     /// For how long another member has not been heard, or since this replica leads.
     fn unheard_ms(&self, now: Mono, id: Id) -> u64 {
-        let heard = self.machine.heard(id);
+        let heard = self.machine.last_heard(id);
         millis(now.since(heard.unwrap_or(self.machine.leader_since())))
     }
 
     /// How many entries another member lacks, of all that the log holds here.
     fn lacks(&self, id: Id) -> u64 {
         let matched = self.machine.matched(id).unwrap_or_default();
-        self.machine.last().0.saturating_sub(matched.0)
+        self.machine.last_index().0.saturating_sub(matched.0)
     }
 }
--- a/almondlock-control/src/replica/core/log/silence.rs
+++ b/almondlock-control/src/replica/core/log/silence.rs
@@ -52,7 +52,7 @@
     }
 
     fn log_member(&self, now: Mono, id: Id, watch: &mut Watch) {
-        let last = self.machine.heard(id).unwrap_or(watch.heard);
+        let last = self.machine.last_heard(id).unwrap_or(watch.heard);
         watch.heard = last;
         let silent = now.since(last) >= self.quorum.election_timeout();
         let members = self.machine.members();
@@ -84,6 +84,6 @@
 
     fn is_heard(&self, now: Mono, id: Id) -> bool {
         let recent = |at: Mono| now.since(at) < self.quorum.election_timeout();
-        self.machine.heard(id).is_some_and(recent)
+        self.machine.last_heard(id).is_some_and(recent)
     }
 }
--- a/almondlock-control/src/replica/core/report.rs
+++ b/almondlock-control/src/replica/core/report.rs
@@ -12,7 +12,7 @@
 impl Core {
     pub(in crate::replica) fn status(&self, now: Mono) -> Status {
         let members = self.machine.members();
-        let commit = self.machine.commit();
+        let commit = self.machine.commit_index();
         let peer = |member: &Member| Peer {
             id: member.id,
             name: member.name.clone(),
@@ -40,7 +40,7 @@
             },
             commit,
             applied: self.applied,
-            last: self.machine.last(),
+            last: self.machine.last_index(),
             members: members.iter().map(peer).collect(),
             waiting: self
                 .gathering
@@ -57,7 +57,7 @@
     }
 
     fn lag(&self, id: Id) -> Option<u64> {
-        let commit = self.machine.commit().0;
+        let commit = self.machine.commit_index().0;
         if id == self.own.id {
             return Some(commit - self.applied.0);
         }
--- a/almondlock-control/src/replica/core/sight.rs
+++ b/almondlock-control/src/replica/core/sight.rs
@@ -21,8 +21,8 @@
             now,
         };
         sight.step(|id| Peer {
-            heard: self.machine.heard(id),
-            advanced: self.machine.advanced(id),
+            heard: self.machine.last_heard(id),
+            advanced: self.machine.last_advanced(id),
             caught_up: self.machine.is_caught_up(id),
             leaving: self.is_leaving(now, id),
         })
--- a/almondlock-control/src/replica/repair.rs
+++ b/almondlock-control/src/replica/repair.rs
@@ -241,7 +241,7 @@
             let stays = id == self.own || peer.heard.is_some() && !peer.leaving;
             stays && !member.is_none_or(lost)
         };
-        let members = members.changed(change).ok()?;
+        let members = members.with_change(change).ok()?;
         Some(members).filter(|members| members.has_quorum(answers))
     }
 
--- a/almondlock-control/src/replica/wire.rs
+++ b/almondlock-control/src/replica/wire.rs
@@ -25,7 +25,7 @@
         raft_message::VoteRequest(request) => {
             let request = request?;
             Body::VoteRequest(VoteRequest {
-                pre: request.get_pre(),
+                is_pre_vote: request.get_pre(),
                 last_index: Index(request.get_last_index()),
                 last_term: Term(request.get_last_term()),
             })
@@ -33,7 +33,7 @@
         raft_message::VoteReply(reply) => {
             let reply = reply?;
             Body::VoteReply(VoteReply {
-                pre: reply.get_pre(),
+                is_pre_vote: reply.get_pre(),
                 granted: reply.get_granted(),
             })
         }
@@ -139,13 +139,13 @@
     match &message.body {
         Body::VoteRequest(request) => {
             let mut to = to.init_vote_request();
-            to.set_pre(request.pre);
+            to.set_pre(request.is_pre_vote);
             to.set_last_index(request.last_index.0);
             to.set_last_term(request.last_term.0);
         }
         Body::VoteReply(reply) => {
             let mut to = to.init_vote_reply();
-            to.set_pre(reply.pre);
+            to.set_pre(reply.is_pre_vote);
             to.set_granted(reply.granted);
         }
         Body::Append(append) => write_append(append, to.init_append()),
--- a/almondlock-control/tests/mended_membership.rs
+++ b/almondlock-control/tests/mended_membership.rs
@@ -91,7 +91,7 @@
     fn settle(&mut self) -> Vec<Change> {
         let mut steps = Vec::new();
         while let Some(step) = self.step() {
-            self.members = self.members.changed(&step).unwrap();
+            self.members = self.members.with_change(&step).unwrap();
             steps.push(step);
             assert!(steps.len() < 10, "{steps:?}");
         }
@@ -160,7 +160,7 @@
 )]
 fn spare_not_ready(spare: Peer) {
     let members = group(&[(1, 1), (2, 2), (3, 3)]);
-    let members = members.changed(&Change::Add(member(13, 4))).unwrap();
+    let members = members.with_change(&Change::Add(member(13, 4))).unwrap();
     let mut case = Case::of(members, vec![], vec![3]);
     case.peers.insert(13, spare);
     assert_eq!(case.step(), None);
@@ -172,7 +172,7 @@
 #[test]
 fn one_stops_one_silent() {
     let members = group(&[(1, 1), (2, 2), (3, 3)]);
-    let members = members.changed(&Change::Add(member(14, 4))).unwrap();
+    let members = members.with_change(&Change::Add(member(14, 4))).unwrap();
     let mut case = Case::of(members, vec![], vec![3]);
     let leaving = Peer {
         leaving: true,
@@ -190,7 +190,7 @@
 #[test]
 fn unheard_voter() {
     let members = group(&[(1, 1), (2, 2), (3, 3)]);
-    let members = members.changed(&Change::Add(member(14, 4))).unwrap();
+    let members = members.with_change(&Change::Add(member(14, 4))).unwrap();
     let sight = Sight {
         own: Id(1),
         members: &members,
@@ -214,7 +214,7 @@
 #[test]
 fn lost_learner() {
     let members = group(&[(1, 1), (2, 2), (3, 3)]);
-    let members = members.changed(&Change::Add(member(13, 4))).unwrap();
+    let members = members.with_change(&Change::Add(member(13, 4))).unwrap();
     let mut case = Case::of(members, vec![], vec![3, 13]);
     assert_eq!(case.settle(), [Change::Remove(Id(13))]);
 }
@@ -223,7 +223,7 @@
 #[test]
 fn wiped_learner() {
     let members = group(&[(1, 1), (2, 2), (3, 3)]);
-    let members = members.changed(&Change::Add(member(13, 3))).unwrap();
+    let members = members.with_change(&Change::Add(member(13, 3))).unwrap();
     let mut case = Case::of(members, vec![member(23, 3)], vec![3, 13]);
     case.settle();
     assert_eq!(case.voters(), [1, 2, 23]);
@@ -273,7 +273,7 @@
 #[test]
 fn slow_disk() {
     let members = group(&[(1, 1), (2, 2), (3, 3)]);
-    let members = members.changed(&Change::Add(member(13, 4))).unwrap();
+    let members = members.with_change(&Change::Add(member(13, 4))).unwrap();
     let step = |span| {
         let slow = Peer {
             advanced: Some(NOW - span),
@@ -302,7 +302,7 @@
 fn new_leader() {
     let four = group(&[(1, 1), (2, 2), (3, 3), (4, 4)]);
     let three = group(&[(1, 1), (2, 2), (3, 3)]);
-    let spare = three.changed(&Change::Add(member(13, 4))).unwrap();
+    let spare = three.with_change(&Change::Add(member(13, 4))).unwrap();
     let step = |members: &Members, span: Duration| {
         let sight = Sight {
             own: Id(1),
@@ -368,8 +368,8 @@
 /// first. The third domain is that of the voter that was removed.
 fn half_way() -> Members {
     let members = group(&[(1, 1), (2, 2), (3, 3)]);
-    let members = members.changed(&Change::Add(member(11, 4))).unwrap();
-    members.changed(&Change::Remove(Id(3))).unwrap()
+    let members = members.with_change(&Change::Add(member(11, 4))).unwrap();
+    members.with_change(&Change::Remove(Id(3))).unwrap()
 }
 
 /// Guards against an exchange that stops half-way: the voter that was removed asks to join before
@@ -392,7 +392,7 @@
 /// which is gone makes for a third failure domain.
 #[test]
 fn dead_learner_half_way() {
-    let members = half_way().changed(&Change::Add(member(3, 3))).unwrap();
+    let members = half_way().with_change(&Change::Add(member(3, 3))).unwrap();
     let mut case = Case::of(members, vec![], vec![]);
     case.peers.insert(3, silent_for(PATIENCE));
     case.settle();
--- a/almondlock-control/tests/slow_voters.rs
+++ b/almondlock-control/tests/slow_voters.rs
@@ -55,12 +55,12 @@
         now,
     };
     let step = sight.step(|id| Peer {
-        heard: machine.heard(id),
-        advanced: machine.advanced(id),
+        heard: machine.last_heard(id),
+        advanced: machine.last_advanced(id),
         caught_up: machine.is_caught_up(id),
         leaving: false,
     });
-    step.filter(|_| machine.has_accepted_members())
+    step.filter(|_| machine.has_committed_members())
 }
 
 /// The cluster's step, with proposals and repairs.
--- a/almondlock-quorum/src/machine/ballot.rs
+++ b/almondlock-quorum/src/machine/ballot.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ballot {
     /// Whether this is a pre-vote, which only asks whether the votes would be granted.
-    pub pre: bool,
+    pub is_pre_vote: bool,
     /// The term that the votes are for.
     pub term: Term,
     /// The number of votes needed to win.
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denial {
     /// The candidate.
-    pub to: Id,
+    pub candidate: Id,
     /// Whether the candidate asked for a pre-vote.
-    pub pre: bool,
+    pub is_pre_vote: bool,
     /// The term that the vote was for.
     pub term: Term,
     /// The candidate's last entry.
@@ -83,13 +83,13 @@
     /// Returns the current ballot, if this replica stands for election or asks for pre-votes.
     pub fn ballot(&self) -> Option<Ballot> {
         let (pre, term) = match self.role {
-            Role::PreCandidate => (true, self.hard.term.next()),
-            Role::Candidate => (false, self.hard.term),
+            Role::PreCandidate => (true, self.hard_state.term.next()),
+            Role::Candidate => (false, self.hard_state.term),
             Role::Follower | Role::Leader => return None,
         };
         let members = self.log.members();
         let mut ballot = Ballot {
-            pre,
+            is_pre_vote: pre,
             term,
             quorum: members.quorum(),
             granted: self.votes.clone(),
@@ -134,8 +134,8 @@
             return;
         };
         let asked = match self.role {
-            Role::PreCandidate => reply.pre,
-            Role::Candidate => !reply.pre && message.term >= self.hard.term,
+            Role::PreCandidate => reply.is_pre_vote,
+            Role::Candidate => !reply.is_pre_vote && message.term >= self.hard_state.term,
             Role::Follower | Role::Leader => false,
         };
         if asked && !reply.granted && self.log.members().is_voter(from) {
@@ -151,8 +151,8 @@
         reason: Reason,
     ) {
         let denial = Denial {
-            to,
-            pre: request.pre,
+            candidate: to,
+            is_pre_vote: request.is_pre_vote,
             term,
             last: Position {
                 term: request.last_term,
--- a/almondlock-quorum/src/machine/change.rs
+++ b/almondlock-quorum/src/machine/change.rs
@@ -18,12 +18,12 @@
 impl Machine {
     /// Appends a change of the members to the log, if this replica leads and has recently heard a
     /// majority of the members after the change.
-    pub fn change(&mut self, now: Mono, change: &Change) -> Result<Position, Error> {
+    pub fn propose_change(&mut self, now: Mono, change: &Change) -> Result<Position, Error> {
         self.check_writer()?;
         if self.log.members_index() > self.commit {
             return Err(Error::busy("another change of the members is under way"));
         }
-        if self.log.term(self.commit) != Some(self.hard.term) {
+        if self.log.term(self.commit) != Some(self.hard_state.term) {
             return Err(Error::busy("the new leader has not committed an entry yet"));
         }
         if let Change::Promote(id) = change
@@ -31,7 +31,7 @@
         {
             return Err(Error::busy("the learner has not caught up yet"));
         }
-        let members = self.log.members().changed(change)?;
+        let members = self.log.members().with_change(change)?;
         // The change is in force once appended. If it can't be committed, the group accepts nothing
         // more, even where a majority of the members before the change is available.
         if !self.has_recent_quorum(now, &members) {
--- a/almondlock-quorum/src/machine/election.rs
+++ b/almondlock-quorum/src/machine/election.rs
@@ -74,9 +74,9 @@
 
     /// Becomes a follower in this term, and of this leader if one is given.
     pub(super) fn become_follower(&mut self, now: Mono, term: Term, leader: Option<Id>) {
-        if term > self.hard.term {
-            self.hard.term = term;
-            self.hard.vote = None;
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.vote = None;
             self.leader_heard = None;
             self.leader_commit = None;
             self.output.mark_hard_state_changed();
@@ -99,7 +99,7 @@
     /// Records that the leader of this term was heard.
     pub(super) fn hear_leader(&mut self, now: Mono, leader: Id) {
         if self.role != Role::Follower || self.leader != Some(leader) {
-            self.become_follower(now, self.hard.term, Some(leader));
+            self.become_follower(now, self.hard_state.term, Some(leader));
             self.answered_at = now;
         }
         self.leader_heard = Some(now);
@@ -128,8 +128,8 @@
         self.role = Role::Candidate;
         self.leader = None;
         self.votes.clear();
-        self.hard.term = self.hard.term.next();
-        self.hard.vote = Some(self.id);
+        self.hard_state.term = self.hard_state.term.next();
+        self.hard_state.vote = Some(self.id);
         self.leader_heard = None;
         // The replica's own vote also counts only once it is on disk. If a crash lost
         // it, the replica could vote for another candidate in the same term.
@@ -139,7 +139,7 @@
 
     fn request_votes(&mut self, pre: bool) {
         let body = Body::VoteRequest(VoteRequest {
-            pre,
+            is_pre_vote: pre,
             last_index: self.log.last(),
             last_term: self.log.last_term(),
         });
@@ -147,7 +147,7 @@
         for to in others {
             if pre {
                 let message = Message {
-                    term: self.hard.term.next(),
+                    term: self.hard_state.term.next(),
                     body: body.clone(),
                 };
                 self.output.send(to, message);
@@ -210,9 +210,9 @@
     ) {
         let complete =
             (request.last_term, request.last_index) >= (self.log.last_term(), self.log.last());
-        if request.pre {
+        if request.is_pre_vote {
             let hears_leader = self.hears_leader(now);
-            let granted = complete && term > self.hard.term && !hears_leader;
+            let granted = complete && term > self.hard_state.term && !hears_leader;
             if !granted {
                 let reason = match (hears_leader, complete) {
                     (true, _) => Reason::LeaderHeard,
@@ -221,32 +221,35 @@
                 };
                 self.record_denial(from, term, &request, reason);
             }
-            let body = Body::VoteReply(VoteReply { pre: true, granted });
-            let term = if granted { term } else { self.hard.term };
+            let body = Body::VoteReply(VoteReply {
+                is_pre_vote: true,
+                granted,
+            });
+            let term = if granted { term } else { self.hard_state.term };
             self.output.send(from, Message { term, body });
             return;
         }
-        let free = match self.hard.vote {
+        let free = match self.hard_state.vote {
             None => self.leader.is_none(),
             Some(vote) => vote == from,
         };
         let granted = free && complete;
         if !granted {
-            let reason = match (free, self.hard.vote) {
+            let reason = match (free, self.hard_state.vote) {
                 (true, _) => Reason::LogBehind,
                 (false, None) => Reason::LeaderHeard,
                 (false, Some(_)) => Reason::VoteGiven,
             };
             self.record_denial(from, term, &request, reason);
         }
-        if granted && self.hard.vote.is_none() {
+        if granted && self.hard_state.vote.is_none() {
             self.become_follower(now, term, None);
-            self.hard.vote = Some(from);
+            self.hard_state.vote = Some(from);
             self.output.mark_hard_state_changed();
             self.reset_election_timer(now);
         }
         let reply = VoteReply {
-            pre: false,
+            is_pre_vote: false,
             granted,
         };
         self.send_synced(from, Body::VoteReply(reply));
@@ -257,7 +260,7 @@
     /// what its predecessor committed, so its announcements don't count.
     pub fn is_current(&self, now: Mono) -> bool {
         let said = self.leader_commit.filter(|said| *said <= self.commit);
-        let own = said.is_some_and(|said| self.log.term(said) == Some(self.hard.term));
+        let own = said.is_some_and(|said| self.log.term(said) == Some(self.hard_state.term));
         own && !self.is_leader() && self.hears_leader(now)
     }
 
@@ -270,8 +273,8 @@
 
     pub(super) fn on_vote_reply(&mut self, now: Mono, from: Id, term: Term, reply: VoteReply) {
         let wanted = match self.role {
-            Role::PreCandidate => reply.pre && term == self.hard.term.next(),
-            Role::Candidate => !reply.pre && term == self.hard.term,
+            Role::PreCandidate => reply.is_pre_vote && term == self.hard_state.term.next(),
+            Role::Candidate => !reply.is_pre_vote && term == self.hard_state.term,
             Role::Follower | Role::Leader => false,
         };
         if wanted && reply.granted {
@@ -307,9 +310,9 @@
             }
             Body::VoteRequest(request) => {
                 self.record_denial(from, term, request, Reason::OldTerm);
-                let pre = request.pre;
+                let pre = request.is_pre_vote;
                 let reply = VoteReply {
-                    pre,
+                    is_pre_vote: pre,
                     granted: false,
                 };
                 self.send_synced(from, Body::VoteReply(reply));
@@ -323,7 +326,7 @@
         if now.since(self.elected_at) >= self.config.election_timeout
             && !self.has_recent_quorum(now, self.log.members())
         {
-            self.become_follower(now, self.hard.term, None);
+            self.become_follower(now, self.hard_state.term, None);
         }
     }
 
@@ -377,6 +380,6 @@
         if let Some(to) = self.best_voter(now) {
             self.send(to, Body::TimeoutNow);
         }
-        self.become_follower(now, self.hard.term, None);
+        self.become_follower(now, self.hard_state.term, None);
     }
 }
--- a/almondlock-quorum/src/machine/mod.rs
+++ b/almondlock-quorum/src/machine/mod.rs
@@ -72,7 +72,7 @@
 pub struct Machine {
     config: Config,
     id: Id,
-    hard: HardState,
+    hard_state: HardState,
     log: Log,
     role: Role,
     leader: Option<Id>,
@@ -135,7 +135,7 @@
             durable: log.last(),
             config,
             id,
-            hard: loaded.hard,
+            hard_state: loaded.hard_state,
             log,
             role: Role::Follower,
             leader: None,
@@ -167,10 +167,10 @@
     /// Handles a message. The caller guarantees that it comes from the replica `from`.
     pub fn receive(&mut self, now: Mono, from: Id, message: Message) {
         self.record_refusal(from, &message);
-        if message.term > self.hard.term && !is_pre_vote(&message.body) {
+        if message.term > self.hard_state.term && !is_pre_vote(&message.body) {
             self.become_follower(now, message.term, None);
         }
-        if message.term < self.hard.term {
+        if message.term < self.hard_state.term {
             self.reply_to_stale(from, message.term, &message.body);
             return;
         }
@@ -256,8 +256,8 @@
             .map_while(|index| self.log.get(Index(index)).cloned())
             .collect();
         self.delivered = self.commit;
-        let (hard, log) = (self.hard, &self.log);
-        self.output.take(hard, log, committed)
+        let (hard_state, log) = (self.hard_state, &self.log);
+        self.output.take(hard_state, log, committed)
     }
 
     /// Whether this replica believes that it leads.
@@ -287,7 +287,7 @@
 
     /// Returns the newest term that the replica has seen.
     pub fn term(&self) -> Term {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// Returns the leader of the current term, if known.
@@ -296,12 +296,12 @@
     }
 
     /// Returns the index of the last entry known to be committed.
-    pub fn commit(&self) -> Index {
+    pub fn commit_index(&self) -> Index {
         self.commit
     }
 
     /// Returns the index of the last entry of the log, committed or not.
-    pub fn last(&self) -> Index {
+    pub fn last_index(&self) -> Index {
         self.log.last()
     }
 
@@ -324,7 +324,7 @@
     }
 
     /// Whether the members in force at this replica are known to be committed.
-    pub fn has_accepted_members(&self) -> bool {
+    pub fn has_committed_members(&self) -> bool {
         self.log.members_index() <= self.commit
     }
 
@@ -340,13 +340,13 @@
     }
 
     /// Returns the time at which the leader last heard another replica in this term.
-    pub fn heard(&self, id: Id) -> Option<Mono> {
+    pub fn last_heard(&self, id: Id) -> Option<Mono> {
         self.peers.get(&id).and_then(|peer| peer.heard)
     }
 
     /// Returns the time at which the leader last heard another replica that held all entries or
     /// more than before. A replica whose disk hangs still answers, but doesn't advance.
-    pub fn advanced(&self, id: Id) -> Option<Mono> {
+    pub fn last_advanced(&self, id: Id) -> Option<Mono> {
         self.peers.get(&id).and_then(|peer| peer.advanced)
     }
 
@@ -374,7 +374,7 @@
 
     fn append_as_leader(&mut self, payload: Payload) -> Position {
         let position = Position {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index: self.log.last().next(),
         };
         self.append_entry(Entry {
@@ -392,21 +392,21 @@
     }
 
     fn send(&mut self, to: Id, body: Body) {
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.output.send(to, Message { term, body });
     }
 
     /// Sends a message once all writes so far are synced.
     fn send_synced(&mut self, to: Id, body: Body) {
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.output.hold(to, Message { term, body });
     }
 }
 
 fn is_pre_vote(body: &Body) -> bool {
     match body {
-        Body::VoteRequest(request) => request.pre,
-        Body::VoteReply(reply) => reply.pre && reply.granted,
+        Body::VoteRequest(request) => request.is_pre_vote,
+        Body::VoteReply(reply) => reply.is_pre_vote && reply.granted,
         _ => false,
     }
 }
--- a/almondlock-quorum/src/machine/output.rs
+++ b/almondlock-quorum/src/machine/output.rs
@@ -39,11 +39,11 @@
     // The sequence number of the newest write taken.
     sequence: u64,
     // All writes up to this sequence number are synced.
-    done: u64,
+    synced_sequence: u64,
     // Whether there is anything to put into the next write.
     dirty: bool,
     // The first index of the entries for the next write.
-    first: Option<Index>,
+    first_index: Option<Index>,
     reset: bool,
     snapshot: Option<Arc<Snapshot>>,
     // The position of the last entry, or else of the snapshot, of each write that was taken and
@@ -55,12 +55,12 @@
     restore: Option<Arc<Snapshot>>,
     grants: Vec<Grant>,
     // The sequence number of the write that holds the current term and vote.
-    hard: u64,
+    hard_state_sequence: u64,
 }
 
 impl Pending {
     /// Returns the sequence number of the write that holds all changes so far.
-    fn next(&self) -> u64 {
+    fn next_sequence(&self) -> u64 {
         if self.dirty {
             self.sequence + 1
         } else {
@@ -71,18 +71,18 @@
     /// Records that the term or the vote changed.
     pub(super) fn mark_hard_state_changed(&mut self) {
         self.dirty = true;
-        self.hard = self.next();
+        self.hard_state_sequence = self.next_sequence();
     }
 
     /// Whether the current term and vote are synced.
     pub(super) fn is_hard_state_synced(&self) -> bool {
-        !self.is_held(self.hard)
+        !self.is_held(self.hard_state_sequence)
     }
 
     /// Records that entries from `first` on are new.
     pub(super) fn mark_entries_written(&mut self, first: Index) {
         self.dirty = true;
-        self.first = Some(self.first.map_or(first, |old| old.min(first)));
+        self.first_index = Some(self.first_index.map_or(first, |old| old.min(first)));
     }
 
     pub(super) fn save(&mut self, snapshot: Arc<Snapshot>) {
@@ -96,7 +96,7 @@
         self.save(Arc::clone(&snapshot));
         if !kept {
             self.reset = true;
-            self.first = None;
+            self.first_index = None;
             self.in_flight.clear();
         }
         self.restore = Some(snapshot);
@@ -111,7 +111,7 @@
     }
 
     pub(super) fn hold(&mut self, to: Id, message: Message) {
-        let sequence = self.next();
+        let sequence = self.next_sequence();
         if self.is_held(sequence) {
             self.held.push_back((sequence, Envelope { to, message }));
         } else {
@@ -120,26 +120,37 @@
     }
 
     fn is_held(&self, sequence: u64) -> bool {
-        sequence > self.done
+        sequence > self.synced_sequence
     }
 
     /// Releases the messages that waited for writes up to `sequence`. Returns the position of the
     /// last entry that is newly synced.
     pub(super) fn synced(&mut self, sequence: u64) -> Option<Position> {
-        self.done = self.done.max(sequence.min(self.sequence));
-        while let Some((_, envelope)) = self.held.pop_front_if(|(at, _)| *at <= self.done) {
+        self.synced_sequence = self.synced_sequence.max(sequence.min(self.sequence));
+        while let Some((_, envelope)) = self
+            .held
+            .pop_front_if(|(at, _)| *at <= self.synced_sequence)
+        {
             self.messages.push(envelope);
         }
         let mut last = None;
-        while let Some((_, position)) = self.in_flight.pop_front_if(|(at, _)| *at <= self.done) {
+        while let Some((_, position)) = self
+            .in_flight
+            .pop_front_if(|(at, _)| *at <= self.synced_sequence)
+        {
             last = Some(position);
         }
         last
     }
 
-    pub(super) fn take(&mut self, hard: HardState, log: &Log, committed: Vec<Entry>) -> Output {
+    pub(super) fn take(
+        &mut self,
+        hard_state: HardState,
+        log: &Log,
+        committed: Vec<Entry>,
+    ) -> Output {
         Output {
-            write: self.take_write(hard, log),
+            write: self.take_write(hard_state, log),
             messages: std::mem::take(&mut self.messages),
             restore: self.restore.take(),
             committed,
@@ -147,14 +158,17 @@
         }
     }
 
-    fn take_write(&mut self, hard: HardState, log: &Log) -> Option<Write> {
+    fn take_write(&mut self, hard_state: HardState, log: &Log) -> Option<Write> {
         if !std::mem::take(&mut self.dirty) {
             return None;
         }
         self.sequence += 1;
         // What a snapshot took over needs no writing.
         let least = log.base().next();
-        let entries = self.first.take().map(|first| log.from(first.max(least)));
+        let entries = self
+            .first_index
+            .take()
+            .map(|first| log.from(first.max(least)));
         let entries = entries.unwrap_or_default();
         let snapshot = self.snapshot.take();
         let position = |index, term| Position { term, index };
@@ -165,7 +179,7 @@
         }
         Some(Write {
             sequence: self.sequence,
-            hard,
+            hard_state,
             snapshot,
             reset: std::mem::take(&mut self.reset),
             entries,
--- a/almondlock-quorum/src/machine/read.rs
+++ b/almondlock-quorum/src/machine/read.rs
@@ -51,7 +51,7 @@
 
 impl Machine {
     /// Requests a read. The token is returned in a [`Grant`].
-    pub fn read(&mut self, now: Mono, token: u64) -> Result<(), Error> {
+    pub fn request_read(&mut self, now: Mono, token: u64) -> Result<(), Error> {
         self.check_leader()?;
         self.reads.waiting.push(token);
         self.begin_read_round(now);
@@ -61,7 +61,7 @@
     /// Begins a round for the waiting reads unless one is running. Until an entry of its own term
     /// is committed, the leader doesn't know which earlier entries are, so the reads wait.
     fn begin_read_round(&mut self, now: Mono) {
-        let current = self.log.term(self.commit) == Some(self.hard.term);
+        let current = self.log.term(self.commit) == Some(self.hard_state.term);
         if !self.reads.running.is_empty() || self.reads.waiting.is_empty() || !current {
             return;
         }
--- a/almondlock-quorum/src/machine/replication.rs
+++ b/almondlock-quorum/src/machine/replication.rs
@@ -195,7 +195,7 @@
         synced.sort_unstable();
         let place = synced.len().checked_sub(members.quorum());
         let index = place.map_or(Index::ZERO, |place| synced[place]);
-        if index > self.commit && self.log.term(index) == Some(self.hard.term) {
+        if index > self.commit && self.log.term(index) == Some(self.hard_state.term) {
             self.commit = index;
             self.on_committed(now);
         }
--- a/almondlock-quorum/src/member.rs
+++ b/almondlock-quorum/src/member.rs
@@ -125,7 +125,7 @@
 
     /// Returns the members after a change, or an error if the change doesn't fit the members or
     /// concentrates the voters in too few failure domains.
-    pub fn changed(&self, change: &Change) -> Result<Members, Error> {
+    pub fn with_change(&self, change: &Change) -> Result<Members, Error> {
         let mut members = self.clone();
         match change {
             Change::Add(member) => members.add(member)?,
--- a/almondlock-quorum/src/message.rs
+++ b/almondlock-quorum/src/message.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteRequest {
     /// Whether this is a pre-vote, which only asks whether the vote would be granted.
-    pub pre: bool,
+    pub is_pre_vote: bool,
     /// The index of the candidate's last entry.
     pub last_index: Index,
     /// The term of the candidate's last entry.
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteReply {
     /// Whether the request was a pre-vote.
-    pub pre: bool,
+    pub is_pre_vote: bool,
     /// Whether the vote is granted.
     pub granted: bool,
 }
--- a/almondlock-quorum/src/storage/identity.rs
+++ b/almondlock-quorum/src/storage/identity.rs
@@ -87,7 +87,7 @@
     if header.group != group || header.file != FILE_NAME || end != bytes.len() {
         return Err(Error::damaged(
             FILE_NAME,
-            "it belongs to another group, or is not an identity file",
+            "it belongs to another group or file, or has bytes after its record",
         ));
     }
     Ok(Identity {
--- a/almondlock-quorum/src/storage/mod.rs
+++ b/almondlock-quorum/src/storage/mod.rs
@@ -36,7 +36,7 @@
     /// The sequence number, which rises by one with each write of a machine.
     pub sequence: u64,
     /// The current term and vote.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// A snapshot to store before the rest.
     pub snapshot: Option<Arc<Snapshot>>,
     /// Whether to drop all entries on disk, so that the log starts after the snapshot.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Loaded {
     /// The last term and vote.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// The newest snapshot, if any.
     pub snapshot: Option<Arc<Snapshot>>,
     /// Consecutive entries. If there are any, they reach at least to the snapshot's last entry or
@@ -61,7 +61,7 @@
     /// Returns the initial state of a group with these members and an empty log.
     pub fn initial(members: Members) -> Loaded {
         Loaded {
-            hard: HardState::default(),
+            hard_state: HardState::default(),
             snapshot: Some(Arc::new(initial_snapshot(members))),
             entries: Vec::new(),
         }
@@ -69,12 +69,14 @@
 
     /// Whether there is nothing on disk, so that this replica never acknowledged anything.
     pub fn is_empty(&self) -> bool {
-        self.snapshot.is_none() && self.entries.is_empty() && self.hard == HardState::default()
+        self.snapshot.is_none()
+            && self.entries.is_empty()
+            && self.hard_state == HardState::default()
     }
 
     /// Applies a write, with the same result as writing it to disk and loading it.
     pub fn apply(&mut self, write: &Write) {
-        self.hard = write.hard;
+        self.hard_state = write.hard_state;
         if let Some(snapshot) = &write.snapshot {
             self.snapshot = Some(Arc::clone(snapshot));
         }
--- a/almondlock-quorum/src/storage/segment.rs
+++ b/almondlock-quorum/src/storage/segment.rs
@@ -91,7 +91,7 @@
             "its header names another file, group or replica",
         )),
         Record::HardState(hard) => {
-            loaded.hard = hard;
+            loaded.hard_state = hard;
             Ok(())
         }
         Record::Reset(_) => {
@@ -107,7 +107,7 @@
             segment.highest = segment.highest.max(entry.index);
             loaded.apply(&Write {
                 sequence: 0,
-                hard: loaded.hard,
+                hard_state: loaded.hard_state,
                 snapshot: None,
                 reset: false,
                 entries: vec![entry],
--- a/almondlock-quorum/src/storage/store.rs
+++ b/almondlock-quorum/src/storage/store.rs
@@ -35,7 +35,7 @@
     highest: Index,
     // The numbers of closed segments, oldest first, and the highest index in each.
     closed: VecDeque<(u64, Index)>,
-    hard: HardState,
+    hard_state: HardState,
     // The index of the newest snapshot on disk.
     snapshot: Option<Index>,
     // Records not yet written to the file.
@@ -73,7 +73,7 @@
             size: 0,
             highest: Index::ZERO,
             closed,
-            hard: loaded.hard,
+            hard_state: loaded.hard_state,
             snapshot: newest,
             buffer: Vec::new(),
             failed: false,
@@ -90,7 +90,7 @@
 
     /// Stores the initial members of a group in a folder that holds no state yet.
     pub fn initialize(&mut self, members: Members) -> Result<Loaded, Error> {
-        let empty = self.snapshot.is_none() && self.hard == HardState::default();
+        let empty = self.snapshot.is_none() && self.hard_state == HardState::default();
         if !empty || self.highest != Index::ZERO || self.failed {
             return Err(Error::refused("the data folder already holds state"));
         }
@@ -110,9 +110,9 @@
             let index = write.snapshot.as_ref().map_or(Index::ZERO, |s| s.index);
             Record::Reset(index).write(&mut self.buffer);
         }
-        if write.hard != self.hard {
-            self.hard = write.hard;
-            Record::HardState(write.hard).write(&mut self.buffer);
+        if write.hard_state != self.hard_state {
+            self.hard_state = write.hard_state;
+            Record::HardState(write.hard_state).write(&mut self.buffer);
         }
         for entry in &write.entries {
             self.highest = self.highest.max(entry.index);
@@ -160,7 +160,7 @@
     fn write_header(&mut self) {
         let header = segment::header(self.number, self.group, self.id);
         Record::Header(header).write(&mut self.buffer);
-        Record::HardState(self.hard).write(&mut self.buffer);
+        Record::HardState(self.hard_state).write(&mut self.buffer);
     }
 
     fn start_segment(&mut self) -> Result<(), Error> {
--- a/almondlock-quorum/tests/cluster/check.rs
+++ b/almondlock-quorum/tests/cluster/check.rs
@@ -86,7 +86,7 @@
 
 fn pair(a: &Machine, b: &Machine) {
     let mut same = false;
-    let mut index = a.last().min(b.last());
+    let mut index = a.last_index().min(b.last_index());
     let mut left = 20;
     while index > Index::ZERO && left > 0 {
         let (Some(x), Some(y)) = (a.term_at(index), b.term_at(index)) else {
--- a/almondlock-quorum/tests/cluster/mod.rs
+++ b/almondlock-quorum/tests/cluster/mod.rs
@@ -255,7 +255,7 @@
         self.tokens.insert(token, self.history.newest());
         let now = self.mono();
         let machine = self.nodes[n].machine.as_mut();
-        let asked = machine.is_some_and(|m| m.read(now, token).is_ok());
+        let asked = machine.is_some_and(|m| m.request_read(now, token).is_ok());
         self.settle(n);
         asked
     }
@@ -263,7 +263,7 @@
     pub fn change(&mut self, n: usize, change: &Change) -> bool {
         let now = self.mono();
         let machine = self.nodes[n].machine.as_mut();
-        let done = machine.is_some_and(|m| m.change(now, change).is_ok());
+        let done = machine.is_some_and(|m| m.propose_change(now, change).is_ok());
         self.settle(n);
         done
     }
--- a/almondlock-quorum/tests/current_follower.rs
+++ b/almondlock-quorum/tests/current_follower.rs
@@ -41,10 +41,10 @@
     let config = Config::builder().build().unwrap();
     let mut machine = Machine::new(config, Id(1), founding, Mono::ZERO);
     append(&mut machine, 3, (0, 0), 4, &[1, 1]);
-    assert_eq!(machine.commit(), Index(2));
+    assert_eq!(machine.commit_index(), Index(2));
     assert!(!machine.is_current(NOW), "it lacks two entries");
     append(&mut machine, 3, (2, 1), 4, &[2, 3]);
-    assert_eq!(machine.commit(), Index(4));
+    assert_eq!(machine.commit_index(), Index(4));
     assert!(machine.is_current(NOW));
     assert!(!machine.is_current(Mono::from_millis(2_000)), "silence");
     append(&mut machine, 5, (4, 3), 4, &[5]);
@@ -56,7 +56,7 @@
     assert!(machine.is_current(NOW));
     append(&mut machine, 5, (5, 5), 5, &[5, 5]);
     append(&mut machine, 5, (5, 5), 7, &[]);
-    assert_eq!(machine.commit(), Index(5));
+    assert_eq!(machine.commit_index(), Index(5));
     assert!(
         !machine.is_current(NOW),
         "two entries are here, not yet applied"
--- a/almondlock-quorum/tests/data_folder.rs
+++ b/almondlock-quorum/tests/data_folder.rs
@@ -98,7 +98,7 @@
         term: Term(4),
         vote: Some(DISK),
     };
-    assert_eq!(loaded.hard, hard);
+    assert_eq!(loaded.hard_state, hard);
     assert_eq!(indexes(&loaded), [1, 2, 3, 4]);
     assert_eq!(loaded.entries[3].term, Term(4));
 }
--- a/almondlock-quorum/tests/faults/mod.rs
+++ b/almondlock-quorum/tests/faults/mod.rs
@@ -108,7 +108,7 @@
 pub fn write(sequence: u64, term: u64, indexes: std::ops::RangeInclusive<u64>) -> Write {
     Write {
         sequence,
-        hard: HardState {
+        hard_state: HardState {
             term: Term(term),
             vote: Some(DISK),
         },
--- a/almondlock-quorum/tests/held_reply.rs
+++ b/almondlock-quorum/tests/held_reply.rs
@@ -18,7 +18,7 @@
 
 fn machine(id: u64, size: u64, entries: Vec<Entry>) -> Machine {
     let mut loaded = Loaded::initial(Members::of_voters((1..=size).map(Member::sample)));
-    loaded.hard = HardState {
+    loaded.hard_state = HardState {
         term: Term(3),
         vote: None,
     };
@@ -45,7 +45,10 @@
 }
 
 fn vote_reply(pre: bool) -> Body {
-    Body::VoteReply(VoteReply { pre, granted: true })
+    Body::VoteReply(VoteReply {
+        is_pre_vote: pre,
+        granted: true,
+    })
 }
 
 /// Makes replica 1 the leader of term 4.
@@ -66,7 +69,7 @@
 fn vote_waits() {
     let mut machine = machine(1, 3, Vec::new());
     let request = VoteRequest {
-        pre: false,
+        is_pre_vote: false,
         last_index: Index(9),
         last_term: Term(3),
     };
@@ -74,7 +77,7 @@
     let output = machine.take(NOW);
     assert!(output.messages.is_empty());
     let write = output.write.unwrap();
-    assert_eq!(write.hard.vote, Some(Id(2)));
+    assert_eq!(write.hard_state.vote, Some(Id(2)));
     machine.synced(NOW, write.sequence);
     assert_eq!(
         machine.take(NOW).messages[0].message.body,
@@ -148,9 +151,9 @@
         round: 0,
     };
     machine.receive(NOW, Id(2), message(4, Body::AppendReply(reply)));
-    assert_eq!(machine.commit(), Index::ZERO);
+    assert_eq!(machine.commit_index(), Index::ZERO);
     machine.synced(NOW, write.sequence);
-    assert_eq!(machine.commit(), Index(1));
+    assert_eq!(machine.commit_index(), Index(1));
 }
 
 /// Guards against an entry of an earlier term being committed because a majority holds it. A
@@ -171,6 +174,6 @@
             };
             machine.receive(NOW, Id(id), message(4, Body::AppendReply(reply)));
         }
-        assert_eq!(machine.commit(), Index(commit));
+        assert_eq!(machine.commit_index(), Index(commit));
     }
 }
--- a/almondlock-quorum/tests/lost_tail.rs
+++ b/almondlock-quorum/tests/lost_tail.rs
@@ -112,7 +112,7 @@
 
 fn machine(id: u64, entries: Vec<Entry>, batch: usize) -> Machine {
     let mut loaded = Loaded::initial(Members::of_voters((1..=3).map(Member::sample)));
-    loaded.hard = HardState {
+    loaded.hard_state = HardState {
         term: Term(3),
         vote: None,
     };
@@ -147,7 +147,10 @@
 fn lead(machine: &mut Machine) -> u64 {
     machine.tick(NOW);
     for pre in [true, false] {
-        let vote = Body::VoteReply(VoteReply { pre, granted: true });
+        let vote = Body::VoteReply(VoteReply {
+            is_pre_vote: pre,
+            granted: true,
+        });
         machine.receive(NOW, Id(2), message(vote.clone()));
         machine.receive(NOW, Id(3), message(vote));
         if let Some(write) = machine.take(NOW).write {
@@ -188,10 +191,10 @@
     machine.receive(NOW, Id(2), reply(true, 2, 0));
     machine.receive(NOW, Id(2), reply(true, 2, asked));
     machine.synced(NOW, own);
-    assert_eq!(machine.commit(), Index(1));
+    assert_eq!(machine.commit_index(), Index(1));
     let again = round(&mut machine);
     machine.receive(NOW, Id(2), reply(true, 2, again));
-    assert_eq!(machine.commit(), Index(2));
+    assert_eq!(machine.commit_index(), Index(2));
 }
 
 /// Delivers all messages between a leader and replica 2 until there are none left, except the
@@ -243,5 +246,5 @@
         });
     }
     assert!(!lose);
-    assert_eq!(follower.term_at(leader.last()), Some(leader.term()));
+    assert_eq!(follower.term_at(leader.last_index()), Some(leader.term()));
 }
--- a/almondlock-quorum/tests/member_changes.rs
+++ b/almondlock-quorum/tests/member_changes.rs
@@ -36,7 +36,7 @@
     promoted_unknown = { &[1, 2, 3], &[], Change::Promote(Id(4)), false },
 )]
 fn voters_spread(voters: &[u64], learners: &[u64], change: Change, allowed: bool) {
-    let result = members(voters, learners).changed(&change);
+    let result = members(voters, learners).with_change(&change);
     assert_eq!(result.is_ok(), allowed, "{result:?}");
 }
 
@@ -62,7 +62,7 @@
     c.until("a leader that has committed nothing", |c| {
         let leads = |n: &cluster::Node| {
             let machine = n.machine.as_ref().unwrap();
-            machine.is_leader() && machine.term_at(machine.commit()) != Some(machine.term())
+            machine.is_leader() && machine.term_at(machine.commit_index()) != Some(machine.term())
         };
         c.nodes.iter().any(leads)
     });
--- a/almondlock-quorum/tests/missing_votes.rs
+++ b/almondlock-quorum/tests/missing_votes.rs
@@ -33,7 +33,7 @@
 
 fn request(pre: bool, term: u64, last: u64) -> Message {
     let request = VoteRequest {
-        pre,
+        is_pre_vote: pre,
         last_index: Index(last),
         last_term: Term(last),
     };
@@ -68,7 +68,7 @@
     for n in [0, 1] {
         let ballot = c.nodes[n].machine.as_ref().unwrap().failed_ballot();
         let ballot = ballot.unwrap();
-        assert!(ballot.pre);
+        assert!(ballot.is_pre_vote);
         assert_eq!(ballot.quorum, 3);
         assert_eq!(ballot.granted, ids(&[1, 2]));
         assert_eq!(ballot.unanswered, ids(&[3, 4]));
@@ -91,7 +91,7 @@
     let now = Mono::from_millis(10_000);
     machine.tick(now);
     let granted = VoteReply {
-        pre: true,
+        is_pre_vote: true,
         granted: true,
     };
     let reply = Message {
@@ -100,7 +100,7 @@
     };
     machine.receive(now, Id(2), reply);
     let ballot = machine.ballot().unwrap();
-    assert!(!ballot.pre);
+    assert!(!ballot.is_pre_vote);
     assert!(ballot.granted.is_empty());
     assert_eq!(ballot.unanswered, ids(&[1, 2, 3]));
 }
@@ -120,7 +120,7 @@
     let now = Mono::from_millis(10_000);
     machine.tick(now);
     let granted = VoteReply {
-        pre: true,
+        is_pre_vote: true,
         granted: true,
     };
     let reply = Message {
@@ -146,7 +146,7 @@
     let now = Mono::from_millis(10_000);
     machine.tick(now);
     let refused = VoteReply {
-        pre: true,
+        is_pre_vote: true,
         granted: false,
     };
     let reply = Message {
@@ -176,7 +176,7 @@
     machine.receive(NOW, Id(3), asked);
     let denials: Vec<_> = machine.take_denials().collect();
     assert_eq!(denials.len(), 1);
-    assert_eq!((denials[0].to, denials[0].reason), (Id(3), reason));
+    assert_eq!((denials[0].candidate, denials[0].reason), (Id(3), reason));
     assert_eq!(
         machine.take_denials().count(),
         0,
@@ -198,6 +198,9 @@
     let term = machine.term().next();
     machine.receive(now, Id(9), request(true, term.0, 0));
     let denial = machine.take_denials().last().unwrap();
-    assert_eq!((denial.to, denial.reason), (Id(9), Reason::LogBehind));
+    assert_eq!(
+        (denial.candidate, denial.reason),
+        (Id(9), Reason::LogBehind)
+    );
     assert!(denial.last.index < index);
 }
--- a/almondlock-quorum/tests/slow_disks.rs
+++ b/almondlock-quorum/tests/slow_disks.rs
@@ -92,7 +92,10 @@
         c.run(100);
     }
     let machine = c.nodes[leader].machine.as_ref().unwrap();
-    let silence = |n: usize| c.mono().since(machine.advanced(c.nodes[n].id).unwrap());
+    let silence = |n: usize| {
+        c.mono()
+            .since(machine.last_advanced(c.nodes[n].id).unwrap())
+    };
     assert!(silence(hung) > Duration::from_secs(3));
     assert!(silence(fine) < Duration::from_millis(300));
 }
