--- a/almondlock-gateway/src/exchange/aggregator.rs
+++ b/almondlock-gateway/src/exchange/aggregator.rs
@@ -141,7 +141,7 @@
             changes: Sum {
                 hosts,
                 is_whole: false,
-                loads: self.changes(&all),
+                loads: self.take_changes(&all),
             },
             ..Round::default()
         };
@@ -168,7 +168,7 @@
             loads: all.iter().map(|(key, load)| (*key, *load)).collect(),
         });
         if self.rounds.is_multiple_of(REPEAT_ROUNDS) {
-            round.introductions = self.introductions(domain);
+            round.introductions = self.build_introductions(domain);
         }
         round
     }
@@ -185,7 +185,7 @@
 
     /// Returns the loads to send in this round: those that differ from the last ones sent,
     /// and those whose turn it is to be repeated.
-    fn changes(&mut self, all: &BTreeMap<Key, Load>) -> Vec<(Key, Load)> {
+    fn take_changes(&mut self, all: &BTreeMap<Key, Load>) -> Vec<(Key, Load)> {
         let gone = self.sent.keys().filter(|key| !all.contains_key(key));
         let gone: Vec<Key> = gone.copied().collect();
         let mut loads = Vec::new();
@@ -204,7 +204,7 @@
         loads
     }
 
-    fn introductions(&self, domain: &Domain) -> Vec<(SocketAddr, Introduction)> {
+    fn build_introductions(&self, domain: &Domain) -> Vec<(SocketAddr, Introduction)> {
         let mut all: Vec<SocketAddr> = self.hosts.keys().copied().collect();
         all.sort_unstable();
         let introductions = all.iter().enumerate().map(|(place, to)| {
--- a/almondlock-gateway/src/exchange/host.rs
+++ b/almondlock-gateway/src/exchange/host.rs
@@ -340,12 +340,12 @@
         | Message::Harmless(_)
         | Message::Shares(_)
         | Message::Observed(_) => {
-            tracing::debug!(%from, "a host's message to relays sent to a host");
+            tracing::debug!(%from, "message for relays received by a host, ignored");
             Ok(())
         }
     });
     if let Err(error) = read {
-        tracing::debug!(%from, %error, "unreadable datagram");
+        tracing::debug!(%from, %error, "datagram can't be decoded");
     }
 }
 
--- a/almondlock-gateway/src/exchange/limiter.rs
+++ b/almondlock-gateway/src/exchange/limiter.rs
@@ -51,17 +51,17 @@
     /// Answers a host's query for a permit. This relay has one of `parts` equal parts of
     /// each limit. Zero means that the number of relays isn't known yet; then no permit is
     /// granted.
-    pub fn request_permit(&mut self, now: Mono, ask: &Query, parts: u32) -> Permit {
-        self.receive(now, &[ask.limit]);
-        let named = self.limits.notice(&ask.limit.key);
-        let rate = Bound::of(named, ask.cold).map(|bound| bound.rate());
+    pub fn request_permit(&mut self, now: Mono, query: &Query, parts: u32) -> Permit {
+        self.receive(now, &[query.limit]);
+        let named = self.limits.notice(&query.limit.key);
+        let rate = Bound::of(named, query.cold).map(|bound| bound.rate());
         let taken = match (rate, parts) {
             (None, _) => Ok(()),
             (Some(_), 0) => Err(UNREADY_RETRY),
-            (Some(rate), parts) => self.issuer.take(now, ask.limit.key, rate, parts),
+            (Some(rate), parts) => self.issuer.take(now, query.limit.key, rate, parts),
         };
         Permit {
-            number: ask.number,
+            number: query.number,
             wait_ms: taken.err().map(millis),
         }
     }
--- a/almondlock-gateway/src/exchange/mod.rs
+++ b/almondlock-gateway/src/exchange/mod.rs
@@ -67,7 +67,7 @@
 pub(crate) async fn send(socket: &UdpSocket, to: SocketAddr, message: &Message) {
     match postcard::to_stdvec(message) {
         Ok(bytes) => send_bytes(socket, to, &bytes).await,
-        Err(error) => tracing::error!(%error, "a datagram can't be written"),
+        Err(error) => tracing::error!(%error, "datagram can't be encoded"),
     }
 }
 
--- a/almondlock-gateway/src/exchange/relay.rs
+++ b/almondlock-gateway/src/exchange/relay.rs
@@ -40,7 +40,7 @@
                 };
                 match postcard::from_bytes(&buffer[..length]) {
                     Ok(message) => receive_message(&socket, &mut state, from, message, relays()).await,
-                    Err(error) => tracing::debug!(%from, %error, "unreadable datagram"),
+                    Err(error) => tracing::debug!(%from, %error, "datagram can't be decoded"),
                 }
             }
             () = sleep(next.since(clock::mono())) => {
@@ -67,8 +67,8 @@
     match message {
         Message::Tell(digest) => state.aggregator.receive_report(now, from, digest),
         Message::Limits(limits) => state.limiter.receive(now, &limits),
-        Message::Ask(ask) => {
-            let permit = state.limiter.request_permit(now, &ask, relays);
+        Message::Ask(query) => {
+            let permit = state.limiter.request_permit(now, &query, relays);
             send(socket, from, &Message::Permit(permit)).await;
         }
         Message::Lost(loss) => state.suspects.record_loss(now, &loss),
@@ -82,7 +82,7 @@
         | Message::Suspects(_)
         | Message::ShareTotals(_)
         | Message::Paces(_) => {
-            tracing::debug!(%from, "a relay's message sent to a relay");
+            tracing::debug!(%from, "message for hosts received by a relay, ignored");
         }
     }
 }
@@ -165,7 +165,7 @@
 /// Sends a sum to hosts, to each with the number of its own digest that the sum includes.
 async fn send_sum(socket: &UdpSocket, sum: &Sum, hosts: &[(SocketAddr, u32)]) {
     let Ok(body) = postcard::to_stdvec(sum) else {
-        tracing::error!("a sum can't be written");
+        tracing::error!("sum of loads can't be encoded");
         return;
     };
     for (to, included) in hosts {
@@ -173,7 +173,7 @@
             included: *included,
         };
         let Ok(mut bytes) = postcard::to_stdvec(&head) else {
-            tracing::error!("the head of a sum can't be written");
+            tracing::error!("head of a sum of loads can't be encoded");
             return;
         };
         bytes.extend_from_slice(&body);
--- a/almondlock-gateway/src/exchange/shares.rs
+++ b/almondlock-gateway/src/exchange/shares.rs
@@ -58,7 +58,7 @@
                 body,
             }),
             Err(error) => {
-                tracing::error!(%error, "counts by organisation can't be written");
+                tracing::error!(%error, "counts by organisation can't be encoded");
                 None
             }
         }
@@ -70,12 +70,12 @@
         T: DeserializeOwned,
     {
         if self.format != FORMAT {
-            tracing::debug!(%from, format = self.format, "counts by organisation of another format");
+            tracing::debug!(%from, format = self.format, "counts by organisation have another format, ignored");
             return None;
         }
         let read = postcard::from_bytes(&self.body);
         read.inspect_err(
-            |error| tracing::debug!(%from, %error, "unreadable counts by organisation"),
+            |error| tracing::debug!(%from, %error, "counts by organisation can't be decoded"),
         )
         .ok()
     }
--- a/almondlock-gateway/src/pace.rs
+++ b/almondlock-gateway/src/pace.rs
@@ -188,7 +188,7 @@
             upstream = %change.key, %service, change = kind, rate = finding.relative_rate,
             slowness = finding.slowness, failures = finding.failure_share,
             observations = finding.observations, source = finding.source.as_str(),
-            age_ms = now.since(finding.newest).as_millis(), "pace judged anew"
+            age_ms = now.since(finding.newest).as_millis(), "upstream ejected or reinstated"
         );
     }
 
--- a/almondlock-gateway/src/reading/mod.rs
+++ b/almondlock-gateway/src/reading/mod.rs
@@ -166,7 +166,7 @@
     {
         let phase = std::mem::replace(&mut self.phase, Phase::Finished);
         match phase {
-            Phase::Finished => Err(Error::new("it was read before")),
+            Phase::Finished => Err(Error::new("the version was already read")),
             Phase::Whole => {
                 self.count.read = self.document.pieces.len();
                 dialect.parse(&self.document.text()).map(Some)
@@ -208,7 +208,7 @@
         mut found: Found,
     ) -> Result<Phase, Error> {
         let Some(section) = Section::ALL.get(place) else {
-            return self.change(found);
+            return self.plan_changes(found);
         };
         let held = self.held.as_deref();
         let old = held.map_or(&[] as &[Piece], |held| held.section(place));
@@ -232,9 +232,9 @@
     }
 
     /// Returns the phase that applies the differences.
-    fn change(&mut self, found: Found) -> Result<Phase, Error> {
+    fn plan_changes(&mut self, found: Found) -> Result<Phase, Error> {
         let Some(outline) = &self.outline else {
-            return Err(Error::new("no outline"));
+            return Err(Error::new("the version has no outline"));
         };
         let (version, limits) = (outline.version, outline.limits);
         let Found { removed, added } = found;
--- a/almondlock-gateway/src/rules/edit.rs
+++ b/almondlock-gateway/src/rules/edit.rs
@@ -99,7 +99,7 @@
         for name in &self.removed {
             match rules.services.get((name.as_str(), "")) {
                 Some(served) if served.target.is_none() && served.routes > 0 => {
-                    let message = format!("a route names {name}, unknown service");
+                    let message = format!("a route names the unknown service {name}");
                     return Err(Error::new(message));
                 }
                 Some(served) if served.target.is_none() => {
@@ -116,7 +116,7 @@
     pub(super) fn add_service(&mut self, name: Service, target: Target) -> Result<(), Error> {
         let held = self.services.get((name.as_str(), ""));
         if held.is_some_and(|held| held.target.is_some()) {
-            return Err(Error::new(format!("service {name} stands twice")));
+            return Err(Error::new(format!("service {name} is defined twice")));
         }
         let routes = held.map_or(0, |held| held.routes);
         self.services.insert(Served {
--- a/almondlock-gateway/src/standing.rs
+++ b/almondlock-gateway/src/standing.rs
@@ -147,7 +147,7 @@
         tracing::info!(
             request = %request.id, organisation = %organisation.name, action,
             resource = excess.resource.as_str(), used = excess.used, share = excess.share,
-            age_ms = finding.age.as_millis(), behind = %self.behind(excess.least_served), suppressed,
+            age_ms = finding.age.as_millis(), behind = %self.name_behind(excess.least_served), suppressed,
             "deprioritised"
         );
     }
@@ -225,7 +225,7 @@
 
     /// Returns the name of the organisation that a request was ranked behind, as far as it
     /// is known.
-    fn behind(&self, organisation: Option<Key>) -> String {
+    fn name_behind(&self, organisation: Option<Key>) -> String {
         let Some(key) = organisation else {
             return OTHERS.to_owned();
         };
