--- a/almondlock-gateway/src/exchange/aggregator.rs
+++ b/almondlock-gateway/src/exchange/aggregator.rs
@@ -49,6 +49,7 @@
 /// Change of the memory in use, in blocks, that is sent at once: that of a short prompt.
 const MEMORY_CHANGE_BLOCKS: u16 = 64;
 
+/// The last report of a host.
 #[derive(Debug)]
 struct Received {
     at: Mono,
@@ -116,14 +117,14 @@
 
     /// Returns whether a host follows this relay closely.
     pub fn is_followed_by(&self, host: &SocketAddr) -> bool {
-        let told = self.hosts.get(host);
-        told.is_some_and(|told| told.digest.listens == Subscription::Closely)
+        let received = self.hosts.get(host);
+        received.is_some_and(|received| received.digest.listens == Subscription::Closely)
     }
 
     /// Returns the time until the next round.
     pub fn period(&self) -> Duration {
         let all = self.hosts.values();
-        let close = all.filter(|told| told.digest.listens == Subscription::Closely);
+        let close = all.filter(|received| received.digest.listens == Subscription::Closely);
         let followers = u32::try_from(close.count()).unwrap_or(u32::MAX);
         let shared = ROUND_PER_HOST.saturating_mul(followers);
         shared.clamp(MIN_ROUND, MAX_ROUND)
@@ -133,7 +134,7 @@
     /// domain.
     pub fn next_round(&mut self, now: Mono, domain: &Domain) -> Round {
         self.hosts
-            .retain(|_, told| now.since(told.at) < HOST_TIMEOUT);
+            .retain(|_, received| now.since(received.at) < HOST_TIMEOUT);
         self.rounds += 1;
         let all = self.sum_all();
         let hosts = u32::try_from(self.hosts.len()).unwrap_or(u32::MAX);
@@ -150,16 +151,18 @@
         let is_quiet = round.changes.loads.is_empty()
             && is_short
             && !self.rounds.is_multiple_of(ROUNDS_PER_QUIET_SUM);
-        for (to, told) in &mut self.hosts {
-            let number = told.digest.number;
-            match told.digest.listens {
-                Subscription::Closely if told.has_whole_sum && is_quiet => {}
-                Subscription::Closely if told.has_whole_sum => round.followers.push((*to, number)),
+        for (to, received) in &mut self.hosts {
+            let number = received.digest.number;
+            match received.digest.listens {
+                Subscription::Closely if received.has_whole_sum && is_quiet => {}
+                Subscription::Closely if received.has_whole_sum => {
+                    round.followers.push((*to, number))
+                }
                 Subscription::Closely => round.newcomers.push((*to, number)),
                 Subscription::Seldom if is_seldom => round.beacons.push(*to),
                 Subscription::Seldom | Subscription::No => {}
             }
-            told.has_whole_sum = true;
+            received.has_whole_sum = true;
         }
         let is_whole_due = !round.newcomers.is_empty();
         round.whole = is_whole_due.then(|| Sum {
@@ -173,10 +176,11 @@
         round
     }
 
+    /// Adds up the loads of all hosts.
     fn sum_all(&self) -> BTreeMap<Key, Load> {
         let mut all: BTreeMap<Key, Load> = BTreeMap::new();
-        for told in self.hosts.values() {
-            for (key, load) in &told.digest.loads {
+        for received in self.hosts.values() {
+            for (key, load) in &received.digest.loads {
                 all.entry(*key).or_default().add(load);
             }
         }
@@ -204,12 +208,14 @@
         loads
     }
 
+    /// Makes the introductions for all hosts.
     fn build_introductions(&self, domain: &Domain) -> Vec<(SocketAddr, Introduction)> {
         let mut all: Vec<SocketAddr> = self.hosts.keys().copied().collect();
         all.sort_unstable();
         let introductions = all.iter().enumerate().map(|(place, to)| {
-            let told = self.hosts.get(to);
-            let follows = told.is_some_and(|told| told.digest.listens != Subscription::No);
+            let received = self.hosts.get(to);
+            let follows =
+                received.is_some_and(|received| received.digest.listens != Subscription::No);
             let next = all.iter().cycle().skip(place + 1).take(all.len() - 1);
             let peers = next.copied().take(MAX_PEERS).filter(|_| follows);
             let introduction = Introduction {
--- a/almondlock-gateway/src/exchange/host.rs
+++ b/almondlock-gateway/src/exchange/host.rs
@@ -27,7 +27,7 @@
 /// a relay to 2,500 digests a second.
 const PERIOD_PER_HOST: Duration = Duration::from_micros(400);
 /// Time between two reports to all relays while nothing changes. It must be less than a
-/// second, after which a relay takes the host for stopped.
+/// second, after which a relay takes the host to have stopped.
 const IDLE_PERIOD: Duration = Duration::from_millis(200);
 /// Number of the host's own digests that are kept, since a sum may still include them.
 const MAX_KEPT_DIGESTS: usize = 64;
@@ -38,7 +38,7 @@
     // Number of the last digest.
     number: u32,
     // The last digests' loads, by number.
-    told: VecDeque<(u32, Vec<(Key, Load)>)>,
+    digests: VecDeque<(u32, Vec<(Key, Load)>)>,
     relays: Relays,
     // When the last report was sent to all relays, and whether loads have changed since.
     all_sent_at: Mono,
@@ -59,15 +59,16 @@
 impl Reporter {
     /// Returns the loads of the digest with this number, or none if it isn't kept any more.
     fn loads_of_digest(&self, number: u32) -> &[(Key, Load)] {
-        let mut told = self.told.iter();
-        let found = told.find(|(other, _)| *other == number);
+        let mut digests = self.digests.iter();
+        let found = digests.find(|(other, _)| *other == number);
         found.map_or(&[], |(_, loads)| loads)
     }
 
+    /// Makes the next digest of these loads, and keeps them for sums that include it.
     fn digest(&mut self, loads: Vec<(Key, Load)>) -> Digest {
         self.number = self.number.wrapping_add(1).max(1);
-        self.told.truncate(MAX_KEPT_DIGESTS - 1);
-        self.told.push_front((self.number, loads.clone()));
+        self.digests.truncate(MAX_KEPT_DIGESTS - 1);
+        self.digests.push_front((self.number, loads.clone()));
         Digest {
             host: self.host,
             number: self.number,
@@ -77,8 +78,8 @@
     }
 }
 
-/// Exchanges reports with the relays until the process ends. `named` are the relays of the
-/// settings.
+/// Exchanges reports with the relays until the process ends. `configured` are the relays
+/// of the settings.
 pub(crate) async fn run<D>(
     worker: Rc<Worker<D>>,
     socket: UdpSocket,
@@ -91,7 +92,7 @@
     let mut reporter = Reporter {
         host,
         number: 0,
-        told: VecDeque::new(),
+        digests: VecDeque::new(),
         relays: Relays::default(),
         all_sent_at: Mono::ZERO,
         has_changes: false,
@@ -302,10 +303,10 @@
             reporter.relays.receive(now, from, hosts);
             Ok(())
         }
-        Message::Introduction(told) => {
+        Message::Introduction(introduction) => {
             reporter
                 .relays
-                .receive_introduction(now, from, &worker.domain, &told);
+                .receive_introduction(now, from, &worker.domain, &introduction);
             Ok(())
         }
         Message::Tell(digest) => {
--- a/almondlock-gateway/src/exchange/mod.rs
+++ b/almondlock-gateway/src/exchange/mod.rs
@@ -64,6 +64,7 @@
 /// Maximum size of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
 
+/// Sends a message. Later ones make up for a lost one.
 pub(crate) async fn send(socket: &UdpSocket, to: SocketAddr, message: &Message) {
     match postcard::to_stdvec(message) {
         Ok(bytes) => send_bytes(socket, to, &bytes).await,
--- a/almondlock-gateway/src/exchange/observed.rs
+++ b/almondlock-gateway/src/exchange/observed.rs
@@ -110,6 +110,7 @@
     pub paces: Vec<Pace>,
 }
 
+/// The last report of a host.
 #[derive(Debug)]
 struct Received {
     at: Mono,
@@ -126,7 +127,7 @@
 impl Paces {
     /// Takes in a host's report.
     pub fn receive(&mut self, now: Mono, from: SocketAddr, report: Observation) {
-        let last = self.hosts.get(&from).map(|told| &told.report);
+        let last = self.hosts.get(&from).map(|received| &received.report);
         // A datagram that arrives after a later one is out of date.
         let is_late =
             last.is_some_and(|last| last.host == report.host && last.number > report.number);
@@ -140,10 +141,14 @@
         if self.hosts.is_empty() || now < self.next {
             return None;
         }
-        self.hosts.retain(|_, told| now.since(told.at) < WINDOW);
+        self.hosts
+            .retain(|_, received| now.since(received.at) < WINDOW);
         let paces = self.pool_reports(now);
         self.next = now + period(paces.len());
-        let followers = self.hosts.iter().filter(|(_, told)| told.report.follows);
+        let followers = self
+            .hosts
+            .iter()
+            .filter(|(_, received)| received.report.follows);
         let followers = followers.map(|(host, _)| *host).collect();
         Some((followers, paces))
     }
@@ -152,11 +157,11 @@
     /// observed, the one that most hosts observed counts.
     fn pool_reports(&self, now: Mono) -> Vec<Pace> {
         let mut lives: BTreeMap<(Key, Birth), Vec<Summary>> = BTreeMap::new();
-        for told in self.hosts.values() {
-            for pace in &told.report.paces {
+        for received in self.hosts.values() {
+            for pace in &received.report.paces {
                 let account = Summary {
                     hosts: 1,
-                    ..pace.account(told.at)
+                    ..pace.account(received.at)
                 };
                 if now.since(account.newest) < WINDOW {
                     let accounts = lives.entry((pace.key, pace.birth)).or_default();
--- a/almondlock-gateway/src/exchange/relay.rs
+++ b/almondlock-gateway/src/exchange/relay.rs
@@ -56,6 +56,7 @@
     }
 }
 
+/// Takes in a host's message, and answers a query for a permit.
 async fn receive_message(
     socket: &UdpSocket,
     state: &mut State,
@@ -144,6 +145,7 @@
     (!entries.is_empty()).then(|| message(entries))
 }
 
+/// Sends the sums, beacons and introductions of a round.
 async fn send_round(socket: &UdpSocket, round: &Round) {
     for part in round.changes.parts() {
         send_sum(socket, &part, &round.followers).await;
--- a/almondlock-gateway/src/exchange/relays.rs
+++ b/almondlock-gateway/src/exchange/relays.rs
@@ -54,16 +54,16 @@
         now: Mono,
         from: SocketAddr,
         own: &Domain,
-        told: &Introduction,
+        introduction: &Introduction,
     ) {
         self.heard = Some(now);
-        if told.domain == *own {
+        if introduction.domain == *own {
             self.near.insert(from, now);
         }
         self.near
             .retain(|_, at| now.since(*at) < INTRODUCTION_MAX_AGE);
         self.peers
-            .extend(told.peers.iter().map(|peer| (*peer, now)));
+            .extend(introduction.peers.iter().map(|peer| (*peer, now)));
         self.peers
             .retain(|_, at| now.since(*at) < INTRODUCTION_MAX_AGE);
     }
--- a/almondlock-gateway/src/load.rs
+++ b/almondlock-gateway/src/load.rs
@@ -193,6 +193,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(u64);
 
+/// A piece of this host's work on an upstream.
 #[derive(Clone, Copy, Debug)]
 struct Item {
     work: Work,
@@ -219,7 +220,7 @@
     // Requests that an upstream reported beyond those known, and the time of the report.
     unknown: HashMap<Upstream, (Mono, u32)>,
     // Loads that entry hosts reported directly, by host.
-    told: HashMap<u64, (Mono, HashMap<Key, Load>)>,
+    reports: HashMap<u64, (Mono, HashMap<Key, Load>)>,
     // Sums by the relay that sent them.
     sums: HashMap<SocketAddr, Received>,
     next: u64,
@@ -238,9 +239,10 @@
 }
 
 impl Received {
+    /// Returns the other hosts' part of an upstream's load.
     fn others(&self, now: Mono, key: Key) -> Load {
-        let told = self.loads.get(&key);
-        let fresh = told.filter(|(at, _)| now.since(*at) < LOAD_MAX_AGE);
+        let load = self.loads.get(&key);
+        let fresh = load.filter(|(at, _)| now.since(*at) < LOAD_MAX_AGE);
         let mut load = fresh.map(|(_, load)| *load).unwrap_or_default();
         if let Some(own) = self.own.get(&key) {
             load.subtract(own);
@@ -305,8 +307,9 @@
 
     /// Takes in the direct report of another entry host.
     pub fn receive_report(&mut self, now: Mono, host: u64, loads: Vec<(Key, Load)>) {
-        self.told.insert(host, (now, loads.into_iter().collect()));
-        self.told
+        self.reports
+            .insert(host, (now, loads.into_iter().collect()));
+        self.reports
             .retain(|_, (at, _)| now.since(*at) < REPORT_MAX_AGE);
     }
 
@@ -339,6 +342,7 @@
         self.newest_sum(now).map(|(relay, _)| relay)
     }
 
+    /// Returns the relay whose sums are used, and its last sum. See [`Table::sum`].
     fn newest_sum(&self, now: Mono) -> Option<(SocketAddr, &Received)> {
         let directly = self.fresh_reports(now).next().is_some();
         let age = if directly {
@@ -354,9 +358,10 @@
         Some(if is_far_more { most } else { last })
     }
 
+    /// Returns the loads of the direct reports that still count.
     fn fresh_reports(&self, now: Mono) -> impl Iterator<Item = &HashMap<Key, Load>> {
-        let told = self.told.values();
-        let fresh = told.filter(move |(at, _)| now.since(*at) < REPORT_MAX_AGE);
+        let reports = self.reports.values();
+        let fresh = reports.filter(move |(at, _)| now.since(*at) < REPORT_MAX_AGE);
         fresh.map(|(_, loads)| loads)
     }
 
@@ -367,8 +372,8 @@
             return Total::from(&sum.others(now, key));
         }
         let mut load = Load::default();
-        for told in self.fresh_reports(now).filter_map(|loads| loads.get(&key)) {
-            load.add(told);
+        for reported in self.fresh_reports(now).filter_map(|loads| loads.get(&key)) {
+            load.add(reported);
         }
         Total::from(&load)
     }
@@ -396,6 +401,7 @@
             .retain(|_, (at, _)| now.since(*at) < UNKNOWN_MAX_AGE);
     }
 
+    /// Returns the number of requests that the upstream reported and no host knows of.
     fn unknown_requests(&self, now: Mono, upstream: &Upstream) -> u32 {
         let known = self.unknown.get(upstream);
         let fresh = known.filter(|(at, _)| now.since(*at) < UNKNOWN_MAX_AGE);
--- a/almondlock-gateway/src/pace.rs
+++ b/almondlock-gateway/src/pace.rs
@@ -65,10 +65,12 @@
 }
 
 impl Pacing {
+    /// Forgets what was observed of an upstream, as after its restart.
     pub(crate) fn forget(&self, upstream: &Upstream) {
         self.table.borrow_mut().forget(upstream);
     }
 
+    /// Forgets all upstreams for which `is_known` is false.
     pub(crate) fn retain<F>(&self, is_known: F)
     where
         F: Fn(&Upstream) -> bool,
@@ -173,6 +175,7 @@
         }
     }
 
+    /// Counts and logs an ejection or reinstatement.
     fn log_change(&self, now: Mono, service: &Service, change: &Change<Upstream>) {
         let kind = if change.is_ejected {
             "ejected"
@@ -339,6 +342,7 @@
         }
     }
 
+    /// Counts the outcome of a probe.
     fn count_probe(&self, is_probe: bool, outcome: &str) {
         if is_probe {
             self.shared.metrics.count("probes", outcome);
--- a/almondlock-gateway/src/pick/long.rs
+++ b/almondlock-gateway/src/pick/long.rs
@@ -51,6 +51,7 @@
 type Order = Vec<(f64, usize)>;
 
 impl Selection<'_> {
+    /// Chooses the engines for a long prompt.
     pub(super) fn choose_long<R>(
         &self,
         groups: &Groups<'_>,
--- a/almondlock-gateway/src/pick/mod.rs
+++ b/almondlock-gateway/src/pick/mod.rs
@@ -268,6 +268,7 @@
     }
 }
 
+/// Chooses among engines of which none that is healthy may answer.
 fn choose_suspect<R>(
     speed: &Speed,
     demand: Demand,
--- a/almondlock-gateway/src/reading/current.rs
+++ b/almondlock-gateway/src/reading/current.rs
@@ -28,6 +28,7 @@
     waiting_since: Option<Mono>,
 }
 
+/// A version that was seen and isn't in force.
 #[derive(Debug)]
 struct Newest {
     document: Document,
--- a/almondlock-gateway/src/reading/mod.rs
+++ b/almondlock-gateway/src/reading/mod.rs
@@ -80,6 +80,7 @@
     pub count: Count,
 }
 
+/// What a [`Reader`] does next.
 #[derive(Debug)]
 enum Phase {
     /// Reads the version as a whole in one step, if it has no outline.
--- a/almondlock-gateway/src/share/findings.rs
+++ b/almondlock-gateway/src/share/findings.rs
@@ -24,6 +24,7 @@
     received: HashMap<SocketAddr, Received>,
 }
 
+/// The last sums of a relay.
 #[derive(Debug)]
 struct Received {
     at: Mono,
--- a/almondlock-gateway/src/share/ledger.rs
+++ b/almondlock-gateway/src/share/ledger.rs
@@ -22,6 +22,7 @@
     counts: Rc<RefCell<HashMap<Tag, Entry>>>,
 }
 
+/// The counts of an organisation at a service.
 #[derive(Debug)]
 struct Entry {
     name: Arc<str>,
--- a/almondlock-gateway/src/standing.rs
+++ b/almondlock-gateway/src/standing.rs
@@ -216,6 +216,7 @@
         counts.then_some(organisation)
     }
 
+    /// Returns the finding if a request's organisation is over its share.
     fn finding(&self, now: Mono, request: &Request) -> Option<Finding> {
         let organisation = self.accounted_organisation(request)?;
         let relay = self.load.borrow().current_relay(now)?;
--- a/almondlock-gateway/src/suspicion.rs
+++ b/almondlock-gateway/src/suspicion.rs
@@ -43,7 +43,7 @@
     /// Requests whose answer is reported to the relays. Many are abandoned and never
     /// answered.
     watched: RefCell<HashSet<Fingerprint>>,
-    news: RefCell<Vec<Message>>,
+    messages: RefCell<Vec<Message>>,
     noticed: Notify,
 }
 
@@ -76,14 +76,16 @@
         self.noticed.notified().await;
     }
 
+    /// Returns and removes the messages to send.
     pub(crate) fn take_news(&self) -> Vec<Message> {
-        self.news.take()
+        self.messages.take()
     }
 
+    /// Queues a message to the relays.
     fn enqueue(&self, message: Message) {
-        let mut news = self.news.borrow_mut();
-        if news.len() < MAX_QUEUED {
-            news.push(message);
+        let mut messages = self.messages.borrow_mut();
+        if messages.len() < MAX_QUEUED {
+            messages.push(message);
             self.noticed.notify_one();
         }
     }
