--- a/almondlock-sidecar/src/announce.rs
+++ b/almondlock-sidecar/src/announce.rs
@@ -40,22 +40,22 @@
 };
 
 use crate::{
-    openai::Engine, plain, protocol::Protocol, service::Service, stop::Stop, table::Config,
+    openai::Engine, plain, protocol::Protocol, sidecar::Sidecar, stop::Stop, table::Config,
 };
 
 /// How often a registration is renewed.
-const RENEWAL: Duration = Duration::from_secs(2);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 /// How long the replicas are tried for each.
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after a refused registration.
-const REFUSED_PAUSE: Duration = Duration::from_secs(1);
+const REFUSED_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// An upstream that neither announces itself nor answers for this long is no
 /// longer renewed; its lease at the replicas then ends.
-const SILENCE: Duration = Duration::from_secs(5);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The most memory an upstream may claim, in tokens: what the replicas accept.
-const CAPACITY_LIMIT: u64 = limit::MAX_CAPACITY_TOKENS;
+const MAX_CAPACITY_TOKENS: u64 = limit::MAX_CAPACITY_TOKENS;
 /// Announcements that wait to be taken.
-const QUEUE: usize = 64;
+const MAX_QUEUED_ANNOUNCEMENTS: usize = 64;
 /// Batch places when an upstream names none.
 const DEFAULT_SLOTS: u32 = 64;
 
@@ -134,12 +134,12 @@
     handle: Handle,
     replicas: Replicas,
     sidecars: Sidecars,
-    known: RefCell<HashMap<Upstream, Known>>,
+    upstreams: RefCell<HashMap<Upstream, Entry>>,
 }
 
-struct Known {
+struct Entry {
     announcement: Announcement,
-    heard: Mono,
+    last_heard: Mono,
 }
 
 /// Why an announcement is refused.
@@ -154,7 +154,7 @@
             handle,
             replicas,
             sidecars,
-            known: RefCell::default(),
+            upstreams: RefCell::default(),
         });
         Registry { inner }
     }
@@ -162,39 +162,39 @@
     /// Takes an announcement: the first of a name starts a sidecar, a repeated
     /// one renews it, one with another address replaces it.
     pub async fn announce(&self, announcement: Announcement) -> Result<(), Refusal> {
-        check(&announcement)?;
+        validate(&announcement)?;
         let now = clock::mono();
         {
-            let mut known = self.inner.known.borrow_mut();
-            if let Some(known) = known.get_mut(&announcement.name)
+            let mut upstreams = self.inner.upstreams.borrow_mut();
+            if let Some(known) = upstreams.get_mut(&announcement.name)
                 && known.announcement.address == announcement.address
             {
                 known.announcement = announcement;
-                known.heard = now;
+                known.last_heard = now;
                 return Ok(());
             }
         }
         let name = announcement.name.clone();
-        let known = Known {
+        let known = Entry {
             announcement: announcement.clone(),
-            heard: now,
+            last_heard: now,
         };
-        self.inner.known.borrow_mut().insert(name, known);
+        self.inner.upstreams.borrow_mut().insert(name, known);
         let unusable = |e: &dyn std::fmt::Display| Refusal(e.to_string());
         match announcement.kind {
             Kind::Engine => {
                 let engine = Engine::new(announcement.address).await;
-                self.stand_before(announcement, engine.map_err(|e| unusable(&e))?);
+                self.start_sidecar(announcement, engine.map_err(|e| unusable(&e))?);
             }
             Kind::Service => {
                 let service = plain::Service::new(announcement.address).await;
-                self.stand_before(announcement, service.map_err(|e| unusable(&e))?);
+                self.start_sidecar(announcement, service.map_err(|e| unusable(&e))?);
             }
         }
         Ok(())
     }
 
-    fn stand_before<P>(&self, announcement: Announcement, protocol: P)
+    fn start_sidecar<P>(&self, announcement: Announcement, protocol: P)
     where
         P: Protocol,
     {
@@ -210,7 +210,7 @@
             },
             gate: gate::Config::default(),
         };
-        let service = Service::new(
+        let sidecar = Sidecar::new(
             announcement.name.clone(),
             inner.site.incarnation,
             config,
@@ -219,9 +219,13 @@
             inner.replicas.clone(),
             (inner.site.metrics.clone(), inner.site.stop.clone()),
         );
-        let client = capnp_rpc::new_client(service.clone());
+        let client = capnp_rpc::new_client(sidecar.clone());
         inner.sidecars.insert(announcement.name.clone(), client);
-        spawn_local(Rc::clone(inner).renew(announcement.name, announcement.address, service));
+        spawn_local(Rc::clone(inner).renew_registration(
+            announcement.name,
+            announcement.address,
+            sidecar,
+        ));
     }
 }
 
@@ -233,7 +237,7 @@
                 let share = u64::from(self.memory_share.min(100));
                 Tokens(announcement.capacity / 100 * share)
             }
-            Kind::Service => Tokens(CAPACITY_LIMIT),
+            Kind::Service => Tokens(MAX_CAPACITY_TOKENS),
         }
     }
 
@@ -243,7 +247,7 @@
     }
 }
 
-fn check(announcement: &Announcement) -> Result<(), Refusal> {
+fn validate(announcement: &Announcement) -> Result<(), Refusal> {
     let fault = |text: &str| Err(Refusal(text.to_owned()));
     if announcement.address.ip().is_unspecified() || announcement.address.port() == 0 {
         return fault("the address is not one to connect to");
@@ -261,7 +265,7 @@
         Kind::Engine if announcement.model.is_none() || announcement.version.is_none() => {
             fault("an engine names its `model` and `version`")
         }
-        Kind::Engine if !(1..=CAPACITY_LIMIT).contains(&announcement.capacity) => {
+        Kind::Engine if !(1..=MAX_CAPACITY_TOKENS).contains(&announcement.capacity) => {
             fault("an engine's `capacity` is its memory in tokens")
         }
         Kind::Service if announcement.service.is_none() => {
@@ -291,18 +295,23 @@
     }
 
     /// Keeps one upstream's registration alive until it is replaced here.
-    async fn renew<P>(self: Rc<Self>, name: Upstream, address: SocketAddr, service: Service<P>)
-    where
+    async fn renew_registration<P>(
+        self: Rc<Self>,
+        name: Upstream,
+        address: SocketAddr,
+        sidecar: Sidecar<P>,
+    ) where
         P: Protocol,
     {
         loop {
-            let current = self.current(&name, address);
-            let Some((announcement, heard)) = current else {
+            let current = self.current_announcement(&name, address);
+            let Some((announcement, last_heard)) = current else {
                 return;
             };
-            let fresh = clock::mono().since(heard) < SILENCE || service.is_alive().await;
+            let fresh =
+                clock::mono().since(last_heard) < SILENCE_TIMEOUT || sidecar.is_alive().await;
             if !fresh {
-                sleep(RENEWAL).await;
+                sleep(RENEWAL_INTERVAL).await;
                 continue;
             }
             let registration = self.registration(&announcement);
@@ -310,20 +319,24 @@
                 .replicas
                 .announce(&name, &registration, REGISTER_TIMEOUT);
             match told.await {
-                Ok(_) | Err(Code::NoQuorum) => sleep(RENEWAL).await,
+                Ok(_) | Err(Code::NoQuorum) => sleep(RENEWAL_INTERVAL).await,
                 Err(code) => {
                     tracing::warn!(upstream = %name, %code, "the registration was refused");
-                    sleep(REFUSED_PAUSE).await;
+                    sleep(REFUSED_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    fn current(&self, name: &Upstream, address: SocketAddr) -> Option<(Announcement, Mono)> {
-        let known = self.known.borrow();
-        let known = known.get(name)?;
+    fn current_announcement(
+        &self,
+        name: &Upstream,
+        address: SocketAddr,
+    ) -> Option<(Announcement, Mono)> {
+        let upstreams = self.upstreams.borrow();
+        let known = upstreams.get(name)?;
         let same = known.announcement.address == address;
-        same.then(|| (known.announcement.clone(), known.heard))
+        same.then(|| (known.announcement.clone(), known.last_heard))
     }
 }
 
@@ -331,33 +344,36 @@
 
 /// The listener's way to the registry, which belongs to another thread.
 #[derive(Clone)]
-struct Desk {
+struct Endpoint {
     requests: mpsc::Sender<(Announcement, Answer)>,
 }
 
 /// Serves announcements on a listener: `POST /announce` with an
 /// [`Announcement`] in JSON. Must be called on the registry's thread.
 pub fn serve(listener: TcpListener, registry: Registry) -> io::Result<Server> {
-    let (requests, mut queue) = mpsc::channel::<(Announcement, Answer)>(QUEUE);
+    let (requests, mut queue) = mpsc::channel::<(Announcement, Answer)>(MAX_QUEUED_ANNOUNCEMENTS);
     spawn_local(async move {
         while let Some((announcement, answer)) = queue.recv().await {
             // Whoever asked may be gone; it will announce itself again.
             let _ = answer.send(registry.announce(announcement).await);
         }
     });
-    let desk = Desk { requests };
+    let endpoint = Endpoint { requests };
     let factory = async move || {
         App::new()
-            .state(desk.clone())
-            .route("/announce", web::post().to(post))
+            .state(endpoint.clone())
+            .route("/announce", web::post().to(handle_announcement))
     };
     let server = HttpServer::new(factory).workers(1).disable_signals();
     Ok(server.listen(listener)?.run())
 }
 
-async fn post(desk: web::types::State<Desk>, body: web::types::Json<Announcement>) -> HttpResponse {
+async fn handle_announcement(
+    endpoint: web::types::State<Endpoint>,
+    body: web::types::Json<Announcement>,
+) -> HttpResponse {
     let (answer, answered) = oneshot::channel();
-    let asked = desk.requests.send((body.into_inner(), answer)).await;
+    let asked = endpoint.requests.send((body.into_inner(), answer)).await;
     let result = match asked {
         Ok(()) => answered.await.ok(),
         Err(_) => None,
@@ -366,14 +382,14 @@
         Some(Ok(())) => HttpResponse::Ok()
             .content_type("application/json")
             .body("{}"),
-        Some(Err(Refusal(text))) => refuse(HttpResponse::BadRequest(), &text),
-        None => refuse(
+        Some(Err(Refusal(text))) => error_response(HttpResponse::BadRequest(), &text),
+        None => error_response(
             HttpResponse::ServiceUnavailable(),
             "the sidecar is stopping",
         ),
     }
 }
 
-fn refuse(mut response: ntex::http::ResponseBuilder, text: &str) -> HttpResponse {
+fn error_response(mut response: ntex::http::ResponseBuilder, text: &str) -> HttpResponse {
     response.json(&serde_json::json!({"error": {"message": text}}))
 }
--- a/almondlock-sidecar/src/pull.rs
+++ b/almondlock-sidecar/src/body.rs
@@ -14,14 +14,14 @@
 
 /// Feeds the whole body to the upstream's connection. Ends early when either
 /// side is gone; the upstream then sees a body that is too short and refuses.
-pub(crate) async fn pull(head: &Head, source: &source::Client, mut to: Feeder) {
+pub(crate) async fn feed_body(head: &Head, source: &source::Client, mut to: Feeder) {
     if !head.body.is_empty() {
         let _ = to.send(Ok(Bytes::copy_from_slice(&head.body))).await;
         return;
     }
     let mut offset = 0;
     while offset < head.body_length {
-        let chunk = match read(source, offset, BODY_CHUNK as u64).await {
+        let chunk = match read_chunk(source, offset, BODY_CHUNK as u64).await {
             Ok(chunk) if !chunk.is_empty() => chunk,
             Ok(_) => return,
             Err(error) => {
@@ -37,7 +37,7 @@
 }
 
 /// Reads a range of the body.
-pub(crate) async fn range(
+pub(crate) async fn read_range(
     source: &source::Client,
     offset: u64,
     length: u64,
@@ -47,7 +47,7 @@
     let mut at = offset;
     while at < end {
         let limit = (end - at).min(BODY_CHUNK as u64);
-        let chunk = read(source, at, limit).await?;
+        let chunk = read_chunk(source, at, limit).await?;
         if chunk.is_empty() {
             return Err(capnp::Error::failed("the body is too short".to_owned()));
         }
@@ -57,7 +57,11 @@
     Ok(text)
 }
 
-async fn read(source: &source::Client, offset: u64, limit: u64) -> Result<Bytes, capnp::Error> {
+async fn read_chunk(
+    source: &source::Client,
+    offset: u64,
+    limit: u64,
+) -> Result<Bytes, capnp::Error> {
     let mut request = source.read_request();
     request.get().set_offset(offset);
     request
--- a/almondlock-sidecar/src/death.rs
+++ b/almondlock-sidecar/src/death.rs
@@ -7,17 +7,17 @@
 use almondlock_node::replicas::Blame;
 use almondlock_wire::attempt::Head;
 
-use crate::{protocol::Protocol, service::Inner, table::Present};
+use crate::{protocol::Protocol, sidecar::Inner, table::Request};
 
 /// How long blame for a death may take before the outcomes go out without it.
 const BLAME_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Deaths of the engine in the sidecar's life.
 #[derive(Default)]
-pub(crate) struct Death {
+pub(crate) struct Record {
     count: u64,
     // What ran when the engine died, until it lives again.
-    present: Option<Vec<Present>>,
+    present: Option<Vec<Request>>,
 }
 
 impl<P> Inner<P>
@@ -28,9 +28,9 @@
     /// on it. Whoever notices first keeps the list, since the others leave the
     /// table one by one, and blames all of them before any outcome goes out:
     /// a copy sent at once must find its suspicion known.
-    pub(crate) async fn look_for_death(&self) -> Option<Vec<Present>> {
-        let seen = self.table.borrow().present();
-        let alive = self.protocol.alive().await;
+    pub(crate) async fn check_for_death(&self) -> Option<Vec<Request>> {
+        let seen = self.table.borrow().running_requests();
+        let alive = self.protocol.is_alive().await;
         self.set_down(!alive);
         if alive {
             self.death.borrow_mut().present = None;
@@ -79,7 +79,7 @@
 
     /// Blame is told again by every run that broke: the replicas count a death
     /// once for each request.
-    async fn blame(&self, present: &[Present], count: u64) {
+    async fn blame(&self, present: &[Request], count: u64) {
         let life = Incarnation(self.incarnation.0.wrapping_add(count));
         let all = present.iter().map(|one| {
             let blame = Blame {
@@ -102,7 +102,7 @@
     }
 
     /// Takes a charge back after the run. A harmless one clears the suspect.
-    pub(crate) async fn clear(&self, charge: &Blame, harmless: bool) {
+    pub(crate) async fn withdraw_charge(&self, charge: &Blame, harmless: bool) {
         let told = self.replicas.clear(charge, harmless, BLAME_TIMEOUT).await;
         if let Err(code) = told {
             tracing::warn!(%code, "a charge could not be taken back");
--- a/almondlock-sidecar/src/lib.rs
+++ b/almondlock-sidecar/src/lib.rs
@@ -11,19 +11,19 @@
 #![warn(clippy::unwrap_used, clippy::expect_used)]
 
 pub mod announce;
+mod body;
 mod death;
-mod judge;
+mod maintenance;
 pub mod memory;
 pub mod openai;
 pub mod orders;
+mod outcome;
 pub mod output;
 mod parts;
 pub mod plain;
 pub mod protocol;
-mod pull;
 mod rpc;
-pub mod service;
+pub mod sidecar;
 pub mod stop;
 pub mod table;
-mod tend;
 mod ticket;
--- a/almondlock-sidecar/src/tend.rs
+++ b/almondlock-sidecar/src/maintenance.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     protocol::{Failure, Protocol},
-    service::Inner,
+    sidecar::Inner,
 };
 
 impl<P> Inner<P>
@@ -14,22 +14,22 @@
     P: Protocol,
 {
     /// Hands on the order that is due.
-    pub(crate) async fn tend_orders(&self) {
+    pub(crate) async fn forward_due_order(&self) {
         let config = self.handle.view().get();
         let due = self
             .orders
-            .due(&config, &self.upstream, self.incarnation, clock::wall());
+            .due_order(&config, &self.upstream, self.incarnation, clock::wall());
         let Some(order) = due else {
             return;
         };
         let (model, version) = (order.model.as_str(), order.version.as_str());
-        match self.protocol.load(model, version, order.fence).await {
+        match self.protocol.load_model(model, version, order.fence).await {
             Ok(()) => {
-                self.orders.handed(&order);
+                self.orders.mark_forwarded(&order);
                 tracing::info!(upstream = %self.upstream, model, version, "ordered to load");
             }
             Err(failure @ Failure::Refused(..)) => {
-                self.orders.handed(&order);
+                self.orders.mark_forwarded(&order);
                 tracing::warn!(upstream = %self.upstream, %failure, "the order was refused");
             }
             Err(failure) => {
@@ -39,24 +39,24 @@
     }
 
     /// Gives the orders to free that are due, and compares with the engine.
-    pub(crate) async fn tend_memory(&self) {
-        for order in self.memory.orders(clock::mono()) {
+    pub(crate) async fn maintain_memory(&self) {
+        for order in self.memory.take_free_orders(clock::mono()) {
             let asked = clock::mono();
             if self.protocol.cancel(&order.id).await {
-                self.memory.freed(&order.id, asked);
+                self.memory.confirm_free(&order.id, asked);
             }
             if order.kind == Kind::Reservation {
                 self.drop_reservation(&order.id);
             }
         }
-        if !self.memory.compare_due(clock::mono()) {
+        if !self.memory.is_reconcile_due(clock::mono()) {
             return;
         }
-        let held = self.memory.held();
+        let held = self.memory.held_tokens();
         self.metrics.memory_held(self.upstream.as_str(), held);
         let asked = clock::mono();
-        if let Some(list) = self.protocol.held().await {
-            self.memory.compare(list, asked, clock::mono());
+        if let Some(list) = self.protocol.list_allocations().await {
+            self.memory.reconcile(list, asked, clock::mono());
         }
     }
 
@@ -64,7 +64,7 @@
     fn drop_reservation(&self, id: &str) {
         let now = clock::mono();
         let mut table = self.table.borrow_mut();
-        table.release_named(id, now);
-        table.pump(now);
+        table.release_by_engine_id(id, now);
+        table.grant_waiting(now);
     }
 }
--- a/almondlock-sidecar/src/memory.rs
+++ b/almondlock-sidecar/src/memory.rs
@@ -5,10 +5,10 @@
 use almondlock_base::{id::Attempt, time::Mono, unit::Tokens};
 use almondlock_policy::ledger::{Config, Item, Ledger, Order, Owner};
 
-use crate::protocol::Held;
+use crate::protocol::Allocation;
 
 /// Pause between two comparisons.
-const COMPARISON: Duration = Duration::from_secs(2);
+const RECONCILE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The life of the entry host that made an attempt.
 pub fn owner_of(attempt: &Attempt) -> Owner {
@@ -22,7 +22,7 @@
 /// earlier life of it left on the engine, and compares first.
 pub struct Memory {
     ledger: RefCell<Ledger<String>>,
-    compared: RefCell<Option<Mono>>,
+    reconciled_at: RefCell<Option<Mono>>,
 }
 
 impl Memory {
@@ -30,7 +30,7 @@
     pub fn new(now: Mono) -> Memory {
         Memory {
             ledger: RefCell::new(Ledger::recover(Config::default(), now)),
-            compared: RefCell::default(),
+            reconciled_at: RefCell::default(),
         }
     }
 
@@ -50,41 +50,41 @@
     }
 
     /// The engine ended a thing by itself.
-    pub fn ended(&self, id: &String) {
+    pub fn remove(&self, id: &String) {
         self.ledger.borrow_mut().remove(id);
     }
 
     /// The orders to free that are due.
-    pub fn orders(&self, now: Mono) -> Vec<Order<String>> {
+    pub fn take_free_orders(&self, now: Mono) -> Vec<Order<String>> {
         self.ledger.borrow_mut().take_orders(now)
     }
 
     /// The engine confirmed an order given at `asked`.
-    pub fn freed(&self, id: &String, asked: Mono) {
+    pub fn confirm_free(&self, id: &String, asked: Mono) {
         self.ledger.borrow_mut().confirm_free(id, asked);
     }
 
     /// Whether it is time to compare with the engine's own list.
-    pub fn compare_due(&self, now: Mono) -> bool {
-        let last = *self.compared.borrow();
-        last.is_none_or(|at| now.since(at) >= COMPARISON)
+    pub fn is_reconcile_due(&self, now: Mono) -> bool {
+        let last = *self.reconciled_at.borrow();
+        last.is_none_or(|at| now.since(at) >= RECONCILE_INTERVAL)
     }
 
     /// Compares with the engine's own list, asked for at `asked`.
-    pub fn compare(&self, list: Vec<Held>, asked: Mono, now: Mono) {
+    pub fn reconcile(&self, list: Vec<Allocation>, asked: Mono, now: Mono) {
         let list: BTreeMap<String, Item> = list
             .into_iter()
             .map(|held| {
-                let Held { id, kind, tokens } = held;
+                let Allocation { id, kind, tokens } = held;
                 (id, Item { kind, tokens })
             })
             .collect();
         self.ledger.borrow_mut().reconcile(&list, asked, now);
-        self.compared.replace(Some(now));
+        self.reconciled_at.replace(Some(now));
     }
 
     /// Memory held, by the ledger.
-    pub fn held(&self) -> Tokens {
+    pub fn held_tokens(&self) -> Tokens {
         self.ledger.borrow().held_tokens()
     }
 }
--- a/almondlock-sidecar/src/openai.rs
+++ b/almondlock-sidecar/src/openai.rs
@@ -25,45 +25,45 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::protocol::{Failure, Feed, Held, Job, Output, Piece, Protocol};
+use crate::protocol::{Allocation, Failure, Feed, Output, Piece, Protocol, Run};
 
 /// How long an engine may take to answer a question about its state.
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(2);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Connections to one upstream at most: above any number of runs that the queue
 /// lets through.
-const CONNECTIONS: usize = 60_000;
+const MAX_CONNECTIONS: usize = 60_000;
 
 /// The longest error text taken over from an engine, in bytes.
-const ERROR_TEXT_LIMIT: usize = 2048;
+const MAX_ERROR_TEXT_CHARS: usize = 2048;
 
 /// An engine's address and a client for it.
 pub struct Engine {
     address: SocketAddr,
     base: String,
-    runs: Runs,
-    questions: Client,
+    clients: Clients,
+    control: Client,
 }
 
 impl Engine {
     /// An engine at an address. To be made on the thread that uses it.
     pub async fn new(address: SocketAddr) -> Result<Engine, ClientBuilderError> {
-        let questions = Client::builder()
-            .response_timeout(ntex::time::Millis::from(QUESTION_TIMEOUT))
+        let control = Client::builder()
+            .response_timeout(ntex::time::Millis::from(CONTROL_TIMEOUT))
             .disable_redirects();
         Ok(Engine {
             address,
             base: format!("http://{address}"),
-            runs: Runs::new().await?,
-            questions: questions.build(ntex::SharedCfg::default()).await?,
+            clients: Clients::new().await?,
+            control: control.build(ntex::SharedCfg::default()).await?,
         })
     }
 
-    async fn send(&self, job: &Job<'_>, body: Feed) -> Result<ClientResponse, Failure> {
+    async fn send(&self, job: &Run<'_>, body: Feed) -> Result<ClientResponse, Failure> {
         let head = job.head;
         let url = format!("{}{}", self.base, head.path);
         let mut request = self
-            .runs
+            .clients
             .request(head.repeatable, Method::POST, url)
             .header(header::CONTENT_TYPE, "application/json")
             .header("X-Engine-Request", job.id)
@@ -73,15 +73,18 @@
             request = request.header("X-Engine-Resume-At", head.resume_at.to_string());
         }
         if !head.segments.is_empty() {
-            let list: Vec<String> = head.segments.iter().map(place).collect();
+            let list: Vec<String> = head.segments.iter().map(segment_location).collect();
             request = request.header("X-Engine-Segments", list.join(","));
         }
         let body = SizedStream::new(head.body_length, body);
-        request.send_body(body).await.map_err(|e| classify(&e))
+        request
+            .send_body(body)
+            .await
+            .map_err(|e| classify_error(&e))
     }
 }
 
-fn place(segment: &Segment) -> String {
+fn segment_location(segment: &Segment) -> String {
     format!("{}/{}", segment.address, segment.handle)
 }
 
@@ -89,7 +92,7 @@
 /// the run's fate unknown. The client gives the same error for a connection
 /// that could not be made and for one that was closed before the answer came;
 /// only the first carries the system's reason.
-pub(crate) fn classify(error: &ClientError) -> Failure {
+pub(crate) fn classify_error(error: &ClientError) -> Failure {
     match error {
         ClientError::Connect(
             ConnectError::Disconnected(Some(_))
@@ -106,8 +109,8 @@
 ///
 /// The library's client opens eight connections at most by default: beyond
 /// that, requests wait inside it, behind the queue that was to order them.
-async fn runs() -> Result<Client, ClientBuilderError> {
-    let connector = Connector::new().limit(CONNECTIONS);
+async fn build_run_client() -> Result<Client, ClientBuilderError> {
+    let connector = Connector::new().limit(MAX_CONNECTIONS);
     let builder = Client::builder()
         .connector::<()>(connector)
         .disable_timeout()
@@ -118,16 +121,16 @@
 /// Clients for runs. What may not be repeated gets a connection of its own
 /// each time: one that was kept may have been closed by the other side a moment
 /// ago, and what is sent into it may or may not have run.
-pub(crate) struct Runs {
+pub(crate) struct Clients {
     pooled: Client,
     single: Client,
 }
 
-impl Runs {
-    pub(crate) async fn new() -> Result<Runs, ClientBuilderError> {
-        Ok(Runs {
-            pooled: runs().await?,
-            single: runs().await?,
+impl Clients {
+    pub(crate) async fn new() -> Result<Clients, ClientBuilderError> {
+        Ok(Clients {
+            pooled: build_run_client().await?,
+            single: build_run_client().await?,
         })
     }
 
@@ -142,12 +145,12 @@
 }
 
 /// Reads an upstream's refusal.
-pub(crate) async fn refusal(response: &ClientResponse) -> Failure {
+pub(crate) async fn read_refusal(response: &ClientResponse) -> Failure {
     let status = response.status();
     let body = response.body().limit(64 * 1024).await.unwrap_or_default();
     let text: String = String::from_utf8_lossy(&body)
         .chars()
-        .take(ERROR_TEXT_LIMIT)
+        .take(MAX_ERROR_TEXT_CHARS)
         .collect();
     // Engines check a request as a whole before they take it in: a 4xx and
     // the statuses for "not now" mean that it didn't start.
@@ -202,14 +205,14 @@
 
 /// What has been read of a stream.
 #[derive(Default)]
-struct Reading {
+struct Accumulator {
     finish: Option<String>,
     usage: Option<Usage>,
 }
 
-impl Reading {
+impl Accumulator {
     /// Takes a chunk in; gives the text it carries.
-    fn take(&mut self, chunk: Chunk) -> Option<(u32, String)> {
+    fn apply(&mut self, chunk: Chunk) -> Option<(u32, String)> {
         if let Some(counts) = chunk.usage {
             self.usage = Some(Usage {
                 prompt: Tokens(counts.prompt_tokens),
@@ -225,14 +228,14 @@
     }
 
     /// The usage, once the engine has said why it stopped.
-    fn close(self) -> Option<Usage> {
+    fn into_usage(self) -> Option<Usage> {
         let finish = self.finish?;
         let usage = self.usage.unwrap_or_default();
         Some(Usage { finish, ..usage })
     }
 }
 
-async fn relay<O>(response: ClientResponse, output: &mut O) -> Result<Usage, Failure>
+async fn relay_answer<O>(response: ClientResponse, output: &mut O) -> Result<Usage, Failure>
 where
     O: Output,
 {
@@ -240,22 +243,28 @@
         status: 200,
         content_type: "text/event-stream".to_owned(),
     };
-    output.put(0, begin).await.map_err(|_| Failure::Gone)?;
+    output
+        .put(0, begin)
+        .await
+        .map_err(|_| Failure::OutputClosed)?;
     let mut events = response.take_payload().eventsource();
-    let mut reading = Reading::default();
+    let mut accumulator = Accumulator::default();
     while let Some(event) = events.next().await {
         let data = event.map_err(|_| Failure::Broken)?.data;
         // Without this record the answer is not whole, whatever came before.
         if data == "[DONE]" {
-            return reading.close().ok_or(Failure::Truncated);
+            return accumulator.into_usage().ok_or(Failure::Truncated);
         }
         let chunk: Chunk = serde_json::from_str(&data).map_err(|_| Failure::Truncated)?;
         if let Some(error) = chunk.error {
             return Err(Failure::Failed(500, error.to_string()));
         }
-        if let Some((count, text)) = reading.take(chunk) {
+        if let Some((count, text)) = accumulator.apply(chunk) {
             let part = Part::Text(text);
-            output.put(count, part).await.map_err(|_| Failure::Gone)?;
+            output
+                .put(count, part)
+                .await
+                .map_err(|_| Failure::OutputClosed)?;
         }
     }
     Err(Failure::Truncated)
@@ -286,7 +295,7 @@
 
 /// The body that asks for a part of a prompt. Its text stands in the caller's
 /// body as the inside of a JSON string and is put into another as it is.
-fn part_body(piece: &Piece<'_>) -> Vec<u8> {
+fn segment_request_body(piece: &Piece<'_>) -> Vec<u8> {
     let head = json!({"id": piece.id, "priority": piece.priority, "tokens": piece.tokens});
     let mut body = head.to_string().into_bytes();
     if let Some(text) = &piece.text {
@@ -299,35 +308,35 @@
 }
 
 impl Protocol for Engine {
-    async fn run<O>(&self, job: Job<'_>, body: Feed, output: &mut O) -> Result<Usage, Failure>
+    async fn run<O>(&self, job: Run<'_>, body: Feed, output: &mut O) -> Result<Usage, Failure>
     where
         O: Output,
     {
         let response = self.send(&job, body).await?;
         if !response.status().is_success() {
-            return Err(refusal(&response).await);
+            return Err(read_refusal(&response).await);
         }
-        relay(response, output).await
+        relay_answer(response, output).await
     }
 
     async fn cancel(&self, id: &str) -> bool {
         let url = format!("{}/engine/requests/{id}", self.base);
-        match self.questions.delete(url).send().await {
+        match self.control.delete(url).send().await {
             Ok(response) => response.status().is_success() || response.status() == 404,
             Err(_) => false,
         }
     }
 
-    async fn segment(&self, piece: Piece<'_>) -> Result<Segment, Failure> {
+    async fn process_segment(&self, piece: Piece<'_>) -> Result<Segment, Failure> {
         let url = format!("{}/engine/segments", self.base);
         let request = self
-            .runs
+            .clients
             .request(true, Method::POST, url)
             .header(header::CONTENT_TYPE, "application/json");
-        let sent = request.send_body(part_body(&piece)).await;
-        let response = sent.map_err(|e| classify(&e))?;
+        let sent = request.send_body(segment_request_body(&piece)).await;
+        let response = sent.map_err(|e| classify_error(&e))?;
         if !response.status().is_success() {
-            return Err(refusal(&response).await);
+            return Err(read_refusal(&response).await);
         }
         response.body().await.map_err(|_| Failure::Broken)?;
         Ok(Segment {
@@ -336,23 +345,23 @@
         })
     }
 
-    async fn load(&self, model: &str, version: &str, fence: u64) -> Result<(), Failure> {
+    async fn load_model(&self, model: &str, version: &str, fence: u64) -> Result<(), Failure> {
         let url = format!("{}/engine/orders", self.base);
         let order = json!({"kind": "load", "model": model, "version": version, "fence": fence});
-        let sent = self.questions.post(url).send_json(&order).await;
-        let response = sent.map_err(|e| classify(&e))?;
+        let sent = self.control.post(url).send_json(&order).await;
+        let response = sent.map_err(|e| classify_error(&e))?;
         if response.status().is_success() {
             Ok(())
         } else {
-            Err(refusal(&response).await)
+            Err(read_refusal(&response).await)
         }
     }
 
-    async fn held(&self) -> Option<Vec<Held>> {
+    async fn list_allocations(&self) -> Option<Vec<Allocation>> {
         let url = format!("{}/engine/requests", self.base);
-        let response = self.questions.get(url).send().await.ok()?;
+        let response = self.control.get(url).send().await.ok()?;
         let listing: Listing = response.json().await.ok()?;
-        let held = |entry: Entry| Held {
+        let held = |entry: Entry| Allocation {
             kind: entry.kind(),
             id: entry.id,
             tokens: Tokens(entry.tokens),
@@ -360,9 +369,9 @@
         Some(listing.requests.into_iter().map(held).collect())
     }
 
-    async fn alive(&self) -> bool {
+    async fn is_alive(&self) -> bool {
         let url = format!("{}/engine/health", self.base);
-        let answer = self.questions.get(url).send().await;
+        let answer = self.control.get(url).send().await;
         answer.is_ok_and(|r| r.status().is_success())
     }
 }
--- a/almondlock-sidecar/src/orders.rs
+++ b/almondlock-sidecar/src/orders.rs
@@ -18,14 +18,14 @@
 
 /// Which orders were handed on.
 #[derive(Debug, Default)]
-pub struct Desk {
+pub struct Forwarder {
     // The highest fencing number handed on in this life.
-    handed: Cell<u64>,
+    highest_fence: Cell<u64>,
 }
 
-impl Desk {
+impl Forwarder {
     /// The order that is to be handed on now, if any.
-    pub fn due(
+    pub fn due_order(
         &self,
         config: &Config,
         upstream: &Upstream,
@@ -36,13 +36,14 @@
         let loaded = config.upstreams.get(upstream);
         let loaded = loaded.and_then(|registered| registered.model.as_ref());
         let done = loaded.is_some_and(|(m, v)| *m == order.model && *v == order.version);
-        let fresh = order.fence > self.handed.get();
+        let fresh = order.fence > self.highest_fence.get();
         let due = !done && fresh && order::may_forward(order, own, now);
         due.then(|| order.clone())
     }
 
     /// Notes that an order was handed on, or refused as old.
-    pub fn handed(&self, order: &Order) {
-        self.handed.set(self.handed.get().max(order.fence));
+    pub fn mark_forwarded(&self, order: &Order) {
+        self.highest_fence
+            .set(self.highest_fence.get().max(order.fence));
     }
 }
--- a/almondlock-sidecar/src/judge.rs
+++ b/almondlock-sidecar/src/outcome.rs
@@ -5,8 +5,8 @@
 
 use crate::{
     protocol::{Failure, Protocol},
-    service::{Inner, failed},
-    ticket::End,
+    sidecar::{Inner, failed_outcome},
+    ticket::Completion,
 };
 
 impl<P> Inner<P>
@@ -14,9 +14,14 @@
     P: Protocol,
 {
     /// Puts the end of a run into words, and finds out whether the upstream died.
-    pub(crate) async fn judge(&self, end: End, began: bool, flushed: bool) -> Outcome {
+    pub(crate) async fn resolve_outcome(
+        &self,
+        end: Completion,
+        began: bool,
+        flushed: bool,
+    ) -> Outcome {
         let failure = match end {
-            End::Result(Ok(_)) if flushed => {
+            Completion::Result(Ok(_)) if flushed => {
                 return Outcome {
                     code: None,
                     ran: Ran::Yes,
@@ -25,36 +30,38 @@
                     ..Outcome::refused(Code::CallerLeft, None)
                 };
             }
-            End::Result(Ok(_)) => Failure::Gone,
-            End::Result(Err(failure)) => failure,
-            End::Deadline => {
+            Completion::Result(Ok(_)) => Failure::OutputClosed,
+            Completion::Result(Err(failure)) => failure,
+            Completion::Deadline => {
                 let text = Code::DeadlinePassed.text().to_owned();
-                return failed(Code::DeadlinePassed, Ran::Yes, text);
+                return failed_outcome(Code::DeadlinePassed, Ran::Yes, text);
             }
-            End::GivenUp => {
-                return failed(Code::CallerLeft, Ran::Yes, "given up".to_owned());
+            Completion::Cancelled => {
+                return failed_outcome(Code::CallerLeft, Ran::Yes, "given up".to_owned());
             }
         };
         let text = failure.to_string();
         match failure {
             Failure::Unreachable => {
                 self.set_down(true);
-                failed(Code::NoUpstream, Ran::No, text)
+                failed_outcome(Code::NoUpstream, Ran::No, text)
             }
-            Failure::Refused(413, _) => failed(Code::PromptTooLong, Ran::No, text),
-            Failure::Refused(503 | 429, _) => failed(Code::MemoryUnavailable, Ran::No, text),
-            Failure::Refused(..) => failed(Code::UpstreamFailed, Ran::No, text),
-            Failure::Failed(..) => failed(Code::UpstreamFailed, Ran::Yes, text),
-            Failure::Gone => failed(Code::CallerLeft, Ran::Yes, text),
+            Failure::Refused(413, _) => failed_outcome(Code::PromptTooLong, Ran::No, text),
+            Failure::Refused(503 | 429, _) => {
+                failed_outcome(Code::MemoryUnavailable, Ran::No, text)
+            }
+            Failure::Refused(..) => failed_outcome(Code::UpstreamFailed, Ran::No, text),
+            Failure::Failed(..) => failed_outcome(Code::UpstreamFailed, Ran::Yes, text),
+            Failure::OutputClosed => failed_outcome(Code::CallerLeft, Ran::Yes, text),
             Failure::Broken | Failure::Truncated => {
-                let death = self.look_for_death().await;
+                let death = self.check_for_death().await;
                 let ran = if began { Ran::Yes } else { Ran::Unknown };
                 let code = if began {
                     Code::StreamBroken
                 } else {
                     Code::UpstreamLost
                 };
-                let mut outcome = failed(code, ran, text);
+                let mut outcome = failed_outcome(code, ran, text);
                 outcome.died = death.is_some();
                 let others = death.unwrap_or_default();
                 outcome.beside = others.iter().map(|one| one.fingerprint).collect();
--- a/almondlock-sidecar/src/output.rs
+++ b/almondlock-sidecar/src/output.rs
@@ -18,15 +18,15 @@
     task::{JoinHandle, spawn_local},
 };
 
-use crate::protocol::{Gone, Output};
+use crate::protocol::{Closed, Output};
 
 /// Frames that wait for the entry host at most.
-const DEPTH: usize = 64;
+const MAX_BUFFERED_FRAMES: usize = 64;
 
 /// Told of the first part of an answer that took the engine's work.
-pub trait Watch {
+pub trait Observer {
     /// The prompt has been processed.
-    fn prefilled(&self);
+    fn on_prefill_end(&self);
 }
 
 /// Gives an answer's parts their places and pushes them to the entry host.
@@ -34,25 +34,25 @@
     attempt: Attempt,
     offset: u64,
     began: bool,
-    watch: Rc<W>,
+    observer: Rc<W>,
     frames: mpsc::Sender<Frame>,
     task: JoinHandle<Result<(), capnp::Error>>,
 }
 
 impl<W> Pusher<W>
 where
-    W: Watch,
+    W: Observer,
 {
     /// Pushes the answer of an attempt that goes on at `offset`.
-    pub fn new(attempt: Attempt, offset: u64, sink: sink::Client, watch: Rc<W>) -> Pusher<W> {
-        let (frames, queue) = mpsc::channel(DEPTH);
+    pub fn new(attempt: Attempt, offset: u64, sink: sink::Client, observer: Rc<W>) -> Pusher<W> {
+        let (frames, queue) = mpsc::channel(MAX_BUFFERED_FRAMES);
         Pusher {
             attempt,
             offset,
             began: false,
-            watch,
+            observer,
             frames,
-            task: spawn_local(push(sink, queue)),
+            task: spawn_local(push_frames(sink, queue)),
         }
     }
 
@@ -67,23 +67,23 @@
     }
 
     /// Waits until the entry host has taken everything.
-    pub async fn flush(self) -> Result<(), Gone> {
+    pub async fn flush(self) -> Result<(), Closed> {
         drop(self.frames);
         match self.task.await {
             Ok(Ok(())) => Ok(()),
-            _ => Err(Gone),
+            _ => Err(Closed),
         }
     }
 }
 
 impl<W> Output for Pusher<W>
 where
-    W: Watch,
+    W: Observer,
 {
-    async fn put(&mut self, count: u32, part: Part) -> Result<(), Gone> {
+    async fn put(&mut self, count: u32, part: Part) -> Result<(), Closed> {
         if !self.began && count > 0 {
             self.began = true;
-            self.watch.prefilled();
+            self.observer.on_prefill_end();
         }
         let frame = Frame {
             attempt: self.attempt.clone(),
@@ -92,13 +92,16 @@
             part,
         };
         self.offset += u64::from(count);
-        self.frames.send(frame).await.map_err(|_| Gone)
+        self.frames.send(frame).await.map_err(|_| Closed)
     }
 }
 
-async fn push(sink: sink::Client, mut queue: mpsc::Receiver<Frame>) -> Result<(), capnp::Error> {
-    let mut batch = Vec::with_capacity(DEPTH);
-    while queue.recv_many(&mut batch, DEPTH).await > 0 {
+async fn push_frames(
+    sink: sink::Client,
+    mut queue: mpsc::Receiver<Frame>,
+) -> Result<(), capnp::Error> {
+    let mut batch = Vec::with_capacity(MAX_BUFFERED_FRAMES);
+    while queue.recv_many(&mut batch, MAX_BUFFERED_FRAMES).await > 0 {
         let mut request = sink.push_request();
         let count = u32::try_from(batch.len()).unwrap_or(u32::MAX);
         let mut list = request.get().init_frames(count);
--- a/almondlock-sidecar/src/parts.rs
+++ b/almondlock-sidecar/src/parts.rs
@@ -16,14 +16,14 @@
 use tokio::time::timeout;
 
 use crate::{
+    body,
     memory::owner_of,
     protocol::{Failure, Piece, Protocol},
-    pull,
-    service::{Inner, Service, failed, refused},
+    sidecar::{Inner, Sidecar, failed_outcome, refused_outcome},
 };
 
 /// A reservation that is waited for; dropping it takes it back.
-struct Wait<P>
+struct Pending<P>
 where
     P: Protocol,
 {
@@ -31,7 +31,7 @@
     attempt: Option<Attempt>,
 }
 
-impl<P> Drop for Wait<P>
+impl<P> Drop for Pending<P>
 where
     P: Protocol,
 {
@@ -40,12 +40,12 @@
             let now = clock::mono();
             let mut table = self.inner.table.borrow_mut();
             table.release(&attempt, now);
-            table.pump(now);
+            table.grant_waiting(now);
         }
     }
 }
 
-impl<P> Service<P>
+impl<P> Sidecar<P>
 where
     P: Protocol,
 {
@@ -53,7 +53,7 @@
     pub async fn reserve(&self, part: &Part) -> Outcome {
         let inner = &self.inner;
         inner.handle.heard(&part.from);
-        inner.check_leaving(clock::mono());
+        inner.update_leaving(clock::mono());
         if inner.down.get() {
             return Outcome::refused(Code::NoUpstream, None);
         }
@@ -61,26 +61,26 @@
             let now = clock::mono();
             let mut table = inner.table.borrow_mut();
             let asked = table.reserve(part, now);
-            table.pump(now);
+            table.grant_waiting(now);
             asked
         };
         let told = match asked {
             Ok(told) => told,
-            Err(refusal) => return refused(refusal),
+            Err(refusal) => return refused_outcome(refusal),
         };
-        let mut wait = Wait {
+        let mut pending = Pending {
             inner: Rc::clone(inner),
             attempt: Some(part.attempt.clone()),
         };
         match told.await {
             Ok(Ok(())) => {}
             Ok(Err(refusal)) => {
-                wait.attempt = None;
-                return refused(refusal);
+                pending.attempt = None;
+                return refused_outcome(refusal);
             }
             Err(_) => return Outcome::refused(Code::HostStopping, None),
         }
-        wait.attempt = None;
+        pending.attempt = None;
         let item = Item {
             kind: Kind::Reservation,
             tokens: part.tokens,
@@ -90,7 +90,7 @@
         inner
             .memory
             .open(id, item, &owner, part.lease, clock::mono());
-        whole()
+        success()
     }
 
     /// Processes a reserved part and keeps it on the engine.
@@ -99,11 +99,11 @@
         let id = part.attempt.to_string();
         let text = match part.text {
             (_, 0) => None,
-            (offset, length) => match pull::range(&source, offset, length).await {
+            (offset, length) => match body::read_range(&source, offset, length).await {
                 Ok(text) => Some(text),
                 Err(error) => {
                     let text = error.to_string();
-                    return (failed(Code::CallerLeft, Ran::No, text), None);
+                    return (failed_outcome(Code::CallerLeft, Ran::No, text), None);
                 }
             },
         };
@@ -113,19 +113,20 @@
             text,
             priority: Class::Huge.index() as u8,
         };
-        let work = timeout(part.budget, inner.protocol.segment(piece)).await;
+        let work = timeout(part.budget, inner.protocol.process_segment(piece)).await;
         match work {
-            Ok(Ok(segment)) => (whole(), Some(segment)),
+            Ok(Ok(segment)) => (success(), Some(segment)),
             Ok(Err(failure)) => {
                 let broken = matches!(failure, Failure::Broken | Failure::Unreachable);
-                let died = broken && inner.look_for_death().await.is_some();
-                let mut outcome = failed(Code::UpstreamLost, Ran::Unknown, failure.to_string());
+                let died = broken && inner.check_for_death().await.is_some();
+                let mut outcome =
+                    failed_outcome(Code::UpstreamLost, Ran::Unknown, failure.to_string());
                 outcome.died = died;
                 (outcome, None)
             }
             Err(_) => {
                 let text = Code::DeadlinePassed.text().to_owned();
-                (failed(Code::DeadlinePassed, Ran::Yes, text), None)
+                (failed_outcome(Code::DeadlinePassed, Ran::Yes, text), None)
             }
         }
     }
@@ -137,11 +138,11 @@
         inner.memory.release(&attempt.to_string(), now);
         let mut table = inner.table.borrow_mut();
         table.release(attempt, now);
-        table.pump(now);
+        table.grant_waiting(now);
     }
 }
 
-fn whole() -> Outcome {
+fn success() -> Outcome {
     Outcome {
         code: None,
         ran: Ran::Yes,
--- a/almondlock-sidecar/src/plain.rs
+++ b/almondlock-sidecar/src/plain.rs
@@ -14,14 +14,14 @@
 };
 
 use crate::{
-    openai::{Runs, classify},
-    protocol::{Failure, Feed, Held, Job, Output, Piece, Protocol},
+    openai::{Clients, classify_error},
+    protocol::{Allocation, Failure, Feed, Output, Piece, Protocol, Run},
 };
 
 /// A plain service's address and a client for it.
 pub struct Service {
     base: String,
-    runs: Runs,
+    clients: Clients,
 }
 
 impl Service {
@@ -29,17 +29,17 @@
     pub async fn new(address: SocketAddr) -> Result<Service, ClientBuilderError> {
         Ok(Service {
             base: format!("http://{address}"),
-            runs: Runs::new().await?,
+            clients: Clients::new().await?,
         })
     }
 
-    async fn send(&self, job: &Job<'_>, body: Feed) -> Result<ClientResponse, Failure> {
+    async fn send(&self, job: &Run<'_>, body: Feed) -> Result<ClientResponse, Failure> {
         let head = job.head;
         let method = Method::from_bytes(head.method.as_bytes())
             .map_err(|_| Failure::Refused(405, "unknown method".to_owned()))?;
         let url = format!("{}{}", self.base, head.path);
         let mut request = self
-            .runs
+            .clients
             .request(head.repeatable, method, url)
             .header("traceparent", job.traceparent)
             .header("X-Request-Id", head.request.as_str());
@@ -52,7 +52,7 @@
             let body = SizedStream::new(head.body_length, body);
             request.send_body(body).await
         };
-        sent.map_err(|e| classify(&e))
+        sent.map_err(|e| classify_error(&e))
     }
 }
 
@@ -68,14 +68,17 @@
 }
 
 impl Protocol for Service {
-    async fn run<O>(&self, job: Job<'_>, body: Feed, output: &mut O) -> Result<Usage, Failure>
+    async fn run<O>(&self, job: Run<'_>, body: Feed, output: &mut O) -> Result<Usage, Failure>
     where
         O: Output,
     {
         let response = self.send(&job, body).await?;
         // A service's error is its answer: it is the caller's to read.
         let first = begin(&response);
-        output.put(0, first).await.map_err(|_| Failure::Gone)?;
+        output
+            .put(0, first)
+            .await
+            .map_err(|_| Failure::OutputClosed)?;
         let mut payload = response.take_payload();
         let mut total = 0;
         while let Some(chunk) = payload.next().await {
@@ -83,7 +86,10 @@
             let count = u32::try_from(chunk.len()).unwrap_or(u32::MAX);
             total += u64::from(count);
             let part = Part::Bytes(chunk.to_vec());
-            output.put(count, part).await.map_err(|_| Failure::Gone)?;
+            output
+                .put(count, part)
+                .await
+                .map_err(|_| Failure::OutputClosed)?;
         }
         Ok(Usage {
             output: Tokens(total),
@@ -97,28 +103,28 @@
         true
     }
 
-    async fn segment(&self, _piece: Piece<'_>) -> Result<Segment, Failure> {
+    async fn process_segment(&self, _piece: Piece<'_>) -> Result<Segment, Failure> {
         Err(Failure::Refused(
             405,
             "a plain service has no prompts".to_owned(),
         ))
     }
 
-    async fn load(&self, _model: &str, _version: &str, _fence: u64) -> Result<(), Failure> {
+    async fn load_model(&self, _model: &str, _version: &str, _fence: u64) -> Result<(), Failure> {
         Err(Failure::Refused(
             405,
             "a plain service has no models".to_owned(),
         ))
     }
 
-    async fn held(&self) -> Option<Vec<Held>> {
+    async fn list_allocations(&self) -> Option<Vec<Allocation>> {
         Some(Vec::new())
     }
 
-    async fn alive(&self) -> bool {
+    async fn is_alive(&self) -> bool {
         // Any answer at all will do: a service has no agreed health path.
         let url = format!("{}/", self.base);
-        self.runs
+        self.clients
             .request(true, Method::HEAD, url)
             .send()
             .await
--- a/almondlock-sidecar/src/protocol.rs
+++ b/almondlock-sidecar/src/protocol.rs
@@ -17,7 +17,7 @@
 use ntex::util::Bytes;
 
 /// Chunks of a request's body that wait for the upstream at most.
-const FEED_DEPTH: usize = 2;
+const FEED_CAPACITY_CHUNKS: usize = 2;
 
 /// A chunk of a body, or why there is none; in the form the HTTP client wants.
 pub type Chunk = Result<Bytes, Rc<dyn error::Error>>;
@@ -29,13 +29,13 @@
 pub type Feeder = mpsc::Sender<Chunk>;
 
 /// Makes a body that is fed while it is read.
-pub fn feed() -> (Feeder, Feed) {
-    mpsc::channel(FEED_DEPTH)
+pub fn feed_channel() -> (Feeder, Feed) {
+    mpsc::channel(FEED_CAPACITY_CHUNKS)
 }
 
 /// One run of a request on an upstream.
 #[derive(Debug)]
-pub struct Job<'a> {
+pub struct Run<'a> {
     /// The attempt's head.
     pub head: &'a Head,
     /// The trace context of the upstream's hop.
@@ -63,16 +63,16 @@
 /// Where an answer's parts go, in order. Waits while the caller is slow.
 pub trait Output {
     /// Passes on a part of `count` units.
-    fn put(&mut self, count: u32, part: Part) -> impl Future<Output = Result<(), Gone>>;
+    fn put(&mut self, count: u32, part: Part) -> impl Future<Output = Result<(), Closed>>;
 }
 
 /// Nobody wants the rest of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone;
+pub struct Closed;
 
 /// Something that takes engine memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct Allocation {
     /// The name it was given.
     pub id: String,
     /// What it is held for.
@@ -95,7 +95,7 @@
     /// The answer ended without its closing record.
     Truncated,
     /// Whoever wanted the answer is gone.
-    Gone,
+    OutputClosed,
 }
 
 impl fmt::Display for Failure {
@@ -106,7 +106,7 @@
             Failure::Failed(status, text) => write!(f, "failed with {status}: {text}"),
             Failure::Broken => f.write_str("the connection to the upstream broke"),
             Failure::Truncated => f.write_str("the upstream's answer broke off"),
-            Failure::Gone => f.write_str("the answer is no longer wanted"),
+            Failure::OutputClosed => f.write_str("the answer is no longer wanted"),
         }
     }
 }
@@ -119,7 +119,7 @@
     /// connection; [`Protocol::cancel`] makes sure of the run.
     fn run<O>(
         &self,
-        job: Job<'_>,
+        job: Run<'_>,
         body: Feed,
         output: &mut O,
     ) -> impl Future<Output = Result<Usage, Failure>>
@@ -130,10 +130,10 @@
     fn cancel(&self, id: &str) -> impl Future<Output = bool>;
 
     /// Processes a part of a prompt and keeps it until it is cancelled.
-    fn segment(&self, piece: Piece<'_>) -> impl Future<Output = Result<Segment, Failure>>;
+    fn process_segment(&self, piece: Piece<'_>) -> impl Future<Output = Result<Segment, Failure>>;
 
     /// Orders the upstream to load a version of a model.
-    fn load(
+    fn load_model(
         &self,
         model: &str,
         version: &str,
@@ -141,8 +141,8 @@
     ) -> impl Future<Output = Result<(), Failure>>;
 
     /// Lists what takes memory on the upstream, `None` when it doesn't answer.
-    fn held(&self) -> impl Future<Output = Option<Vec<Held>>>;
+    fn list_allocations(&self) -> impl Future<Output = Option<Vec<Allocation>>>;
 
     /// Whether the upstream answers at all.
-    fn alive(&self) -> impl Future<Output = bool>;
+    fn is_alive(&self) -> impl Future<Output = bool>;
 }
--- a/almondlock-sidecar/src/rpc.rs
+++ b/almondlock-sidecar/src/rpc.rs
@@ -11,9 +11,9 @@
 };
 use capnp::Error;
 
-use crate::{protocol::Protocol, service::Service};
+use crate::{protocol::Protocol, sidecar::Sidecar};
 
-impl<P> sidecar::Server for Service<P>
+impl<P> sidecar::Server for Sidecar<P>
 where
     P: Protocol,
 {
@@ -26,7 +26,7 @@
         let head = read_head(params.get_head()?)?;
         let source = params.get_source()?;
         let sink = params.get_sink()?;
-        let outcome = Service::submit(&self, &head, source, sink).await;
+        let outcome = Sidecar::submit(&self, &head, source, sink).await;
         let mut answer = results.get().init_outcome();
         write_outcome(&outcome, answer.reborrow());
         self.handle().peer().write(answer.init_from());
@@ -41,7 +41,7 @@
         let params = params.get()?;
         let attempt = read_id(params.get_attempt()?)?;
         let target = Incarnation(params.get_target());
-        let ran = Service::settle(&self, &attempt, target);
+        let ran = Sidecar::settle(&self, &attempt, target);
         results.get().set_ran(write_ran(ran));
         self.handle().peer().write(results.get().init_from());
         Ok(())
@@ -69,7 +69,7 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let host = Host::new(params.get_owner()?.to_str()?).map_err(wire::Error::from)?;
-        Service::renew(&self, host, Incarnation(params.get_incarnation()));
+        Sidecar::renew(&self, host, Incarnation(params.get_incarnation()));
         if let Ok(peer) = Peer::read(params.get_from()?) {
             self.handle().heard(&peer);
         }
@@ -83,7 +83,7 @@
         mut results: sidecar::ReserveResults,
     ) -> Result<(), Error> {
         let part = read_part(params.get()?.get_part()?)?;
-        let outcome = Service::reserve(&self, &part).await;
+        let outcome = Sidecar::reserve(&self, &part).await;
         let mut answer = results.get().init_outcome();
         write_outcome(&outcome, answer.reborrow());
         self.handle().peer().write(answer.init_from());
@@ -98,7 +98,7 @@
         let params = params.get()?;
         let part = read_part(params.get_part()?)?;
         let source = params.get_source()?;
-        let (outcome, segment) = Service::process(&self, &part, source).await;
+        let (outcome, segment) = Sidecar::process(&self, &part, source).await;
         let mut answer = results.get().init_outcome();
         write_outcome(&outcome, answer.reborrow());
         self.handle().peer().write(answer.init_from());
@@ -114,7 +114,7 @@
         mut results: sidecar::ReleaseResults,
     ) -> Result<(), Error> {
         let attempt = read_id(params.get()?.get_attempt()?)?;
-        Service::release(&self, &attempt);
+        Sidecar::release(&self, &attempt);
         self.handle().peer().write(results.get().init_from());
         Ok(())
     }
--- a/almondlock-sidecar/src/service.rs
+++ b/almondlock-sidecar/src/sidecar.rs
@@ -26,9 +26,9 @@
 use tracing::Instrument;
 
 use crate::{
-    death::Death,
+    death,
     memory::Memory,
-    orders::Desk,
+    orders::Forwarder,
     protocol::Protocol,
     stop::Stop,
     table::{Config, Refusal, Table},
@@ -37,23 +37,23 @@
 
 /// How often deadlines of waiting work and the upstream's leaving are looked
 /// at; what is given up on is answered within this time.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// Pause between two looks at what memory is to be freed.
-const MEMORY_PAUSE: Duration = Duration::from_millis(100);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between two looks at whether the upstream answers.
-const HEALTH_PAUSE: Duration = Duration::from_millis(500);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// When to come back after a refusal that names no time.
 pub(crate) const DEFAULT_RETRY: Duration = Duration::from_secs(1);
 
 /// The sidecar of one upstream. Clones are handles to the same one.
-pub struct Service<P> {
+pub struct Sidecar<P> {
     pub(crate) inner: Rc<Inner<P>>,
 }
 
-impl<P> Clone for Service<P> {
-    fn clone(&self) -> Service<P> {
+impl<P> Clone for Sidecar<P> {
+    fn clone(&self) -> Sidecar<P> {
         let inner = Rc::clone(&self.inner);
-        Service { inner }
+        Sidecar { inner }
     }
 }
 
@@ -64,17 +64,17 @@
     pub(crate) handle: Handle,
     pub(crate) replicas: Replicas,
     pub(crate) table: RefCell<Table>,
-    pub(crate) death: RefCell<Death>,
+    pub(crate) death: RefCell<death::Record>,
     rng: RefCell<SmallRng>,
     pub(crate) metrics: Metrics,
     stop: Stop,
     pub(crate) memory: Memory,
-    pub(crate) orders: Desk,
+    pub(crate) orders: Forwarder,
     // The upstream doesn't answer; nothing is handed to it until it does.
     pub(crate) down: Cell<bool>,
 }
 
-impl<P> Service<P>
+impl<P> Sidecar<P>
 where
     P: Protocol,
 {
@@ -88,7 +88,7 @@
         handle: Handle,
         replicas: Replicas,
         (metrics, stop): (Metrics, Stop),
-    ) -> Service<P> {
+    ) -> Sidecar<P> {
         let inner = Rc::new(Inner {
             upstream,
             incarnation,
@@ -101,7 +101,7 @@
             metrics,
             stop,
             memory: Memory::new(clock::mono()),
-            orders: Desk::default(),
+            orders: Forwarder::default(),
             down: Cell::new(false),
         });
         let weak = Rc::downgrade(&inner);
@@ -109,38 +109,38 @@
             while let Some(inner) = weak.upgrade() {
                 inner.tick();
                 drop(inner);
-                sleep(TICK).await;
+                sleep(TICK_INTERVAL).await;
             }
         });
         let weak = Rc::downgrade(&inner);
         spawn_local(async move {
             while let Some(inner) = weak.upgrade() {
-                let alive = inner.protocol.alive().await;
+                let alive = inner.protocol.is_alive().await;
                 inner.set_down(!alive);
                 drop(inner);
-                sleep(HEALTH_PAUSE).await;
+                sleep(HEALTH_CHECK_INTERVAL).await;
             }
         });
         let weak = Rc::downgrade(&inner);
         spawn_local(async move {
             while let Some(inner) = weak.upgrade() {
-                inner.tend_memory().await;
-                inner.tend_orders().await;
+                inner.maintain_memory().await;
+                inner.forward_due_order().await;
                 drop(inner);
-                sleep(MEMORY_PAUSE).await;
+                sleep(MAINTENANCE_INTERVAL).await;
             }
         });
-        Service { inner }
+        Sidecar { inner }
     }
 
     /// Runs an attempt to its outcome. Dropping the future gives it up.
     pub async fn submit(&self, head: &Head, source: source::Client, sink: sink::Client) -> Outcome {
         let inner = &self.inner;
         inner.handle.heard(&head.from);
-        inner.check_leaving(clock::mono());
+        inner.update_leaving(clock::mono());
         // Until its outcome is on its way: a process that stops waits for it.
-        let _busy = inner.stop.begin();
-        let context = inner.hop(&head.traceparent);
+        let _guard = inner.stop.track_attempt();
+        let context = inner.hop_context(&head.traceparent);
         let hop = tracing::info_span!(
             "sidecar",
             request = %head.request,
@@ -151,7 +151,7 @@
         let work = async {
             match inner.clone().admit(head).await {
                 Ok(ticket) => ticket.run(head, &context, source, sink).await,
-                Err(refusal) => refused(refusal),
+                Err(refusal) => refused_outcome(refusal),
             }
         };
         let mut outcome = work.instrument(hop).await;
@@ -164,7 +164,7 @@
         let now = clock::mono();
         let mut table = self.inner.table.borrow_mut();
         let ran = table.settle(attempt, target, now);
-        table.pump(now);
+        table.grant_waiting(now);
         ran
     }
 
@@ -184,7 +184,7 @@
 
     /// Whether the upstream answers.
     pub async fn is_alive(&self) -> bool {
-        self.inner.protocol.alive().await
+        self.inner.protocol.is_alive().await
     }
 
     /// The node's handle, for what every exchange carries.
@@ -193,7 +193,7 @@
     }
 }
 
-pub(crate) fn refused(refusal: Refusal) -> Outcome {
+pub(crate) fn refused_outcome(refusal: Refusal) -> Outcome {
     let mut outcome = Outcome::refused(refusal.code, refusal.retry_after.or(Some(DEFAULT_RETRY)));
     outcome.ran = refusal.ran;
     outcome
@@ -211,7 +211,7 @@
     }
 }
 
-pub(crate) fn failed(code: Code, ran: Ran, message: String) -> Outcome {
+pub(crate) fn failed_outcome(code: Code, ran: Ran, message: String) -> Outcome {
     Outcome {
         ran,
         message,
@@ -225,15 +225,15 @@
 {
     fn tick(&self) {
         let now = clock::mono();
-        self.check_leaving(now);
+        self.update_leaving(now);
         let mut table = self.table.borrow_mut();
         table.expire(now);
-        table.pump(now);
+        table.grant_waiting(now);
     }
 
     /// The sidecar is the gate: an entry host that is cut off and doesn't know
     /// of the drain is refused here.
-    pub(crate) fn check_leaving(&self, now: Mono) {
+    pub(crate) fn update_leaving(&self, now: Mono) {
         let config = self.handle.view().get();
         let leaving = config.is_drained(&self.upstream) || self.stop.is_stopping();
         self.table.borrow_mut().set_leaving(leaving, now);
@@ -247,7 +247,7 @@
     }
 
     /// The context of this process's hop of an attempt.
-    fn hop(&self, traceparent: &str) -> Context {
+    fn hop_context(&self, traceparent: &str) -> Context {
         self.with_rng(|rng| match Context::parse(traceparent) {
             Some(parent) => parent.child(rng),
             None => Context::root(rng),
@@ -286,19 +286,19 @@
         let now = clock::mono();
         let told = {
             let mut table = self.table.borrow_mut();
-            let told = table.enter(head, treatment, now)?;
-            table.pump(now);
+            let told = table.enqueue(head, treatment, now)?;
+            table.grant_waiting(now);
             told
         };
         let deadline = now + head.budget;
         let mut ticket = Ticket::new(Rc::clone(&self), &head.attempt, suspect, deadline);
         match told.await {
             Ok(Ok(grant)) => {
-                ticket.granted(&grant);
+                ticket.record_grant(&grant);
                 Ok(ticket)
             }
             Ok(Err(refusal)) => {
-                ticket.left();
+                ticket.mark_removed();
                 Err(refusal)
             }
             // The sidecar is stopping.
--- a/almondlock-sidecar/src/stop.rs
+++ b/almondlock-sidecar/src/stop.rs
@@ -5,7 +5,7 @@
 use tokio::time::{sleep, timeout};
 
 /// How often the end of what runs is looked for.
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Shared by all sidecars of a process. Clones are the same one.
 #[derive(Clone, Debug, Default)]
@@ -17,12 +17,12 @@
 struct Inner {
     stopping: Cell<bool>,
     // Attempts that wait or run.
-    busy: Cell<u32>,
+    active: Cell<u32>,
 }
 
 /// An attempt that waits or runs.
 #[derive(Debug)]
-pub(crate) struct Busy(Stop);
+pub(crate) struct Guard(Stop);
 
 impl Stop {
     /// Whether the process is stopping: new work is refused as not run, and
@@ -36,23 +36,23 @@
     pub async fn drain(&self, grace: Duration) -> u32 {
         self.inner.stopping.set(true);
         let drained = async {
-            while self.inner.busy.get() > 0 {
-                sleep(PAUSE).await;
+            while self.inner.active.get() > 0 {
+                sleep(POLL_INTERVAL).await;
             }
         };
         let _ = timeout(grace, drained).await;
-        self.inner.busy.get()
+        self.inner.active.get()
     }
 
-    pub(crate) fn begin(&self) -> Busy {
-        self.inner.busy.set(self.inner.busy.get() + 1);
-        Busy(self.clone())
+    pub(crate) fn track_attempt(&self) -> Guard {
+        self.inner.active.set(self.inner.active.get() + 1);
+        Guard(self.clone())
     }
 }
 
-impl Drop for Busy {
+impl Drop for Guard {
     fn drop(&mut self) {
-        let busy = &self.0.inner.busy;
-        busy.set(busy.get().saturating_sub(1));
+        let active = &self.0.inner.active;
+        active.set(active.get().saturating_sub(1));
     }
 }
--- a/almondlock-sidecar/src/table.rs
+++ b/almondlock-sidecar/src/table.rs
@@ -24,9 +24,9 @@
 use tokio::sync::oneshot;
 
 /// When to come back for memory that could not be had.
-const MEMORY_RETRY: Duration = Duration::from_secs(5);
+const MEMORY_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// Prefix hashes remembered as cached on the engine.
-const PREFIX_MEMORY: usize = 8192;
+const MAX_KNOWN_PREFIXES: usize = 8192;
 
 /// Why an attempt doesn't run, and what is known of its copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 
 /// A request that ran on the engine at some moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Present {
+pub struct Request {
     /// What it is told by.
     pub fingerprint: Fingerprint,
     /// Whose it is.
@@ -56,9 +56,9 @@
 }
 
 struct Entry {
-    present: Present,
+    request: Request,
     /// Engine memory kept for it from the grant on.
-    need: Tokens,
+    memory_need: Tokens,
     prefix: Vec<u64>,
     stage: Stage,
 }
@@ -96,12 +96,12 @@
     entries: HashMap<Attempt, Entry>,
     // Invariant: the sum of `need` over the entries that don't wait, and of
     // the reservations granted.
-    used: Tokens,
-    desk: Waitlist<Attempt>,
-    // Invariant: has exactly what waits at `desk`, and what it granted.
+    used_memory: Tokens,
+    waitlist: Waitlist<Attempt>,
+    // Invariant: has exactly what waits at `waitlist`, and what it granted.
     reservations: HashMap<Attempt, Reservation>,
     // Invariant: how many entries don't wait.
-    busy: u32,
+    occupied_slots: u32,
     prefixes: Prefixes,
 }
 
@@ -113,19 +113,19 @@
 }
 
 impl Prefixes {
-    fn put(&mut self, prefix: &[u64]) {
+    fn insert(&mut self, prefix: &[u64]) {
         for hash in prefix {
             if self.known.insert(*hash) {
                 self.order.push_back(*hash);
             }
         }
-        while self.order.len() > PREFIX_MEMORY {
+        while self.order.len() > MAX_KNOWN_PREFIXES {
             let oldest = self.order.pop_front();
             oldest.map(|hash| self.known.remove(&hash));
         }
     }
 
-    fn leading(&self, prefix: &[u64]) -> u32 {
+    fn count_leading(&self, prefix: &[u64]) -> u32 {
         let leading = prefix.iter().take_while(|h| self.known.contains(h));
         u32::try_from(leading.count()).unwrap_or(u32::MAX)
     }
@@ -138,10 +138,10 @@
             gate: Gate::new(config.gate, incarnation),
             queue: Queue::new(config.queue),
             entries: HashMap::new(),
-            used: Tokens::ZERO,
-            desk: Waitlist::new(gang::Config::default()),
+            used_memory: Tokens::ZERO,
+            waitlist: Waitlist::new(gang::Config::default()),
             reservations: HashMap::new(),
-            busy: 0,
+            occupied_slots: 0,
             prefixes: Prefixes::default(),
             config,
         }
@@ -153,7 +153,7 @@
     /// # Errors
     ///
     /// Refused at the gate or by the queue.
-    pub fn enter(
+    pub fn enqueue(
         &mut self,
         head: &Head,
         treatment: Treatment,
@@ -164,8 +164,8 @@
             .gate
             .admit(&head.attempt, head.incarnation, deadline, now);
         admitted.map_err(Refusal::from)?;
-        let job = self.job(head, treatment.is_charged(), deadline);
-        let need = job.memory_need();
+        let job = self.queue_job(head, treatment.is_charged(), deadline);
+        let memory_need = job.memory_need();
         let room = self.room();
         let id = head.attempt.clone();
         let pushed = if treatment == Treatment::Exclusive {
@@ -183,13 +183,13 @@
             });
         }
         let (tell, told) = oneshot::channel();
-        let present = Present {
+        let request = Request {
             fingerprint: head.fingerprint,
             organisation: head.organisation.clone(),
         };
         let entry = Entry {
-            present,
-            need,
+            request,
+            memory_need,
             prefix: head.prefix.clone(),
             stage: Stage::Waiting(tell),
         };
@@ -197,8 +197,8 @@
         Ok(told)
     }
 
-    fn job(&self, head: &Head, suspect: bool, deadline: Mono) -> Job {
-        let leading = self.prefixes.leading(&head.prefix) as usize;
+    fn queue_job(&self, head: &Head, suspect: bool, deadline: Mono) -> Job {
+        let leading = self.prefixes.count_leading(&head.prefix) as usize;
         Job {
             organisation: head.organisation.clone(),
             weight: head.share,
@@ -223,9 +223,9 @@
         let attempt = &part.attempt;
         let deadline = now + part.budget;
         self.gate.admit(attempt, part.incarnation, deadline, now)?;
-        let most = self.config.capacity.saturating_sub(self.short_part());
+        let most = self.config.capacity.saturating_sub(self.short_reserve());
         let asked = self
-            .desk
+            .waitlist
             .push(attempt.clone(), part.tokens, most, deadline, now);
         if let Err(refusal) = asked {
             self.gate.finish(attempt, Ran::No, now);
@@ -248,15 +248,15 @@
     pub fn release(&mut self, attempt: &Attempt, now: Mono) {
         if let Some(reservation) = self.reservations.remove(attempt) {
             if reservation.tell.is_none() {
-                self.used = self.used.saturating_sub(reservation.tokens);
+                self.used_memory = self.used_memory.saturating_sub(reservation.tokens);
             }
-            self.desk.remove(attempt);
+            self.waitlist.remove(attempt);
             self.gate.finish(attempt, Ran::No, now);
         }
     }
 
     /// The same, by the name that the engine knows it under.
-    pub fn release_named(&mut self, id: &str, now: Mono) {
+    pub fn release_by_engine_id(&mut self, id: &str, now: Mono) {
         let named = |attempt: &&Attempt| attempt.to_string() == id;
         if let Some(attempt) = self.reservations.keys().find(named).cloned() {
             self.release(&attempt, now);
@@ -264,30 +264,33 @@
     }
 
     /// Memory that only short prompts use.
-    fn short_part(&self) -> Tokens {
+    fn short_reserve(&self) -> Tokens {
         let reserve = u64::from(self.config.queue.reserve_percent.min(100));
         Tokens(self.config.capacity.0 / 100 * reserve)
     }
 
     fn grant_reservations(&mut self, now: Mono) {
-        for attempt in self.desk.take_expired(now) {
+        for attempt in self.waitlist.take_expired(now) {
             if let Some(reservation) = self.reservations.remove(&attempt)
                 && let Some(tell) = reservation.tell
             {
                 let _ = tell.send(Err(Refusal {
                     code: Code::MemoryUnavailable,
                     ran: Ran::No,
-                    retry_after: Some(MEMORY_RETRY),
+                    retry_after: Some(MEMORY_RETRY_AFTER),
                 }));
             }
             self.gate.finish(&attempt, Ran::No, now);
         }
-        while let Some(attempt) = self.desk.grant(self.room().free_memory, self.short_part()) {
+        while let Some(attempt) = self
+            .waitlist
+            .grant(self.room().free_memory, self.short_reserve())
+        {
             let Some(reservation) = self.reservations.get_mut(&attempt) else {
                 continue;
             };
             let told = reservation.tell.take().map(|tell| tell.send(Ok(())));
-            self.used += reservation.tokens;
+            self.used_memory += reservation.tokens;
             if !matches!(told, Some(Ok(()))) {
                 self.release(&attempt, now);
             }
@@ -300,14 +303,14 @@
     /// longest prompts would never start.
     fn queue_room(&self, now: Mono) -> Room {
         let mut room = self.room();
-        if self.desk.is_collecting(now) {
-            room.free_memory = room.free_memory.min(self.short_part());
+        if self.waitlist.is_collecting(now) {
+            room.free_memory = room.free_memory.min(self.short_reserve());
         }
         room
     }
 
     /// Starts what there is room for.
-    pub fn pump(&mut self, now: Mono) {
+    pub fn grant_waiting(&mut self, now: Mono) {
         self.grant_reservations(now);
         while let Some(grant) = self.queue.grant(now, &self.queue_room(now)) {
             let attempt = grant.id.clone();
@@ -315,8 +318,8 @@
                 self.queue.finish(&attempt, Tokens::ZERO);
                 continue;
             };
-            self.used += entry.need;
-            self.busy += 1;
+            self.used_memory += entry.memory_need;
+            self.occupied_slots += 1;
             let stage = std::mem::replace(&mut entry.stage, Stage::Granted);
             let told = match stage {
                 Stage::Waiting(tell) => tell.send(Ok(grant)).is_ok(),
@@ -345,10 +348,10 @@
     }
 
     /// Notes that a running attempt's prompt has been processed.
-    pub fn prefilled(&mut self, attempt: &Attempt, now: Mono) {
+    pub fn end_prefill(&mut self, attempt: &Attempt, now: Mono) {
         self.queue.end_prefill(attempt, now);
         if let Some(entry) = self.entries.get(attempt) {
-            self.prefixes.put(&entry.prefix);
+            self.prefixes.insert(&entry.prefix);
         }
     }
 
@@ -361,8 +364,8 @@
             self.queue.remove(attempt);
         } else {
             self.queue.finish(attempt, output);
-            self.used = self.used.saturating_sub(entry.need);
-            self.busy = self.busy.saturating_sub(1);
+            self.used_memory = self.used_memory.saturating_sub(entry.memory_need);
+            self.occupied_slots = self.occupied_slots.saturating_sub(1);
         }
         self.gate.finish(attempt, ran, now);
     }
@@ -372,7 +375,7 @@
         let settled = self.gate.settle(attempt, target, now);
         match settled.action {
             Action::None => {}
-            Action::Dequeue => self.answer(attempt, Code::Tombstoned, None, now),
+            Action::Dequeue => self.refuse_waiting(attempt, Code::Tombstoned, None, now),
             Action::Cancel => {
                 let entry = self.entries.get_mut(attempt);
                 let stage = entry.map(|e| std::mem::replace(&mut e.stage, Stage::Granted));
@@ -388,7 +391,7 @@
     /// Answers those who wait no longer: their time is over, or can't suffice.
     pub fn expire(&mut self, now: Mono) {
         for expiry in self.queue.take_expired(now) {
-            self.answer(&expiry.id, expiry.code, Some(expiry.retry_after), now);
+            self.refuse_waiting(&expiry.id, expiry.code, Some(expiry.retry_after), now);
         }
         self.gate.sweep(now);
     }
@@ -400,13 +403,13 @@
             return;
         }
         for attempt in self.gate.set_leaving(leaving, now) {
-            self.answer(&attempt, Code::UpstreamLeaving, None, now);
-            self.give_back(&attempt);
+            self.refuse_waiting(&attempt, Code::UpstreamLeaving, None, now);
+            self.refuse_reservation(&attempt);
         }
     }
 
     /// Refuses a reservation that waits.
-    fn give_back(&mut self, attempt: &Attempt) {
+    fn refuse_reservation(&mut self, attempt: &Attempt) {
         let waits = |r: &mut Reservation| r.tell.take();
         let tell = self.reservations.get_mut(attempt).and_then(waits);
         if let Some(tell) = tell {
@@ -416,7 +419,7 @@
                 retry_after: None,
             }));
             self.reservations.remove(attempt);
-            self.desk.remove(attempt);
+            self.waitlist.remove(attempt);
         }
     }
 
@@ -426,7 +429,7 @@
     }
 
     /// Sends a refusal to a waiting attempt and takes it out.
-    fn answer(&mut self, attempt: &Attempt, code: Code, wait: Option<Duration>, now: Mono) {
+    fn refuse_waiting(&mut self, attempt: &Attempt, code: Code, wait: Option<Duration>, now: Mono) {
         if let Some(entry) = self.entries.get_mut(attempt) {
             let refusal = Refusal {
                 code,
@@ -446,18 +449,18 @@
     }
 
     /// What runs on the engine.
-    pub fn present(&self) -> Vec<Present> {
+    pub fn running_requests(&self) -> Vec<Request> {
         let running = |e: &&Entry| matches!(e.stage, Stage::Running(_));
         let running = self.entries.values().filter(running);
-        running.map(|e| e.present.clone()).collect()
+        running.map(|e| e.request.clone()).collect()
     }
 
     /// Room on the engine, by what is kept for those that run.
     pub fn room(&self) -> Room {
         Room {
-            free_memory: self.config.capacity.saturating_sub(self.used),
+            free_memory: self.config.capacity.saturating_sub(self.used_memory),
             total_memory: self.config.capacity,
-            free_slots: self.config.slots.saturating_sub(self.busy),
+            free_slots: self.config.slots.saturating_sub(self.occupied_slots),
             total_slots: self.config.slots,
         }
     }
@@ -465,14 +468,14 @@
     /// What is told of the upstream's load. `prefix`: of a prompt that may come.
     pub fn load(&self, prefix: &[u64]) -> Load {
         Load {
-            running: self.busy,
+            running: self.occupied_slots,
             queued: u32::try_from(self.queue.len()).unwrap_or(u32::MAX),
             backlog: self.queue.backlog(),
             free: self.room().free_memory,
             capacity: self.config.capacity,
             wait: self.queue.estimate_wait(Class::Short),
             leaving: self.gate.is_leaving(),
-            cached: self.prefixes.leading(prefix),
+            cached: self.prefixes.count_leading(prefix),
             speed: self.queue.prefill_speed() as u64,
         }
     }
--- a/almondlock-sidecar/src/ticket.rs
+++ b/almondlock-sidecar/src/ticket.rs
@@ -18,11 +18,11 @@
 use tracing::Instrument;
 
 use crate::{
+    body::feed_body,
     memory::owner_of,
-    output::{Pusher, Watch},
-    protocol::{Failure, Job, Output, Protocol, feed},
-    pull::pull,
-    service::{DEFAULT_RETRY, Inner, refused},
+    output::{Observer, Pusher},
+    protocol::{Failure, Output, Protocol, Run, feed_channel},
+    sidecar::{DEFAULT_RETRY, Inner, refused_outcome},
 };
 
 /// How a ticket leaves the table when nothing more is said.
@@ -60,13 +60,13 @@
         let now = clock::mono();
         let mut table = self.inner.table.borrow_mut();
         table.finish(&self.attempt, ending.output, ending.ran, now);
-        table.pump(now);
+        table.grant_waiting(now);
         drop(table);
         if let Some(charge) = self.charge.take() {
             let inner = Rc::clone(&self.inner);
             spawn_local(async move {
-                if inner.protocol.alive().await {
-                    inner.clear(&charge, false).await;
+                if inner.protocol.is_alive().await {
+                    inner.withdraw_charge(&charge, false).await;
                 }
             });
         }
@@ -74,28 +74,28 @@
         if self.started {
             self.inner.memory.release(&id, now);
         } else {
-            self.inner.memory.ended(&id);
+            self.inner.memory.remove(&id);
         }
     }
 }
 
-impl<P> Watch for Ticket<P>
+impl<P> Observer for Ticket<P>
 where
     P: Protocol,
 {
-    fn prefilled(&self) {
+    fn on_prefill_end(&self) {
         let now = clock::mono();
         let mut table = self.inner.table.borrow_mut();
-        table.prefilled(&self.attempt, now);
-        table.pump(now);
+        table.end_prefill(&self.attempt, now);
+        table.grant_waiting(now);
     }
 }
 
 /// Why a run ended.
-pub(crate) enum End {
+pub(crate) enum Completion {
     Result(Result<Usage, Failure>),
     Deadline,
-    GivenUp,
+    Cancelled,
 }
 
 impl<P> Ticket<P>
@@ -126,13 +126,13 @@
     }
 
     /// Its turn has come.
-    pub(crate) fn granted(&mut self, grant: &Grant<Attempt>) {
+    pub(crate) fn record_grant(&mut self, grant: &Grant<Attempt>) {
         self.priority = grant.priority;
         self.queued = grant.waited;
     }
 
     /// It was taken out of the table already.
-    pub(crate) fn left(&mut self) {
+    pub(crate) fn mark_removed(&mut self) {
         self.ending = None;
     }
 
@@ -155,7 +155,7 @@
         let started = self.inner.table.borrow_mut().start(&self.attempt);
         let cancelled = match started {
             Ok(cancelled) => cancelled,
-            Err(refusal) => return refused(refusal),
+            Err(refusal) => return refused_outcome(refusal),
         };
         self.started = true;
         let owner = owner_of(&head.attempt);
@@ -188,58 +188,61 @@
             parent = %context.span(),
         );
         let hop = hop.to_string();
-        let drive = ticket.drive(head, &hop, source, cancelled, &mut pusher);
+        let drive = ticket.run_on_upstream(head, &hop, source, cancelled, &mut pusher);
         let end = drive.instrument(span).await;
         let began = pusher.has_begun();
         let flushed = match &end {
             // The last frames must be there before the outcome says so.
-            End::Result(Ok(_)) => pusher.flush().await.is_ok(),
+            Completion::Result(Ok(_)) => pusher.flush().await.is_ok(),
             _ => {
                 drop(pusher);
                 true
             }
         };
         let inner = Rc::clone(&ticket.inner);
-        let mut outcome = inner.judge(end, began, flushed).await;
+        let mut outcome = inner.resolve_outcome(end, began, flushed).await;
         outcome.queued = queued;
         if let Ok(mut ticket) = Rc::try_unwrap(ticket) {
-            ticket.close(&outcome);
+            ticket.record_outcome(&outcome);
         }
         if let Some(charge) = charge
             && !outcome.died
         {
-            inner.clear(&charge, outcome.code.is_none()).await;
+            inner.withdraw_charge(&charge, outcome.code.is_none()).await;
         }
         outcome
     }
 
-    async fn drive(
+    async fn run_on_upstream(
         &self,
         head: &Head,
         traceparent: &str,
         source: source::Client,
         cancelled: oneshot::Receiver<()>,
         pusher: &mut Pusher<Ticket<P>>,
-    ) -> End {
+    ) -> Completion {
         let id = self.attempt.to_string();
-        let job = Job {
+        let job = Run {
             head,
             traceparent,
             id: &id,
             priority: self.priority,
         };
-        let (feeder, body) = feed();
+        let (feeder, body) = feed_channel();
         let protocol = &self.inner.protocol;
         let work = async {
             let run = async {
                 let usage = protocol.run(job, body, pusher).await?;
                 let end = Part::End(usage.clone());
-                pusher.put(0, end).await.map_err(|_| Failure::Gone)?;
+                pusher
+                    .put(0, end)
+                    .await
+                    .map_err(|_| Failure::OutputClosed)?;
                 Ok(usage)
             };
             // The body may be left unread: the answer alone ends the run.
             let feeding = async {
-                pull(head, &source, feeder).await;
+                feed_body(head, &source, feeder).await;
                 std::future::pending::<()>().await;
             };
             tokio::select! {
@@ -249,13 +252,13 @@
         };
         let left = self.deadline.since(clock::mono());
         tokio::select! {
-            result = timeout(left, work) => result.map_or(End::Deadline, End::Result),
-            Ok(()) = cancelled => End::GivenUp,
+            result = timeout(left, work) => result.map_or(Completion::Deadline, Completion::Result),
+            Ok(()) = cancelled => Completion::Cancelled,
         }
     }
 
     /// Leaves the table in the way the outcome says.
-    fn close(&mut self, outcome: &Outcome) {
+    fn record_outcome(&mut self, outcome: &Outcome) {
         self.charge = None;
         if let Some(ending) = &mut self.ending {
             ending.ran = outcome.ran;
