--- a/almondlock-gateway/examples/exchange_growth.rs
+++ b/almondlock-gateway/examples/exchange_growth.rs
@@ -143,12 +143,12 @@
                 totals.told.bytes += told.bytes;
             }
         }
-        for (place, (gather, next)) in relays.iter_mut().enumerate() {
+        for (place, (aggregator, next)) in relays.iter_mut().enumerate() {
             if at < *next {
                 continue;
             }
-            let round = gather.next_round(now, &domain);
-            *next = at + millis(gather.period());
+            let round = aggregator.next_round(now, &domain);
+            *next = at + millis(aggregator.period());
             if counts {
                 send(&round, place, &mut totals);
             }
@@ -192,7 +192,7 @@
     }
     host.number += 1;
     let (close, seldom) = (place % RELAYS, (place + 1) % RELAYS);
-    for (relay, (gather, _)) in relays.iter_mut().enumerate() {
+    for (relay, (aggregator, _)) in relays.iter_mut().enumerate() {
         if !is_all && relay != close {
             continue;
         }
@@ -207,7 +207,7 @@
             loads: host.loads(),
         };
         told.add(1, size(&Message::Tell(digest.clone())));
-        gather.receive_report(now, address(place), digest);
+        aggregator.receive_report(now, address(place), digest);
     }
     told
 }
--- a/almondlock-gateway/src/pick/mod.rs
+++ b/almondlock-gateway/src/pick/mod.rs
@@ -218,7 +218,7 @@
     if !healthy.iter().any(|i| candidates[*i].may_answer()) {
         return choose_suspect(speed, demand, candidates, rng);
     }
-    let field = Selection {
+    let selection = Selection {
         speed,
         demand,
         candidates,
@@ -230,10 +230,10 @@
     let mut cells = cells.into_values();
     let own = cells.next().ok_or(Shortage::Upstream)?;
     let others: Vec<Vec<usize>> = cells.collect();
-    let own = field.choose_in_cell(&own, rng);
+    let own = selection.choose_in_cell(&own, rng);
     let others = cell::sample_others(others.len(), rng)
         .into_iter()
-        .filter_map(|i| field.choose_in_cell(&others[i], rng).ok());
+        .filter_map(|i| selection.choose_in_cell(&others[i], rng).ok());
     let other = others.min_by_key(|choice| choice.expected);
     match (own, other) {
         (Ok(own), Some(other)) if other.expected + cell::OVERFLOW_MARGIN < own.expected => {
--- a/almondlock-gateway/src/pick/slots.rs
+++ b/almondlock-gateway/src/pick/slots.rs
@@ -96,13 +96,13 @@
     if place == choice.primary || place >= candidates.len() {
         return;
     }
-    let field = Selection {
+    let selection = Selection {
         speed,
         demand,
         candidates,
     };
     choice.primary = place;
-    choice.expected = field.expected(field.cost_with_memory(place), choice.part);
+    choice.expected = selection.expected(selection.cost_with_memory(place), choice.part);
 }
 
 /// Draws a candidate with a probability in proportion to its weight.
--- a/almondlock-gateway/tests/told_loads.rs
+++ b/almondlock-gateway/tests/told_loads.rs
@@ -57,8 +57,8 @@
     }
 }
 
-fn take(gather: &mut Aggregator, now: Mono) -> Round {
-    gather.next_round(now, &domain("d"))
+fn take(aggregator: &mut Aggregator, now: Mono) -> Round {
+    aggregator.next_round(now, &domain("d"))
 }
 
 /// Returns what a host knows that gets this sum from one relay, to which it reported `own`.
@@ -76,11 +76,11 @@
 /// includes, which may not be its last one.
 #[test]
 fn sum_of_others() {
-    let mut gather = Aggregator::default();
-    gather.receive_report(START, host(1), digest(1, 7, &[(1, 2), (2, 7)]));
-    gather.receive_report(START, host(2), digest(2, 1, &[(1, 3)]));
-    gather.receive_report(START, host(3), digest(3, 1, &[(1, 4)]));
-    let round = take(&mut gather, START);
+    let mut aggregator = Aggregator::default();
+    aggregator.receive_report(START, host(1), digest(1, 7, &[(1, 2), (2, 7)]));
+    aggregator.receive_report(START, host(2), digest(2, 1, &[(1, 3)]));
+    aggregator.receive_report(START, host(3), digest(3, 1, &[(1, 4)]));
+    let round = take(&mut aggregator, START);
     let sum = round.whole.unwrap();
     assert!(round.newcomers.contains(&(host(1), 7)));
     let one = heard(sum.clone(), &loads(&[(1, 2), (2, 7)]));
@@ -98,21 +98,21 @@
 /// datagram may be lost. Work that has ended is sent as an empty load.
 #[test]
 fn only_changes() {
-    let mut gather = Aggregator::default();
+    let mut aggregator = Aggregator::default();
     let many: Vec<(u8, u16)> = (0..100).map(|n| (n, 3)).collect();
-    gather.receive_report(START, host(1), digest(1, 1, &many));
-    assert_eq!(take(&mut gather, START).whole.unwrap().loads.len(), 100);
-    gather.receive_report(START, host(1), digest(1, 2, &many));
+    aggregator.receive_report(START, host(1), digest(1, 1, &many));
+    assert_eq!(take(&mut aggregator, START).whole.unwrap().loads.len(), 100);
+    aggregator.receive_report(START, host(1), digest(1, 2, &many));
     let mut told = 0;
     for _ in 0..REPEAT {
-        let round = take(&mut gather, START);
+        let round = take(&mut aggregator, START);
         assert!(round.changes.loads.len() <= 2 && round.whole.is_none());
         assert_eq!(round.followers, [(host(1), 2)]);
         told += round.changes.loads.len();
     }
     assert_eq!(told, 100);
-    gather.receive_report(START, host(1), digest(1, 3, &[(5, 9)]));
-    let changes = take(&mut gather, START).changes.loads;
+    aggregator.receive_report(START, host(1), digest(1, 3, &[(5, 9)]));
+    let changes = take(&mut aggregator, START).changes.loads;
     assert!(changes.contains(&(Key::of(&engine(5)), load(9))));
     assert!(changes.contains(&(Key::of(&engine(6)), Load::default())));
 }
@@ -122,19 +122,19 @@
 #[test]
 fn quiet_rounds() {
     let most = |hosts: u8| {
-        let mut gather = Aggregator::default();
-        let tell = |gather: &mut Aggregator, number| {
+        let mut aggregator = Aggregator::default();
+        let tell = |aggregator: &mut Aggregator, number| {
             for n in 0..hosts {
-                gather.receive_report(START, host(n), digest(n.into(), number, &[]));
+                aggregator.receive_report(START, host(n), digest(n.into(), number, &[]));
             }
         };
-        tell(&mut gather, 1);
-        take(&mut gather, START);
-        tell(&mut gather, 2);
+        tell(&mut aggregator, 1);
+        take(&mut aggregator, START);
+        tell(&mut aggregator, 2);
         let (mut pause, mut longest) = (Duration::ZERO, Duration::ZERO);
         for _ in 0..60 {
-            pause += gather.period();
-            if !take(&mut gather, START).followers.is_empty() {
+            pause += aggregator.period();
+            if !take(&mut aggregator, START).followers.is_empty() {
                 longest = longest.max(std::mem::take(&mut pause));
             }
         }
@@ -153,17 +153,21 @@
 /// Guards against a datagram that arrives after a later one of the same host.
 #[test]
 fn overtaken_digest() {
-    let mut gather = Aggregator::default();
-    gather.receive_report(START, host(1), digest(1, 5, &[(1, 2)]));
-    gather.receive_report(START, host(1), digest(1, 4, &[(1, 9)]));
+    let mut aggregator = Aggregator::default();
+    aggregator.receive_report(START, host(1), digest(1, 5, &[(1, 2)]));
+    aggregator.receive_report(START, host(1), digest(1, 4, &[(1, 9)]));
     assert_eq!(
-        take(&mut gather, START).whole.unwrap().loads[0].1.streams,
+        take(&mut aggregator, START).whole.unwrap().loads[0]
+            .1
+            .streams,
         2
     );
     // A restarted host counts its digests anew.
-    gather.receive_report(START, host(1), digest(2, 1, &[(1, 1)]));
+    aggregator.receive_report(START, host(1), digest(2, 1, &[(1, 1)]));
     assert_eq!(
-        take(&mut gather, START).whole.unwrap().loads[0].1.streams,
+        take(&mut aggregator, START).whole.unwrap().loads[0]
+            .1
+            .streams,
         1
     );
 }
@@ -172,21 +176,21 @@
 /// counts until it has been silent for a second.
 #[test]
 fn silent_host() {
-    let mut gather = Aggregator::default();
-    gather.receive_report(START, host(1), digest(1, 1, &[(1, 2)]));
+    let mut aggregator = Aggregator::default();
+    aggregator.receive_report(START, host(1), digest(1, 1, &[(1, 2)]));
     let deaf = Digest {
         listens: Subscription::No,
         ..digest(2, 1, &[(1, 3)])
     };
-    gather.receive_report(START, host(2), deaf);
+    aggregator.receive_report(START, host(2), deaf);
     let later = START + Duration::from_millis(900);
-    gather.receive_report(later, host(1), digest(1, 2, &[]));
-    let round = take(&mut gather, later);
+    aggregator.receive_report(later, host(1), digest(1, 2, &[]));
+    let round = take(&mut aggregator, later);
     assert_eq!((round.newcomers.len(), round.followers.len()), (1, 0));
     assert_eq!(round.whole.unwrap().loads[0].1.streams, 3);
-    let round = take(&mut gather, later + Duration::from_millis(200));
+    let round = take(&mut aggregator, later + Duration::from_millis(200));
     assert_eq!(round.changes.loads[0].1, Load::default());
-    let round = take(&mut gather, later + Duration::from_secs(2));
+    let round = take(&mut aggregator, later + Duration::from_secs(2));
     assert!(round.newcomers.is_empty() && round.followers.is_empty() && round.changes.hosts == 0);
 }
 
@@ -267,16 +271,16 @@
 /// others.
 #[test]
 fn bounded_rounds() {
-    let mut gather = Aggregator::default();
+    let mut aggregator = Aggregator::default();
     let address = |n: u16| SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8], 9));
     for n in 0..500 {
         let seldom = Digest {
             listens: Subscription::Seldom,
             ..digest(n.into(), 1, &[(1, 1), (2, 1)])
         };
-        gather.receive_report(START, address(n), seldom);
+        aggregator.receive_report(START, address(n), seldom);
     }
-    let rounds: Vec<Round> = (0..REPEAT).map(|_| take(&mut gather, START)).collect();
+    let rounds: Vec<Round> = (0..REPEAT).map(|_| take(&mut aggregator, START)).collect();
     assert!(
         rounds
             .iter()
