--- a/almondlock-sidecar/src/body.rs
+++ b/almondlock-sidecar/src/body.rs
@@ -1,5 +1,5 @@
-//! Reading a request's body from the entry host, chunk by chunk, as fast as
-//! the upstream takes it.
+//! Reads a request's body from the entry host in chunks, as fast as the
+//! upstream takes them.
 
 use std::rc::Rc;
 
@@ -12,8 +12,9 @@
 
 use crate::protocol::Feeder;
 
-/// Feeds the whole body to the upstream's connection. Ends early when either
-/// side is gone; the upstream then sees a body that is too short and refuses.
+/// Sends the whole body to the upstream's connection. Stops early when the
+/// entry host or the upstream is gone; the upstream then receives a body that
+/// is shorter than announced and refuses it.
 pub(crate) async fn feed_body(head: &Head, source: &source::Client, mut to: Feeder) {
     if !head.body.is_empty() {
         let _ = to.send(Ok(Bytes::copy_from_slice(&head.body))).await;
@@ -36,7 +37,8 @@
     }
 }
 
-/// Reads a range of the body.
+/// Reads `length` bytes of the body, starting at `offset`. Fails if the body
+/// ends earlier.
 pub(crate) async fn read_range(
     source: &source::Client,
     offset: u64,
@@ -49,7 +51,9 @@
         let limit = (end - at).min(BODY_CHUNK as u64);
         let chunk = read_chunk(source, at, limit).await?;
         if chunk.is_empty() {
-            return Err(capnp::Error::failed("the body is too short".to_owned()));
+            return Err(capnp::Error::failed(
+                "the request body ended before the requested range".to_owned(),
+            ));
         }
         at += chunk.len() as u64;
         text.extend_from_slice(&chunk);
--- a/almondlock-sidecar/src/death.rs
+++ b/almondlock-sidecar/src/death.rs
@@ -1,5 +1,5 @@
-//! Deaths of the upstream: noticing them, blaming for them, and entering in
-//! advance those that a suspect may cause.
+//! Detects that the upstream died, blames the requests that were running on it,
+//! and charges a suspect request with a death before it runs.
 
 use std::time::Duration;
 
@@ -9,14 +9,15 @@
 
 use crate::{protocol::Protocol, sidecar::Inner, table::Request};
 
-/// How long blame for a death may take before the outcomes go out without it.
+/// Time within which the replicas must accept a blame, a charge or its
+/// withdrawal. After that, outcomes are sent without the blame.
 const BLAME_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Deaths of the engine in the sidecar's life.
+/// Deaths of the engine since the sidecar started.
 #[derive(Default)]
 pub(crate) struct Record {
     count: u64,
-    // What ran when the engine died, until it lives again.
+    // Requests that ran when the engine died. `None` once it answers again.
     present: Option<Vec<Request>>,
 }
 
@@ -24,10 +25,13 @@
 where
     P: Protocol,
 {
-    /// Called when a run broke: tells whether the engine died, and with what
-    /// on it. Whoever notices first keeps the list, since the others leave the
-    /// table one by one, and blames all of them before any outcome goes out:
-    /// a copy sent at once must find its suspicion known.
+    /// Checks whether the engine died, after a run broke. Returns the requests
+    /// that were running on it if so.
+    ///
+    /// The first caller to notice keeps the list, since the other attempts
+    /// leave the table one by one. Every request on it is blamed before any
+    /// outcome is sent: a copy that is sent at once must find the suspicion
+    /// known.
     pub(crate) async fn check_for_death(&self) -> Option<Vec<Request>> {
         let seen = self.table.borrow().running_requests();
         let alive = self.protocol.is_alive().await;
@@ -53,8 +57,9 @@
         Some(present)
     }
 
-    /// Has the death that a suspect may cause entered before it runs. Without
-    /// this, copies that reach several sidecars at once would all run.
+    /// Charges a suspect request with the death that it may cause, before it
+    /// runs. Otherwise copies that reach several sidecars at once would all
+    /// run.
     pub(crate) async fn charge(&self, blame: &Blame) -> Result<(), Code> {
         match self.replicas.charge(blame, BLAME_TIMEOUT).await {
             Ok(revision) => {
@@ -66,7 +71,7 @@
         }
     }
 
-    /// The death that a run starting now would cause.
+    /// Returns the death that a run starting now would cause.
     pub(crate) fn next_death(&self, head: &Head) -> Blame {
         let next = self.death.borrow().count + 1;
         Blame {
@@ -77,8 +82,9 @@
         }
     }
 
-    /// Blame is told again by every run that broke: the replicas count a death
-    /// once for each request.
+    /// Reports a death to the replicas, with all requests that were present.
+    /// Every run that broke reports it again; the replicas count a death once
+    /// for each request.
     async fn blame(&self, present: &[Request], count: u64) {
         let life = Incarnation(self.incarnation.0.wrapping_add(count));
         let all = present.iter().map(|one| {
@@ -96,16 +102,17 @@
                 Err(code) => tracing::warn!(%code, "blame for a death could not be told"),
             }
         }
-        // The outcome carries our revision; whoever reads it learns that there
-        // is a suspicion to fetch.
+        // The outcome carries the revision of this process, from which its
+        // reader learns that there is a suspicion to fetch.
         self.handle.catch_up(BLAME_TIMEOUT).await;
     }
 
-    /// Takes a charge back after the run. A harmless one clears the suspect.
+    /// Withdraws a charge after the run. With `harmless`, the request is no
+    /// longer suspected.
     pub(crate) async fn withdraw_charge(&self, charge: &Blame, harmless: bool) {
         let told = self.replicas.clear(charge, harmless, BLAME_TIMEOUT).await;
         if let Err(code) = told {
-            tracing::warn!(%code, "a charge could not be taken back");
+            tracing::warn!(%code, "could not withdraw a charge");
         }
     }
 }
--- a/almondlock-sidecar/src/lib.rs
+++ b/almondlock-sidecar/src/lib.rs
@@ -1,12 +1,16 @@
-//! The sidecar: one small process beside an upstream, and its only way in.
+//! The sidecar: a process next to an upstream through which all requests to
+//! that upstream pass.
 //!
-//! Work waits here and not inside the engine, because only what waits here can
-//! be withdrawn and proved not run, and re-ordered when something shorter
-//! comes. A request's body stays with its entry host until the engine has room
-//! for it, so that waiting costs next to no memory.
+//! Attempts are queued here and not inside the engine, because only an attempt
+//! that the engine has not received can be withdrawn, proved not to have run,
+//! or moved behind a shorter one. The body of a request stays with its entry
+//! host until the engine has room for the request, so a queued attempt takes
+//! little memory here.
 //!
-//! [`table`] decides, [`service`] acts on it, `rpc` is how entry hosts reach
-//! it, and [`protocol`] is how it reaches an upstream of whatever kind.
+//! [`table`] decides which attempts run, [`sidecar`] carries the decisions out,
+//! `rpc` serves the requests of entry hosts, and [`protocol`] is the interface
+//! to upstreams of each kind. [`announce`] takes the announcements of upstreams
+//! and starts a sidecar for each.
 
 #![warn(clippy::unwrap_used, clippy::expect_used)]
 
--- a/almondlock-sidecar/src/maintenance.rs
+++ b/almondlock-sidecar/src/maintenance.rs
@@ -1,5 +1,6 @@
-//! What the sidecar does for its upstream beside the attempts: orders handed
-//! on, memory freed and compared.
+//! Periodic work of a sidecar besides running attempts: forwards orders to the
+//! upstream, frees engine memory, and reconciles the memory ledger with the
+//! engine.
 
 use almondlock_node::clock;
 use almondlock_policy::ledger::Kind;
@@ -13,7 +14,7 @@
 where
     P: Protocol,
 {
-    /// Hands on the order that is due.
+    /// Forwards the order that is due, if any.
     pub(crate) async fn forward_due_order(&self) {
         let config = self.handle.view().get();
         let due = self
@@ -26,19 +27,20 @@
         match self.protocol.load_model(model, version, order.fence).await {
             Ok(()) => {
                 self.orders.mark_forwarded(&order);
-                tracing::info!(upstream = %self.upstream, model, version, "ordered to load");
+                tracing::info!(upstream = %self.upstream, model, version, "order to load forwarded");
             }
             Err(failure @ Failure::Refused(..)) => {
                 self.orders.mark_forwarded(&order);
-                tracing::warn!(upstream = %self.upstream, %failure, "the order was refused");
+                tracing::warn!(upstream = %self.upstream, %failure, "upstream refused the order to load");
             }
             Err(failure) => {
-                tracing::warn!(upstream = %self.upstream, %failure, "the order is tried again");
+                tracing::warn!(upstream = %self.upstream, %failure, "order to load failed, will retry");
             }
         }
     }
 
-    /// Gives the orders to free that are due, and compares with the engine.
+    /// Asks the engine to free what the ledger has released, and reconciles the
+    /// ledger with the engine's own list when that is due.
     pub(crate) async fn maintain_memory(&self) {
         for order in self.memory.take_free_orders(clock::mono()) {
             let asked = clock::mono();
@@ -60,7 +62,8 @@
         }
     }
 
-    /// A reservation's lease has ended: its room goes to the next.
+    /// Drops a reservation whose lease has ended, and grants its memory to
+    /// those that wait.
     fn drop_reservation(&self, id: &str) {
         let now = clock::mono();
         let mut table = self.table.borrow_mut();
--- a/almondlock-sidecar/src/memory.rs
+++ b/almondlock-sidecar/src/memory.rs
@@ -1,4 +1,5 @@
-//! The ledger of the engine's memory, and when to compare it with the engine.
+//! The ledger of the engine's memory, and the times at which it is reconciled
+//! with the engine.
 
 use std::{cell::RefCell, collections::BTreeMap, time::Duration};
 
@@ -7,10 +8,10 @@
 
 use crate::protocol::Allocation;
 
-/// Pause between two comparisons.
+/// Interval between reconciliations with the engine.
 const RECONCILE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The life of the entry host that made an attempt.
+/// Returns the incarnation of the entry host that made an attempt.
 pub fn owner_of(attempt: &Attempt) -> Owner {
     Owner {
         host: attempt.host.clone(),
@@ -18,15 +19,17 @@
     }
 }
 
-/// What the engine's memory is held for. A new sidecar doesn't know what an
-/// earlier life of it left on the engine, and compares first.
+/// Tracks what the engine's memory is held for.
+///
+/// A new sidecar doesn't know what an earlier incarnation left on the engine,
+/// so its ledger starts in recovery and is reconciled at once.
 pub struct Memory {
     ledger: RefCell<Ledger<String>>,
     reconciled_at: RefCell<Option<Mono>>,
 }
 
 impl Memory {
-    /// The ledger of a sidecar that starts now.
+    /// Creates the ledger of a sidecar that starts now.
     pub fn new(now: Mono) -> Memory {
         Memory {
             ledger: RefCell::new(Ledger::recover(Config::default(), now)),
@@ -34,43 +37,46 @@
         }
     }
 
-    /// Enters what the engine is going to be asked for.
+    /// Records an item of memory that the engine is about to be asked for.
     pub fn open(&self, id: String, item: Item, owner: &Owner, lease: Duration, now: Mono) {
         self.ledger.borrow_mut().open(id, item, owner, lease, now);
     }
 
-    /// The owner was heard of.
+    /// Extends the leases of all that an owner holds, since the owner is alive.
     pub fn renew(&self, owner: &Owner, now: Mono) {
         self.ledger.borrow_mut().renew(owner, now);
     }
 
-    /// Gives a thing back; the order to free it follows.
+    /// Marks an item as no longer needed. The ledger then orders the engine to
+    /// free it.
     pub fn release(&self, id: &String, now: Mono) {
         self.ledger.borrow_mut().release(id, now);
     }
 
-    /// The engine ended a thing by itself.
+    /// Removes an item for which the engine has nothing left to free.
     pub fn remove(&self, id: &String) {
         self.ledger.borrow_mut().remove(id);
     }
 
-    /// The orders to free that are due.
+    /// Returns the orders to free memory that are due.
     pub fn take_free_orders(&self, now: Mono) -> Vec<Order<String>> {
         self.ledger.borrow_mut().take_orders(now)
     }
 
-    /// The engine confirmed an order given at `asked`.
+    /// Records that the engine confirmed an order to free that was sent at
+    /// `asked`.
     pub fn confirm_free(&self, id: &String, asked: Mono) {
         self.ledger.borrow_mut().confirm_free(id, asked);
     }
 
-    /// Whether it is time to compare with the engine's own list.
+    /// Returns whether it is time to reconcile with the engine's own list.
     pub fn is_reconcile_due(&self, now: Mono) -> bool {
         let last = *self.reconciled_at.borrow();
         last.is_none_or(|at| now.since(at) >= RECONCILE_INTERVAL)
     }
 
-    /// Compares with the engine's own list, asked for at `asked`.
+    /// Reconciles the ledger with the engine's own list, which was requested at
+    /// `asked`.
     pub fn reconcile(&self, list: Vec<Allocation>, asked: Mono, now: Mono) {
         let list: BTreeMap<String, Item> = list
             .into_iter()
@@ -83,7 +89,7 @@
         self.reconciled_at.replace(Some(now));
     }
 
-    /// Memory held, by the ledger.
+    /// Returns the memory held according to the ledger.
     pub fn held_tokens(&self) -> Tokens {
         self.ledger.borrow().held_tokens()
     }
--- a/almondlock-sidecar/src/orders.rs
+++ b/almondlock-sidecar/src/orders.rs
@@ -1,9 +1,10 @@
-//! Handing orders on to the upstream.
+//! Decides which order to load a model is forwarded to the upstream.
 //!
-//! Orders come with the configuration. Only the life of the sidecar that an
-//! order names hands it on, and only until the time it names: an engine that
-//! doesn't check fencing numbers would act on a delayed one and unload what a
-//! later order loaded. An order that was handed on is not handed on again.
+//! Orders arrive with the configuration. An order names one incarnation of the
+//! sidecar and a time; only that incarnation forwards it, and only until that
+//! time. An engine that doesn't check fencing numbers would otherwise act on a
+//! delayed order and unload what a later order loaded. An order is forwarded
+//! once.
 
 use std::cell::Cell;
 
@@ -16,15 +17,15 @@
     order,
 };
 
-/// Which orders were handed on.
+/// Remembers which orders were forwarded.
 #[derive(Debug, Default)]
 pub struct Forwarder {
-    // The highest fencing number handed on in this life.
+    // Highest fencing number forwarded in this incarnation.
     highest_fence: Cell<u64>,
 }
 
 impl Forwarder {
-    /// The order that is to be handed on now, if any.
+    /// Returns the order to forward now, if any.
     pub fn due_order(
         &self,
         config: &Config,
@@ -41,7 +42,7 @@
         due.then(|| order.clone())
     }
 
-    /// Notes that an order was handed on, or refused as old.
+    /// Records that an order was forwarded, or that the upstream refused it.
     pub fn mark_forwarded(&self, order: &Order) {
         self.highest_fence
             .set(self.highest_fence.get().max(order.fence));
--- a/almondlock-sidecar/src/outcome.rs
+++ b/almondlock-sidecar/src/outcome.rs
@@ -1,4 +1,5 @@
-//! What the end of a run means for its caller.
+//! Converts the result of a run into the outcome that is reported to the entry
+//! host.
 
 use almondlock_base::{Code, Ran};
 use almondlock_wire::attempt::Outcome;
@@ -13,7 +14,11 @@
 where
     P: Protocol,
 {
-    /// Puts the end of a run into words, and finds out whether the upstream died.
+    /// Returns the outcome of a run, and checks whether the upstream died if
+    /// the connection broke.
+    ///
+    /// `began` tells whether a part of the answer was passed on, and `flushed`
+    /// whether the entry host received the last one.
     pub(crate) async fn resolve_outcome(
         &self,
         end: Completion,
@@ -37,7 +42,11 @@
                 return failed_outcome(Code::DeadlinePassed, Ran::Yes, text);
             }
             Completion::Cancelled => {
-                return failed_outcome(Code::CallerLeft, Ran::Yes, "given up".to_owned());
+                return failed_outcome(
+                    Code::CallerLeft,
+                    Ran::Yes,
+                    "the entry host gave the attempt up".to_owned(),
+                );
             }
         };
         let text = failure.to_string();
--- a/almondlock-sidecar/src/output.rs
+++ b/almondlock-sidecar/src/output.rs
@@ -1,10 +1,10 @@
-//! An answer on its way to the entry host.
+//! Streams an answer from the engine to the entry host.
 //!
-//! The engine's stream is read as fast as it comes and sent as fast as the
-//! entry host takes it: while one push is on its way, the frames behind it are
-//! gathered and go together with the next. Only one push is ever on its way,
-//! so frames arrive in order. The buffer between the two is bounded; when it is
-//! full, the engine's stream is not read on.
+//! The engine's stream is read as fast as the entry host takes the answer.
+//! While one push is in flight, further frames are buffered and sent together
+//! in the next. Only one push is in flight at a time, so frames arrive in
+//! order. The buffer is bounded: when it is full, reading from the engine
+//! pauses.
 
 use std::rc::Rc;
 
@@ -20,16 +20,16 @@
 
 use crate::protocol::{Closed, Output};
 
-/// Frames that wait for the entry host at most.
+/// Maximum number of frames that wait to be pushed to the entry host.
 const MAX_BUFFERED_FRAMES: usize = 64;
 
-/// Told of the first part of an answer that took the engine's work.
+/// Is notified of the first part of an answer that the engine generated.
 pub trait Observer {
-    /// The prompt has been processed.
+    /// Called once the engine has processed the prompt.
     fn on_prefill_end(&self);
 }
 
-/// Gives an answer's parts their places and pushes them to the entry host.
+/// Numbers the parts of an answer and pushes them to the entry host.
 pub struct Pusher<W> {
     attempt: Attempt,
     offset: u64,
@@ -43,7 +43,7 @@
 where
     W: Observer,
 {
-    /// Pushes the answer of an attempt that goes on at `offset`.
+    /// Starts pushing the answer of an attempt, which resumes at `offset`.
     pub fn new(attempt: Attempt, offset: u64, sink: sink::Client, observer: Rc<W>) -> Pusher<W> {
         let (frames, queue) = mpsc::channel(MAX_BUFFERED_FRAMES);
         Pusher {
@@ -56,17 +56,18 @@
         }
     }
 
-    /// Units of the answer passed on, with what was delivered before.
+    /// Returns the number of units of the answer passed on, including those
+    /// delivered by earlier attempts.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// Whether any part of the answer itself was passed on.
+    /// Returns whether any content of the answer was passed on.
     pub fn has_begun(&self) -> bool {
         self.began
     }
 
-    /// Waits until the entry host has taken everything.
+    /// Waits until the entry host has received every frame.
     pub async fn flush(self) -> Result<(), Closed> {
         drop(self.frames);
         match self.task.await {
--- a/almondlock-sidecar/src/rpc.rs
+++ b/almondlock-sidecar/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The sidecar's side of the inner protocol.
+//! Serves the sidecar's interface of the inner protocol to entry hosts.
 
 use std::rc::Rc;
 
--- a/almondlock-sidecar/src/stop.rs
+++ b/almondlock-sidecar/src/stop.rs
@@ -1,13 +1,14 @@
-//! Stopping a sidecar process without cutting off what runs.
+//! Graceful shutdown of a sidecar process: running attempts may finish.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
 use tokio::time::{sleep, timeout};
 
-/// How often the end of what runs is looked for.
+/// How often a drain checks whether all attempts have finished.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Shared by all sidecars of a process. Clones are the same one.
+/// Shutdown state shared by all sidecars of a process. Clones refer to the same
+/// state.
 #[derive(Clone, Debug, Default)]
 pub struct Stop {
     inner: Rc<Inner>,
@@ -16,23 +17,23 @@
 #[derive(Debug, Default)]
 struct Inner {
     stopping: Cell<bool>,
-    // Attempts that wait or run.
+    // Number of attempts that wait or run.
     active: Cell<u32>,
 }
 
-/// An attempt that waits or runs.
+/// Counts an attempt as waiting or running until dropped.
 #[derive(Debug)]
 pub(crate) struct Guard(Stop);
 
 impl Stop {
-    /// Whether the process is stopping: new work is refused as not run, and
-    /// what waits is given back.
+    /// Returns whether the process is stopping. New attempts are then refused
+    /// as not run, and queued ones are returned to their entry hosts.
     pub fn is_stopping(&self) -> bool {
         self.inner.stopping.get()
     }
 
-    /// Takes no new work from now on, and waits until nothing runs any more, for
-    /// this long at most. Gives how many attempts are left.
+    /// Stops taking new attempts and waits until none is left, for `grace` at
+    /// most. Returns the number of attempts that are left.
     pub async fn drain(&self, grace: Duration) -> u32 {
         self.inner.stopping.set(true);
         let drained = async {
