--- a/almondlock-sidecar/src/openai.rs
+++ b/almondlock-sidecar/src/openai.rs
@@ -1,9 +1,10 @@
-//! Engines that speak the OpenAI-compatible protocol.
+//! Upstreams that are engines with the OpenAI-compatible protocol.
 //!
-//! Every run is asked for as a stream, whatever the caller wanted, so that a
+//! Every answer is requested as a stream, whatever the caller wanted, so that a
 //! broken answer is noticed at the token where it broke and can be resumed
-//! there. The engine's extensions used here are headers (the run's id, its
-//! priority, the offset to resume at) and a few paths under `/engine`.
+//! there. The engine extensions used here are headers (the run's id, its
+//! priority, the offset to resume at, the locations of segments) and a few
+//! paths under `/engine`.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -27,17 +28,17 @@
 
 use crate::protocol::{Allocation, Failure, Feed, Output, Piece, Protocol, Run};
 
-/// How long an engine may take to answer a question about its state.
+/// Time-out for control requests: health, lists, cancellations and orders.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Connections to one upstream at most: above any number of runs that the queue
-/// lets through.
+/// Maximum number of connections to one upstream. It exceeds any number of runs
+/// that the queue lets through.
 const MAX_CONNECTIONS: usize = 60_000;
 
-/// The longest error text taken over from an engine, in bytes.
+/// Maximum length of an error text taken over from an engine, in characters.
 const MAX_ERROR_TEXT_CHARS: usize = 2048;
 
-/// An engine's address and a client for it.
+/// Address of an engine and HTTP clients for it.
 pub struct Engine {
     address: SocketAddr,
     base: String,
@@ -46,7 +47,7 @@
 }
 
 impl Engine {
-    /// An engine at an address. To be made on the thread that uses it.
+    /// Creates the clients. Must be called on the thread that uses them.
     pub async fn new(address: SocketAddr) -> Result<Engine, ClientBuilderError> {
         let control = Client::builder()
             .response_timeout(ntex::time::Millis::from(CONTROL_TIMEOUT))
@@ -88,10 +89,12 @@
     format!("{}/{}", segment.address, segment.handle)
 }
 
-/// A connection that was never made proves that nothing ran; all else leaves
-/// the run's fate unknown. The client gives the same error for a connection
-/// that could not be made and for one that was closed before the answer came;
-/// only the first carries the system's reason.
+/// Tells whether a failed request may have reached the upstream.
+///
+/// Only a connection that was never made proves that nothing ran. The client
+/// reports `Disconnected` both for a connection that could not be made and for
+/// one that was closed before the answer came; only the first carries the
+/// system's error.
 pub(crate) fn classify_error(error: &ClientError) -> Failure {
     match error {
         ClientError::Connect(
@@ -104,11 +107,12 @@
     }
 }
 
-/// A client for runs, which have deadlines of their own, minutes long where
-/// prompts are.
+/// Builds a client without time-outs for runs, since runs have deadlines of
+/// their own, which are minutes long for long prompts.
 ///
-/// The library's client opens eight connections at most by default: beyond
-/// that, requests wait inside it, behind the queue that was to order them.
+/// By default the library's client opens at most eight connections. Further
+/// requests would wait inside the client in an order that the sidecar's queue
+/// doesn't control.
 async fn build_run_client() -> Result<Client, ClientBuilderError> {
     let connector = Connector::new().limit(MAX_CONNECTIONS);
     let builder = Client::builder()
@@ -118,9 +122,11 @@
     builder.build(ntex::SharedCfg::default()).await
 }
 
-/// Clients for runs. What may not be repeated gets a connection of its own
-/// each time: one that was kept may have been closed by the other side a moment
-/// ago, and what is sent into it may or may not have run.
+/// HTTP clients for runs.
+///
+/// A request that may not be repeated always gets a new connection: the
+/// upstream may just have closed a pooled one, and whether a request sent into
+/// it ran is unknown.
 pub(crate) struct Clients {
     pooled: Client,
     single: Client,
@@ -138,13 +144,13 @@
         if repeatable {
             self.pooled.request(method, url)
         } else {
-            // Closed behind each answer, so that none is ever kept.
+            // Closed after each answer, so that no connection is reused.
             self.single.request(method, url).force_close()
         }
     }
 }
 
-/// Reads an upstream's refusal.
+/// Reads an error response and tells whether the request may have run.
 pub(crate) async fn read_refusal(response: &ClientResponse) -> Failure {
     let status = response.status();
     let body = response.body().limit(64 * 1024).await.unwrap_or_default();
@@ -152,8 +158,8 @@
         .chars()
         .take(MAX_ERROR_TEXT_CHARS)
         .collect();
-    // Engines check a request as a whole before they take it in: a 4xx and
-    // the statuses for "not now" mean that it didn't start.
+    // Engines check a whole request before they start it, so a 4xx status or a
+    // 503 means that it didn't run.
     let not_run = status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE;
     if not_run {
         Failure::Refused(status.as_u16(), text)
@@ -177,7 +183,8 @@
     text: Option<String>,
     delta: Option<Delta>,
     finish_reason: Option<String>,
-    // Tokens in this chunk, by engines that say so; else one.
+    // Number of tokens in this chunk. If the engine doesn't report it, the
+    // chunk counts as one token.
     tokens: Option<u32>,
 }
 
@@ -203,7 +210,7 @@
     cached_tokens: u64,
 }
 
-/// What has been read of a stream.
+/// Collects the finish reason and the usage from an answer's stream.
 #[derive(Default)]
 struct Accumulator {
     finish: Option<String>,
@@ -211,7 +218,8 @@
 }
 
 impl Accumulator {
-    /// Takes a chunk in; gives the text it carries.
+    /// Takes in a chunk. Returns the text that it carries, with the number of
+    /// tokens.
     fn apply(&mut self, chunk: Chunk) -> Option<(u32, String)> {
         if let Some(counts) = chunk.usage {
             self.usage = Some(Usage {
@@ -227,7 +235,7 @@
         (!text.is_empty()).then(|| (choice.tokens.unwrap_or(1), text))
     }
 
-    /// The usage, once the engine has said why it stopped.
+    /// Returns the usage if the engine has reported why it stopped.
     fn into_usage(self) -> Option<Usage> {
         let finish = self.finish?;
         let usage = self.usage.unwrap_or_default();
@@ -251,7 +259,7 @@
     let mut accumulator = Accumulator::default();
     while let Some(event) = events.next().await {
         let data = event.map_err(|_| Failure::Broken)?.data;
-        // Without this record the answer is not whole, whatever came before.
+        // An answer without this record is incomplete.
         if data == "[DONE]" {
             return accumulator.into_usage().ok_or(Failure::Truncated);
         }
@@ -293,8 +301,9 @@
     }
 }
 
-/// The body that asks for a part of a prompt. Its text stands in the caller's
-/// body as the inside of a JSON string and is put into another as it is.
+/// Builds the request that processes a part of a prompt. The text is the inside
+/// of a JSON string in the caller's body, and is copied into another JSON
+/// string unchanged.
 fn segment_request_body(piece: &Piece<'_>) -> Vec<u8> {
     let head = json!({"id": piece.id, "priority": piece.priority, "tokens": piece.tokens});
     let mut body = head.to_string().into_bytes();
--- a/almondlock-sidecar/src/parts.rs
+++ b/almondlock-sidecar/src/parts.rs
@@ -1,5 +1,6 @@
-//! A member's side of a prompt larger than an engine: memory is reserved
-//! first, on all members, and only then is anything processed.
+//! Handles one part of a prompt that is larger than one engine, on one member
+//! of the group that shares the prompt. Memory is reserved on all members
+//! before any of them starts to process its part.
 
 use std::rc::Rc;
 
@@ -22,7 +23,7 @@
     sidecar::{Inner, Sidecar, failed_outcome, refused_outcome},
 };
 
-/// A reservation that is waited for; dropping it takes it back.
+/// A reservation that waits for memory. Dropping it withdraws the reservation.
 struct Pending<P>
 where
     P: Protocol,
@@ -49,7 +50,7 @@
 where
     P: Protocol,
 {
-    /// Reserves memory for a part; waits until there is room.
+    /// Reserves memory for a part, and waits until there is room.
     pub async fn reserve(&self, part: &Part) -> Outcome {
         let inner = &self.inner;
         inner.handle.heard(&part.from);
@@ -93,7 +94,7 @@
         success()
     }
 
-    /// Processes a reserved part and keeps it on the engine.
+    /// Processes a reserved part and keeps the result on the engine.
     pub async fn process(&self, part: &Part, source: source::Client) -> (Outcome, Option<Segment>) {
         let inner = &self.inner;
         let id = part.attempt.to_string();
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Gives a part's memory back, on the engine too. Idempotent.
+    /// Frees a part's memory, on the engine too. Idempotent.
     pub fn release(&self, attempt: &Attempt) {
         let now = clock::mono();
         let inner = &self.inner;
--- a/almondlock-sidecar/src/plain.rs
+++ b/almondlock-sidecar/src/plain.rs
@@ -1,4 +1,5 @@
-//! Plain services: any HTTP method and path, passed through as it is.
+//! Upstreams that are plain HTTP services: any method and path, passed through
+//! unchanged.
 
 use std::net::SocketAddr;
 
@@ -18,14 +19,14 @@
     protocol::{Allocation, Failure, Feed, Output, Piece, Protocol, Run},
 };
 
-/// A plain service's address and a client for it.
+/// Address of a plain service and an HTTP client for it.
 pub struct Service {
     base: String,
     clients: Clients,
 }
 
 impl Service {
-    /// A service at an address. To be made on the thread that uses it.
+    /// Creates the client. Must be called on the thread that uses it.
     pub async fn new(address: SocketAddr) -> Result<Service, ClientBuilderError> {
         Ok(Service {
             base: format!("http://{address}"),
@@ -73,7 +74,7 @@
         O: Output,
     {
         let response = self.send(&job, body).await?;
-        // A service's error is its answer: it is the caller's to read.
+        // An error status is passed on to the caller like any other answer.
         let first = begin(&response);
         output
             .put(0, first)
@@ -98,7 +99,7 @@
         })
     }
 
-    // A plain service keeps nothing that outlives its connection.
+    // A plain service holds nothing after its connection has closed.
     async fn cancel(&self, _id: &str) -> bool {
         true
     }
@@ -122,7 +123,7 @@
     }
 
     async fn is_alive(&self) -> bool {
-        // Any answer at all will do: a service has no agreed health path.
+        // Any answer counts, since services have no common health path.
         let url = format!("{}/", self.base);
         self.clients
             .request(true, Method::HEAD, url)
--- a/almondlock-sidecar/src/protocol.rs
+++ b/almondlock-sidecar/src/protocol.rs
@@ -1,9 +1,9 @@
-//! What a sidecar asks of an upstream, whatever the upstream's own protocol.
+//! The interface between a sidecar and an upstream of any kind.
 //!
-//! One kind of upstream is one implementation of [`Protocol`] in one file. The
-//! sidecar decides what runs and when; an implementation only carries orders
-//! out and tells what came of them. In particular it never sends anything a
-//! second time: whether that is safe is not its decision.
+//! Each kind of upstream has one implementation of [`Protocol`], in a file of
+//! its own. The sidecar decides what runs and when; an implementation only
+//! sends requests and reports their results. It never sends a request a second
+//! time, because whether that is safe is the sidecar's decision.
 
 use std::{error, fmt, future::Future, rc::Rc};
 
@@ -16,19 +16,20 @@
 use futures::channel::mpsc;
 use ntex::util::Bytes;
 
-/// Chunks of a request's body that wait for the upstream at most.
+/// Number of chunks of a request's body that are buffered for the upstream.
 const FEED_CAPACITY_CHUNKS: usize = 2;
 
-/// A chunk of a body, or why there is none; in the form the HTTP client wants.
+/// A chunk of a body, or the error that ended it, in the form that the HTTP
+/// client requires.
 pub type Chunk = Result<Bytes, Rc<dyn error::Error>>;
 
-/// A request's body, as it arrives from the entry host.
+/// Receives a request's body as it arrives from the entry host.
 pub type Feed = mpsc::Receiver<Chunk>;
 
-/// The end into which a body is fed.
+/// Sends a request's body to the upstream's connection.
 pub type Feeder = mpsc::Sender<Chunk>;
 
-/// Makes a body that is fed while it is read.
+/// Creates a bounded channel for the body of a request.
 pub fn feed_channel() -> (Feeder, Feed) {
     mpsc::channel(FEED_CAPACITY_CHUNKS)
 }
@@ -36,65 +37,68 @@
 /// One run of a request on an upstream.
 #[derive(Debug)]
 pub struct Run<'a> {
-    /// The attempt's head.
+    /// Head of the attempt.
     pub head: &'a Head,
-    /// The trace context of the upstream's hop.
+    /// Trace context that is sent to the upstream.
     pub traceparent: &'a str,
-    /// The name under which the upstream knows the run; unique for ever.
+    /// Identifies the run at the upstream. Never used again.
     pub id: &'a str,
-    /// Lower runs first, where the upstream honours it.
+    /// Lower values run first, if the upstream supports priorities.
     pub priority: u8,
 }
 
-/// A part of a prompt larger than one engine.
+/// A part of a prompt that is larger than one engine's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Piece<'a> {
-    /// The name under which the engine keeps it; unique for ever.
+    /// Identifies the part at the engine. Never used again.
     pub id: &'a str,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: Tokens,
-    /// Its text, as it stands in the body: the inside of a JSON string. `None`
-    /// when the engine is told the length only.
+    /// Text as it stands in the request body: the inside of a JSON string.
+    /// `None` if the engine is told the length only.
     pub text: Option<Vec<u8>>,
-    /// Lower runs first.
+    /// Lower values run first.
     pub priority: u8,
 }
 
-/// Where an answer's parts go, in order. Waits while the caller is slow.
+/// Receives the parts of an answer in order.
 pub trait Output {
-    /// Passes on a part of `count` units.
+    /// Passes on a part of `count` units. Waits while the caller reads slowly,
+    /// and fails if the answer is no longer wanted.
     fn put(&mut self, count: u32, part: Part) -> impl Future<Output = Result<(), Closed>>;
 }
 
-/// Nobody wants the rest of the answer.
+/// The error of an output whose receiver no longer wants the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Closed;
 
-/// Something that takes engine memory.
+/// An item that takes engine memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Allocation {
-    /// The name it was given.
+    /// Identifier that the sidecar gave it.
     pub id: String,
-    /// What it is held for.
+    /// What the memory is held for.
     pub kind: Kind,
-    /// Its size.
+    /// Size in tokens.
     pub tokens: Tokens,
 }
 
-/// Why a run didn't end with a whole answer.
+/// The reason why a run didn't end with a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The connection was refused: nothing was handed on.
+    /// The connection could not be made, so the upstream received nothing.
     Unreachable,
-    /// The upstream refused before it ran anything, with an HTTP status.
+    /// The upstream refused the request before running any of it, with an HTTP
+    /// status and a text.
     Refused(u16, String),
-    /// The upstream answered with an error after it may have run.
+    /// The upstream answered with an error and may have run the request; with
+    /// an HTTP status and a text.
     Failed(u16, String),
-    /// The connection broke: the run's fate is unknown.
+    /// The connection broke; whether the request ran is unknown.
     Broken,
-    /// The answer ended without its closing record.
+    /// The answer ended without its closing record, or a record was unreadable.
     Truncated,
-    /// Whoever wanted the answer is gone.
+    /// The receiver of the answer is gone.
     OutputClosed,
 }
 
@@ -113,10 +117,11 @@
 
 impl std::error::Error for Failure {}
 
-/// An upstream's own protocol.
+/// The protocol of a kind of upstream.
 pub trait Protocol: 'static {
-    /// Runs a request and passes its answer on. Dropping the future ends the
-    /// connection; [`Protocol::cancel`] makes sure of the run.
+    /// Runs a request and passes its answer on. Dropping the future closes the
+    /// connection, but only [`Protocol::cancel`] makes sure that the run has
+    /// ended.
     fn run<O>(
         &self,
         job: Run<'_>,
@@ -126,10 +131,11 @@
     where
         O: Output;
 
-    /// Ends a run and frees its memory. Idempotent; true when confirmed.
+    /// Ends a run and frees its memory. Idempotent. Returns true once the
+    /// upstream confirmed it.
     fn cancel(&self, id: &str) -> impl Future<Output = bool>;
 
-    /// Processes a part of a prompt and keeps it until it is cancelled.
+    /// Processes a part of a prompt and keeps the result until it is cancelled.
     fn process_segment(&self, piece: Piece<'_>) -> impl Future<Output = Result<Segment, Failure>>;
 
     /// Orders the upstream to load a version of a model.
@@ -140,9 +146,10 @@
         fence: u64,
     ) -> impl Future<Output = Result<(), Failure>>;
 
-    /// Lists what takes memory on the upstream, `None` when it doesn't answer.
+    /// Lists what takes memory on the upstream. Returns `None` if the upstream
+    /// doesn't answer.
     fn list_allocations(&self) -> impl Future<Output = Option<Vec<Allocation>>>;
 
-    /// Whether the upstream answers at all.
+    /// Returns whether the upstream answers.
     fn is_alive(&self) -> impl Future<Output = bool>;
 }
--- a/almondlock-sidecar/src/sidecar.rs
+++ b/almondlock-sidecar/src/sidecar.rs
@@ -1,4 +1,5 @@
-//! One upstream's sidecar at work: from a submitted attempt to its outcome.
+//! The sidecar of one upstream: takes an attempt, queues it, runs it on the
+//! upstream and returns its outcome.
 
 use std::{
     cell::{Cell, RefCell},
@@ -35,17 +36,18 @@
     ticket::Ticket,
 };
 
-/// How often deadlines of waiting work and the upstream's leaving are looked
-/// at; what is given up on is answered within this time.
+/// Interval at which the deadlines of waiting attempts, and whether the
+/// upstream is leaving, are checked. An expired attempt is answered within this
+/// time.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// Pause between two looks at what memory is to be freed.
+/// Pause between rounds of freeing memory and forwarding orders.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause between two looks at whether the upstream answers.
+/// Pause between health checks of the upstream.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// When to come back after a refusal that names no time.
+/// Time after which a caller may retry when a refusal names none.
 pub(crate) const DEFAULT_RETRY: Duration = Duration::from_secs(1);
 
-/// The sidecar of one upstream. Clones are handles to the same one.
+/// The sidecar of one upstream. Clones refer to the same one.
 pub struct Sidecar<P> {
     pub(crate) inner: Rc<Inner<P>>,
 }
@@ -70,7 +72,8 @@
     stop: Stop,
     pub(crate) memory: Memory,
     pub(crate) orders: Forwarder,
-    // The upstream doesn't answer; nothing is handed to it until it does.
+    // Set while the upstream doesn't answer. New attempts are refused until it
+    // does.
     pub(crate) down: Cell<bool>,
 }
 
@@ -78,8 +81,8 @@
 where
     P: Protocol,
 {
-    /// A sidecar in front of an upstream. Must be made on the thread that
-    /// serves it.
+    /// Creates the sidecar of an upstream and starts its periodic tasks. Must
+    /// be called on the thread that serves it.
     pub fn new(
         upstream: Upstream,
         incarnation: Incarnation,
@@ -133,12 +136,12 @@
         Sidecar { inner }
     }
 
-    /// Runs an attempt to its outcome. Dropping the future gives it up.
+    /// Runs an attempt and returns its outcome. Dropping the future cancels it.
     pub async fn submit(&self, head: &Head, source: source::Client, sink: sink::Client) -> Outcome {
         let inner = &self.inner;
         inner.handle.heard(&head.from);
         inner.update_leaving(clock::mono());
-        // Until its outcome is on its way: a process that stops waits for it.
+        // A stopping process waits until this guard is dropped.
         let _guard = inner.stop.track_attempt();
         let context = inner.hop_context(&head.traceparent);
         let hop = tracing::info_span!(
@@ -159,7 +162,8 @@
         outcome
     }
 
-    /// Gives an attempt up and says whether it ran.
+    /// Cancels an attempt on behalf of its entry host, and returns whether it
+    /// ran.
     pub fn settle(&self, attempt: &Attempt, target: Incarnation) -> Ran {
         let now = clock::mono();
         let mut table = self.inner.table.borrow_mut();
@@ -168,26 +172,27 @@
         ran
     }
 
-    /// The upstream's load. One that doesn't answer has none, and would look
-    /// like the best of all; so it is told as taking no work.
+    /// Returns the upstream's load. An upstream that is down has no load and
+    /// would look like the best choice, so it is reported as leaving.
     pub fn load(&self, prefix: &[u64]) -> Load {
         let mut load = self.inner.table.borrow().load(prefix);
         load.leaving |= self.inner.down.get();
         load
     }
 
-    /// An entry host lives: the leases of all it holds here are extended.
+    /// Extends the leases of all that an entry host holds here.
     pub fn renew(&self, host: Host, incarnation: Incarnation) {
         let owner = Owner { host, incarnation };
         self.inner.memory.renew(&owner, clock::mono());
     }
 
-    /// Whether the upstream answers.
+    /// Returns whether the upstream answers.
     pub async fn is_alive(&self) -> bool {
         self.inner.protocol.is_alive().await
     }
 
-    /// The node's handle, for what every exchange carries.
+    /// Returns the node's handle, which supplies the peer data that every
+    /// message carries.
     pub fn handle(&self) -> &Handle {
         &self.inner.handle
     }
@@ -199,7 +204,7 @@
     outcome
 }
 
-/// The span that a `traceparent` names, for logs.
+/// Formats the span of a `traceparent` header for logs.
 struct Parent<'a>(&'a str);
 
 impl std::fmt::Display for Parent<'_> {
@@ -231,8 +236,9 @@
         table.grant_waiting(now);
     }
 
-    /// The sidecar is the gate: an entry host that is cut off and doesn't know
-    /// of the drain is refused here.
+    /// Updates whether the upstream takes new attempts. Refusing them here also
+    /// covers entry hosts that are cut off and don't know that the upstream is
+    /// drained.
     pub(crate) fn update_leaving(&self, now: Mono) {
         let config = self.handle.view().get();
         let leaving = config.is_drained(&self.upstream) || self.stop.is_stopping();
@@ -246,7 +252,7 @@
         draw(&mut self.rng.borrow_mut())
     }
 
-    /// The context of this process's hop of an attempt.
+    /// Returns the trace context of this process for an attempt.
     fn hop_context(&self, traceparent: &str) -> Context {
         self.with_rng(|rng| match Context::parse(traceparent) {
             Some(parent) => parent.child(rng),
@@ -301,7 +307,7 @@
                 ticket.mark_removed();
                 Err(refusal)
             }
-            // The sidecar is stopping.
+            // The table was dropped: the sidecar is stopping.
             Err(_) => Err(Refusal {
                 code: Code::HostStopping,
                 ran: Ran::No,
--- a/almondlock-sidecar/src/ticket.rs
+++ b/almondlock-sidecar/src/ticket.rs
@@ -1,4 +1,5 @@
-//! An attempt's place in the table, from its grant to its outcome.
+//! Runs a granted attempt on the upstream, and takes it out of the table at the
+//! end.
 
 use std::{rc::Rc, time::Duration};
 
@@ -25,14 +26,15 @@
     sidecar::{DEFAULT_RETRY, Inner, refused_outcome},
 };
 
-/// How a ticket leaves the table when nothing more is said.
+/// What the table is told when the attempt is taken out.
 struct Ending {
     ran: Ran,
     output: Tokens,
 }
 
-/// An attempt's place in the table. Dropping it, at whatever point its entry
-/// host is lost, takes the attempt out and ends its run.
+/// Holds an attempt's entry in the table. Dropping the ticket at any point,
+/// such as when the entry host is lost, takes the attempt out of the table and
+/// ends its run.
 pub(crate) struct Ticket<P>
 where
     P: Protocol,
@@ -45,7 +47,7 @@
     queued: Duration,
     ending: Option<Ending>,
     started: bool,
-    // The death entered in advance, for a suspect.
+    // The death that a suspect request was charged with before its run.
     charge: Option<Blame>,
 }
 
@@ -91,7 +93,7 @@
     }
 }
 
-/// Why a run ended.
+/// The reason why a run ended.
 pub(crate) enum Completion {
     Result(Result<Usage, Failure>),
     Deadline,
@@ -102,7 +104,7 @@
 where
     P: Protocol,
 {
-    /// The place of an attempt that waits.
+    /// Creates the ticket of an attempt that waits.
     pub(crate) fn new(
         inner: Rc<Inner<P>>,
         attempt: &Attempt,
@@ -125,13 +127,14 @@
         }
     }
 
-    /// Its turn has come.
+    /// Records that the queue granted the attempt.
     pub(crate) fn record_grant(&mut self, grant: &Grant<Attempt>) {
         self.priority = grant.priority;
         self.queued = grant.waited;
     }
 
-    /// It was taken out of the table already.
+    /// Records that the attempt was already taken out of the table, so that
+    /// dropping the ticket does nothing.
     pub(crate) fn mark_removed(&mut self) {
         self.ending = None;
     }
@@ -149,7 +152,8 @@
             if let Err(code) = self.inner.charge(charge).await {
                 return Outcome::refused(code, Some(DEFAULT_RETRY));
             }
-            // Taken back also when the entry host leaves in the middle.
+            // Stored so that the charge is also withdrawn if the entry host
+            // leaves during the run.
             self.charge = Some(charge.clone());
         }
         let started = self.inner.table.borrow_mut().start(&self.attempt);
@@ -166,7 +170,8 @@
         let now = clock::mono();
         let id = self.attempt.to_string();
         self.inner.memory.open(id, item, &owner, head.lease, now);
-        // Until something better is known: it was handed on.
+        // The engine may run the attempt from here on, so count it as run with
+        // its full output until the outcome is known.
         self.ending = Some(Ending {
             ran: Ran::Yes,
             output: head.output,
@@ -192,7 +197,8 @@
         let end = drive.instrument(span).await;
         let began = pusher.has_begun();
         let flushed = match &end {
-            // The last frames must be there before the outcome says so.
+            // The entry host must receive the last frames before the outcome
+            // that says so.
             Completion::Result(Ok(_)) => pusher.flush().await.is_ok(),
             _ => {
                 drop(pusher);
@@ -240,7 +246,8 @@
                     .map_err(|_| Failure::OutputClosed)?;
                 Ok(usage)
             };
-            // The body may be left unread: the answer alone ends the run.
+            // The answer alone ends the run: the upstream may leave the body
+            // unread.
             let feeding = async {
                 feed_body(head, &source, feeder).await;
                 std::future::pending::<()>().await;
@@ -257,13 +264,13 @@
         }
     }
 
-    /// Leaves the table in the way the outcome says.
+    /// Records the outcome that the table is told when the ticket is dropped.
     fn record_outcome(&mut self, outcome: &Outcome) {
         self.charge = None;
         if let Some(ending) = &mut self.ending {
             ending.ran = outcome.ran;
         }
-        // A whole answer has left nothing on the engine to cancel.
+        // After a complete answer nothing is left to cancel on the engine.
         self.started = outcome.code.is_some();
     }
 }
