--- a/almondlock-daemon/src/roles/sidecar.rs
+++ b/almondlock-daemon/src/roles/sidecar.rs
@@ -7,7 +7,7 @@
 use almondlock_policy::queue;
 use almondlock_settings::{Order, Settings, Sidecar};
 use almondlock_sidecar::{
-    announce::{self, Registry, Site},
+    announce::{self, Environment, Registry},
     stop::Stop,
 };
 use almondlock_telemetry::metrics::Metrics;
@@ -20,7 +20,7 @@
     incarnation: Incarnation,
     inner: SocketAddr,
     (metrics, stop): (Metrics, Stop),
-) -> Site {
+) -> Environment {
     let order = match role.order {
         Order::Short => queue::Config::short(),
         Order::Even => queue::Config::even(),
@@ -30,19 +30,19 @@
         Order::Fifo => 0,
         Order::Short | Order::Even => u32::from(role.short_reserve),
     };
-    Site {
+    Environment {
         host: settings.host.name.clone(),
         domain: settings.host.domain.clone(),
         region: settings.host.region.clone(),
         incarnation,
-        inner,
+        inner_address: inner,
         queue: queue::Config {
             reserve_percent: reserve,
             max_waiting: role.waiting,
             ..order
         },
-        memory_share: role.memory_share,
-        running: u32::try_from(role.running).unwrap_or(u32::MAX),
+        memory_percent: role.memory_share,
+        max_running: u32::try_from(role.running).unwrap_or(u32::MAX),
         metrics,
         stop,
     }
@@ -51,7 +51,7 @@
 /// Starts the listener for announcements; gives its address.
 pub(crate) fn start(
     role: &Sidecar,
-    site: Site,
+    site: Environment,
     handle: Handle,
     replicas: Replicas,
     sidecars: Sidecars,
--- a/almondlock-entry/tests/fleet/mod.rs
+++ b/almondlock-entry/tests/fleet/mod.rs
@@ -22,7 +22,7 @@
 };
 use almondlock_node::{Config, Node, Parts, Sidecars, clock, links::Links, replicas::Replicas};
 use almondlock_policy::{choice::Origin, queue};
-use almondlock_sidecar::announce::{Announcement, Registry, Site};
+use almondlock_sidecar::announce::{Announcement, Environment, Registry};
 use almondlock_spread::view::View;
 use almondlock_standin::engine::{self, Engine};
 use almondlock_state::{
@@ -214,15 +214,15 @@
         let (node, number) = self.node(name, sidecars.clone()).await;
         let links = Links::new(node.handle().clone());
         let replicas = Replicas::new(links, vec![self.source.address()]);
-        let site = Site {
+        let site = Environment {
             host: Host::new(name).unwrap(),
             domain: Domain::new("a").unwrap(),
             region: Region::new("r").unwrap(),
             incarnation: Incarnation(number),
-            inner: place(node.address()).await,
+            inner_address: place(node.address()).await,
             queue: queue::Config::short(),
-            memory_share: 100,
-            running: u32::MAX,
+            memory_percent: 100,
+            max_running: u32::MAX,
             metrics: almondlock_telemetry::metrics::Metrics::none(),
             stop: Default::default(),
         };
--- a/almondlock-sidecar/src/announce.rs
+++ b/almondlock-sidecar/src/announce.rs
@@ -1,10 +1,10 @@
-//! How an upstream becomes known.
+//! Registration of upstreams by their own announcements.
 //!
-//! No list of upstreams exists: each one announces itself over HTTP to the
-//! sidecar on its host, again and again. The sidecar stands in front of it
-//! from the first announcement on, registers it with the control replicas, and
-//! keeps the registration alive for as long as the upstream goes on announcing
-//! itself or answers.
+//! There is no configured list of upstreams. Each upstream regularly announces
+//! itself over HTTP to the sidecar process on its host. The first announcement
+//! starts a sidecar for the upstream, which is registered with the control
+//! replicas. The registration is renewed for as long as the upstream announces
+//! itself or answers health checks.
 
 use std::{
     cell::RefCell,
@@ -43,114 +43,125 @@
     openai::Engine, plain, protocol::Protocol, sidecar::Sidecar, stop::Stop, table::Config,
 };
 
-/// How often a registration is renewed.
+/// Interval between renewals of a registration.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
-/// How long the replicas are tried for each.
+/// Time-out of one registration at the replicas.
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after a refused registration.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// An upstream that neither announces itself nor answers for this long is no
-/// longer renewed; its lease at the replicas then ends.
+/// Time since the last announcement after which a registration is only renewed
+/// while the upstream answers health checks. Without renewals, its lease at the
+/// replicas ends.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The most memory an upstream may claim, in tokens: what the replicas accept.
+/// Maximum memory that an upstream may announce, in tokens. The replicas accept
+/// no more.
 const MAX_CAPACITY_TOKENS: u64 = limit::MAX_CAPACITY_TOKENS;
-/// Announcements that wait to be taken.
+/// Maximum number of announcements that wait to be processed.
 const MAX_QUEUED_ANNOUNCEMENTS: usize = 64;
-/// Batch places when an upstream names none.
+/// Number of batch slots of an upstream that announces none.
 const DEFAULT_SLOTS: u32 = 64;
 
-/// What an upstream says of itself.
+/// An announcement by which an upstream describes itself.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// Its name.
+    /// Name of the upstream.
     pub name: Upstream,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Engine or plain service.
+    /// Whether it is an engine or a plain service.
     pub kind: Kind,
-    /// The model it has loaded, for an engine.
+    /// Model that an engine has loaded.
     #[serde(default)]
     pub model: Option<Model>,
-    /// That model's version.
+    /// Version of that model.
     #[serde(default)]
     pub version: Option<Version>,
-    /// The service it belongs to, for a plain service.
+    /// Service to which a plain service belongs.
     #[serde(default)]
     pub service: Option<Name>,
     /// Engine memory in tokens.
     #[serde(default)]
     pub capacity: u64,
-    /// Requests it runs together at most.
+    /// Maximum number of requests that it runs at the same time.
     #[serde(default)]
     pub slots: Option<u32>,
-    /// Prompt tokens it processes in a second, for the first estimates; what is
-    /// observed counts more with every answer.
+    /// Prompt tokens that it processes per second, for the first estimates.
+    /// Measured speeds replace this figure gradually.
     #[serde(default)]
     pub prefill_rate: Option<f64>,
     /// Whether it refuses orders with an old fencing number.
     #[serde(default)]
     pub fenced: bool,
-    /// Whether it can go on with an answer at a given token.
+    /// Whether it can resume an answer at a given token.
     #[serde(default)]
     pub resumable: bool,
 }
 
-/// Where the sidecar's host stands.
+/// Location and settings that all sidecars of a process share.
 #[derive(Clone, Debug)]
-pub struct Site {
-    /// The host.
+pub struct Environment {
+    /// Host on which the process runs.
     pub host: Host,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: Domain,
-    /// Its region.
+    /// Region of the host.
     pub region: Region,
-    /// This life of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// The inner listener, as other processes reach it.
-    pub inner: SocketAddr,
-    /// The order of work beside each upstream.
+    /// Address of the inner listener at which other processes reach the
+    /// sidecars.
+    pub inner_address: SocketAddr,
+    /// Configuration of the queue in front of each upstream.
     pub queue: queue::Config,
-    /// Percent of an engine's memory that may be filled; the rest absorbs late
-    /// and wrong figures.
-    pub memory_share: u8,
-    /// Requests handed to one upstream at a time at most.
-    pub running: u32,
-    /// Where metrics go.
+    /// Percentage of an engine's memory that may be filled. The rest makes up
+    /// for late and inaccurate figures.
+    pub memory_percent: u8,
+    /// Maximum number of requests handed to one upstream at a time.
+    pub max_running: u32,
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// Tells when the process stops.
+    /// Shutdown state of the process.
     pub stop: Stop,
 }
 
-/// The upstreams that announced themselves here.
+/// Registry of the upstreams that announced themselves to this process.
 #[derive(Clone)]
 pub struct Registry {
     inner: Rc<Inner>,
 }
 
+/// State shared by the clones of a registry.
 struct Inner {
-    site: Site,
+    environment: Environment,
     handle: Handle,
     replicas: Replicas,
     sidecars: Sidecars,
     upstreams: RefCell<HashMap<Upstream, Entry>>,
 }
 
+/// A known upstream: its latest announcement and when it arrived.
 struct Entry {
     announcement: Announcement,
     last_heard: Mono,
 }
 
-/// Why an announcement is refused.
+/// The reason why an announcement is refused, as a text for the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal(pub String);
 
 impl Registry {
-    /// No upstreams yet; sidecars will be offered in `sidecars`.
-    pub fn new(site: Site, handle: Handle, replicas: Replicas, sidecars: Sidecars) -> Registry {
+    /// Creates an empty registry. The sidecars that it starts are added to
+    /// `sidecars`.
+    pub fn new(
+        environment: Environment,
+        handle: Handle,
+        replicas: Replicas,
+        sidecars: Sidecars,
+    ) -> Registry {
         let inner = Rc::new(Inner {
-            site,
+            environment,
             handle,
             replicas,
             sidecars,
@@ -159,8 +170,8 @@
         Registry { inner }
     }
 
-    /// Takes an announcement: the first of a name starts a sidecar, a repeated
-    /// one renews it, one with another address replaces it.
+    /// Processes an announcement. The first one of a name starts a sidecar, a
+    /// repeated one renews it, and one with another address replaces it.
     pub async fn announce(&self, announcement: Announcement) -> Result<(), Refusal> {
         validate(&announcement)?;
         let now = clock::mono();
@@ -194,30 +205,34 @@
         Ok(())
     }
 
+    /// Starts a sidecar for an upstream and keeps its registration renewed.
     fn start_sidecar<P>(&self, announcement: Announcement, protocol: P)
     where
         P: Protocol,
     {
         let inner = &self.inner;
         let config = Config {
-            capacity: inner.site.capacity(&announcement),
-            slots: inner.site.slots(&announcement),
+            capacity: inner.environment.capacity(&announcement),
+            slots: inner.environment.slots(&announcement),
             queue: queue::Config {
                 initial_speed: announcement
                     .prefill_rate
-                    .unwrap_or(inner.site.queue.initial_speed),
-                ..inner.site.queue
+                    .unwrap_or(inner.environment.queue.initial_speed),
+                ..inner.environment.queue
             },
             gate: gate::Config::default(),
         };
         let sidecar = Sidecar::new(
             announcement.name.clone(),
-            inner.site.incarnation,
+            inner.environment.incarnation,
             config,
             protocol,
             inner.handle.clone(),
             inner.replicas.clone(),
-            (inner.site.metrics.clone(), inner.site.stop.clone()),
+            (
+                inner.environment.metrics.clone(),
+                inner.environment.stop.clone(),
+            ),
         );
         let client = capnp_rpc::new_client(sidecar.clone());
         inner.sidecars.insert(announcement.name.clone(), client);
@@ -229,28 +244,31 @@
     }
 }
 
-impl Site {
-    /// Engine memory that may be filled. A plain service has none to run out of.
+impl Environment {
+    /// Returns the engine memory that may be filled. A plain service has no
+    /// memory limit.
     fn capacity(&self, announcement: &Announcement) -> Tokens {
         match announcement.kind {
             Kind::Engine => {
-                let share = u64::from(self.memory_share.min(100));
+                let share = u64::from(self.memory_percent.min(100));
                 Tokens(announcement.capacity / 100 * share)
             }
             Kind::Service => Tokens(MAX_CAPACITY_TOKENS),
         }
     }
 
+    /// Returns the number of requests that may be handed to the upstream at a time.
     fn slots(&self, announcement: &Announcement) -> u32 {
         let slots = announcement.slots.unwrap_or(DEFAULT_SLOTS);
-        slots.min(self.running).max(1)
+        slots.min(self.max_running).max(1)
     }
 }
 
+/// Refuses an announcement that is incomplete or has a value out of range.
 fn validate(announcement: &Announcement) -> Result<(), Refusal> {
     let fault = |text: &str| Err(Refusal(text.to_owned()));
     if announcement.address.ip().is_unspecified() || announcement.address.port() == 0 {
-        return fault("the address is not one to connect to");
+        return fault("`address` must name an IP address and a port that can be connected to");
     }
     if announcement
         .prefill_rate
@@ -263,38 +281,40 @@
     }
     match announcement.kind {
         Kind::Engine if announcement.model.is_none() || announcement.version.is_none() => {
-            fault("an engine names its `model` and `version`")
-        }
-        Kind::Engine if !(1..=MAX_CAPACITY_TOKENS).contains(&announcement.capacity) => {
-            fault("an engine's `capacity` is its memory in tokens")
+            fault("an engine must name its `model` and `version`")
         }
+        Kind::Engine if !(1..=MAX_CAPACITY_TOKENS).contains(&announcement.capacity) => fault(
+            "an engine must give its memory in tokens as `capacity`, within the accepted range",
+        ),
         Kind::Service if announcement.service.is_none() => {
-            fault("a plain service names its `service`")
+            fault("a plain service must name its `service`")
         }
         Kind::Engine | Kind::Service => Ok(()),
     }
 }
 
 impl Inner {
+    /// Builds the registration that is sent to the replicas.
     fn registration(&self, announcement: &Announcement) -> Registration {
-        let site = &self.site;
+        let environment = &self.environment;
         Registration {
-            address: site.inner,
-            host: site.host.clone(),
-            domain: site.domain.clone(),
-            region: site.region.clone(),
-            incarnation: site.incarnation,
+            address: environment.inner_address,
+            host: environment.host.clone(),
+            domain: environment.domain.clone(),
+            region: environment.region.clone(),
+            incarnation: environment.incarnation,
             kind: announcement.kind,
             model: announcement.model.clone().zip(announcement.version.clone()),
             service: announcement.service.clone(),
-            capacity: site.capacity(announcement),
+            capacity: environment.capacity(announcement),
             fenced: announcement.fenced,
             resumable: announcement.resumable,
             role: String::new(),
         }
     }
 
-    /// Keeps one upstream's registration alive until it is replaced here.
+    /// Renews one upstream's registration until an announcement with another
+    /// address replaces it.
     async fn renew_registration<P>(
         self: Rc<Self>,
         name: Upstream,
@@ -321,13 +341,15 @@
             match told.await {
                 Ok(_) | Err(Code::NoQuorum) => sleep(RENEWAL_INTERVAL).await,
                 Err(code) => {
-                    tracing::warn!(upstream = %name, %code, "the registration was refused");
+                    tracing::warn!(upstream = %name, %code, "replicas refused the registration");
                     sleep(REFUSED_RETRY_DELAY).await;
                 }
             }
         }
     }
 
+    /// Returns the latest announcement of an upstream and when it arrived, unless
+    /// another address has replaced the given one.
     fn current_announcement(
         &self,
         name: &Upstream,
@@ -342,7 +364,8 @@
 
 type Answer = oneshot::Sender<Result<(), Refusal>>;
 
-/// The listener's way to the registry, which belongs to another thread.
+/// Passes announcements from the HTTP listener to the registry, which belongs
+/// to another thread.
 #[derive(Clone)]
 struct Endpoint {
     requests: mpsc::Sender<(Announcement, Answer)>,
@@ -354,7 +377,8 @@
     let (requests, mut queue) = mpsc::channel::<(Announcement, Answer)>(MAX_QUEUED_ANNOUNCEMENTS);
     spawn_local(async move {
         while let Some((announcement, answer)) = queue.recv().await {
-            // Whoever asked may be gone; it will announce itself again.
+            // An error means that the upstream has closed its connection. It
+            // will announce itself again.
             let _ = answer.send(registry.announce(announcement).await);
         }
     });
@@ -368,6 +392,7 @@
     Ok(server.listen(listener)?.run())
 }
 
+/// Handles `POST /announce`.
 async fn handle_announcement(
     endpoint: web::types::State<Endpoint>,
     body: web::types::Json<Announcement>,
--- a/almondlock-sidecar/src/body.rs
+++ b/almondlock-sidecar/src/body.rs
@@ -61,6 +61,7 @@
     Ok(text)
 }
 
+/// Reads at most `limit` bytes of the body, starting at `offset`.
 async fn read_chunk(
     source: &source::Client,
     offset: u64,
--- a/almondlock-sidecar/src/openai.rs
+++ b/almondlock-sidecar/src/openai.rs
@@ -85,6 +85,7 @@
     }
 }
 
+/// Formats the location of a segment for the `X-Engine-Segments` header.
 fn segment_location(segment: &Segment) -> String {
     format!("{}/{}", segment.address, segment.handle)
 }
@@ -243,6 +244,7 @@
     }
 }
 
+/// Passes an answer on part by part, and returns its usage if it is complete.
 async fn relay_answer<O>(response: ClientResponse, output: &mut O) -> Result<Usage, Failure>
 where
     O: Output,
--- a/almondlock-sidecar/src/outcome.rs
+++ b/almondlock-sidecar/src/outcome.rs
@@ -45,7 +45,7 @@
                 return failed_outcome(
                     Code::CallerLeft,
                     Ran::Yes,
-                    "the entry host gave the attempt up".to_owned(),
+                    "the entry host cancelled the attempt".to_owned(),
                 );
             }
         };
--- a/almondlock-sidecar/src/output.rs
+++ b/almondlock-sidecar/src/output.rs
@@ -97,6 +97,7 @@
     }
 }
 
+/// Pushes queued frames to the entry host in batches, one push at a time.
 async fn push_frames(
     sink: sink::Client,
     mut queue: mpsc::Receiver<Frame>,
--- a/almondlock-sidecar/src/parts.rs
+++ b/almondlock-sidecar/src/parts.rs
@@ -143,6 +143,7 @@
     }
 }
 
+/// Returns the outcome of a step that succeeded.
 fn success() -> Outcome {
     Outcome {
         code: None,
--- a/almondlock-sidecar/src/sidecar.rs
+++ b/almondlock-sidecar/src/sidecar.rs
@@ -59,6 +59,7 @@
     }
 }
 
+/// State shared by the clones of a sidecar.
 pub(crate) struct Inner<P> {
     pub(crate) upstream: Upstream,
     pub(crate) incarnation: Incarnation,
@@ -198,6 +199,7 @@
     }
 }
 
+/// Returns the outcome of an attempt that was refused.
 pub(crate) fn refused_outcome(refusal: Refusal) -> Outcome {
     let mut outcome = Outcome::refused(refusal.code, refusal.retry_after.or(Some(DEFAULT_RETRY)));
     outcome.ran = refusal.ran;
@@ -216,6 +218,7 @@
     }
 }
 
+/// Returns the outcome of a run that failed.
 pub(crate) fn failed_outcome(code: Code, ran: Ran, message: String) -> Outcome {
     Outcome {
         ran,
@@ -228,6 +231,7 @@
 where
     P: Protocol,
 {
+    /// Refuses expired attempts and grants those that there is room for.
     fn tick(&self) {
         let now = clock::mono();
         self.update_leaving(now);
@@ -260,12 +264,14 @@
         })
     }
 
+    /// Records whether the upstream fails to answer.
     pub(crate) fn set_down(&self, down: bool) {
         if self.down.replace(down) != down {
             tracing::info!(upstream = %self.upstream, down, "the upstream's health changed");
         }
     }
 
+    /// Queues an attempt and waits until it is granted or refused.
     pub(crate) async fn admit(self: Rc<Self>, head: &Head) -> Result<Ticket<P>, Refusal> {
         if self.down.get() {
             return Err(Refusal {
--- a/almondlock-sidecar/src/stop.rs
+++ b/almondlock-sidecar/src/stop.rs
@@ -45,6 +45,7 @@
         self.inner.active.get()
     }
 
+    /// Counts an attempt until the guard is dropped.
     pub(crate) fn track_attempt(&self) -> Guard {
         self.inner.active.set(self.inner.active.get() + 1);
         Guard(self.clone())
--- a/almondlock-sidecar/src/table.rs
+++ b/almondlock-sidecar/src/table.rs
@@ -1,5 +1,5 @@
-//! What one sidecar knows of the attempts it has: which wait, which run, what
-//! room they leave. No I/O; the present time is an argument.
+//! The attempts at one upstream: which wait, which run, and how much memory and
+//! how many batch slots are free. No I/O; the current time is an argument.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -23,32 +23,32 @@
 use almondlock_wire::attempt::{Head, Load, Part};
 use tokio::sync::oneshot;
 
-/// When to come back for memory that could not be had.
+/// Time after which a caller may retry when memory could not be reserved.
 const MEMORY_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Prefix hashes remembered as cached on the engine.
+/// Maximum number of prefix hashes remembered as cached on the engine.
 const MAX_KNOWN_PREFIXES: usize = 8192;
 
-/// Why an attempt doesn't run, and what is known of its copies.
+/// The reason why an attempt doesn't run, and whether a copy of it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The numbered reason.
+    /// Result code.
     pub code: Code,
-    /// Whether any copy of it ran.
+    /// Whether any copy of the attempt ran.
     pub ran: Ran,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-/// A request that ran on the engine at some moment.
+/// Identifies a request that ran on the engine at some time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// What it is told by.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Whose it is.
+    /// Organisation that sent it.
     pub organisation: Organisation,
 }
 
-/// Where an attempt stands, and whom to tell.
+/// State of an attempt, with the channel that tells its task about a change.
 enum Stage {
     Waiting(oneshot::Sender<Verdict>),
     Granted,
@@ -57,55 +57,56 @@
 
 struct Entry {
     request: Request,
-    /// Engine memory kept for it from the grant on.
+    /// Engine memory reserved for the attempt once it is granted.
     memory_need: Tokens,
     prefix: Vec<u64>,
     stage: Stage,
 }
 
-/// Memory for a part of a prompt larger than an engine.
+/// Memory for a part of a prompt that is larger than one engine.
 struct Reservation {
     tokens: Tokens,
-    // Told when it is granted; none from then on.
+    // Notified when the reservation is granted. `None` after that.
     tell: Option<oneshot::Sender<Result<(), Refusal>>>,
 }
 
-/// Bounds of a table.
+/// Limits of a table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
     /// Engine memory in tokens.
     pub capacity: Tokens,
-    /// Places in the engine's batch.
+    /// Number of slots in the engine's batch.
     pub slots: u32,
-    /// The order of work.
+    /// Configuration of the queue, which orders the attempts.
     pub queue: queue::Config,
-    /// Memory of attempts given up.
+    /// Configuration of the gate, which remembers cancelled attempts.
     pub gate: gate::Config,
 }
 
-/// What a waiting attempt is told in the end.
+/// The result of waiting: a grant or a refusal.
 pub type Verdict = Result<Grant<Attempt>, Refusal>;
 
-/// The attempts of one upstream.
+/// The attempts at one upstream.
 pub struct Table {
     config: Config,
     gate: Gate,
     queue: Queue<Attempt>,
-    // Invariant: an entry waits in `queue` while its stage is `Waiting`, and
-    // runs in `queue` in the other two.
+    // Invariant: an entry waits in `queue` in the stage `Waiting`, else runs
+    // there.
     entries: HashMap<Attempt, Entry>,
-    // Invariant: the sum of `need` over the entries that don't wait, and of
-    // the reservations granted.
+    // Invariant: the sum of `memory_need` over the entries that don't wait, and
+    // of the granted reservations.
     used_memory: Tokens,
     waitlist: Waitlist<Attempt>,
-    // Invariant: has exactly what waits at `waitlist`, and what it granted.
+    // Invariant: holds exactly what waits in `waitlist` or was granted by it.
     reservations: HashMap<Attempt, Reservation>,
-    // Invariant: how many entries don't wait.
+    // Invariant: the number of entries that don't wait.
     occupied_slots: u32,
     prefixes: Prefixes,
 }
 
-/// Prefixes the engine has probably cached: a hint, bounded.
+/// Prefixes that the engine has probably cached. A bounded hint: the oldest are
+/// forgotten first.
 #[derive(Default)]
 struct Prefixes {
     known: HashSet<u64>,
@@ -132,7 +133,7 @@
 }
 
 impl Table {
-    /// An empty table of one life of a sidecar.
+    /// Creates an empty table for one incarnation of a sidecar.
     pub fn new(config: Config, incarnation: Incarnation) -> Table {
         Table {
             gate: Gate::new(config.gate, incarnation),
@@ -147,12 +148,14 @@
         }
     }
 
-    /// Lets an attempt in, to wait for its turn. `treatment` as the sidecar
-    /// itself knows it: the entry host's word may be older.
+    /// Adds an attempt to the queue. The receiver gets the verdict.
+    ///
+    /// `treatment` comes from the sidecar's own configuration, since the entry
+    /// host's may be older.
     ///
     /// # Errors
     ///
-    /// Refused at the gate or by the queue.
+    /// Refused by the gate or by the queue.
     pub fn enqueue(
         &mut self,
         head: &Head,
@@ -210,11 +213,12 @@
         }
     }
 
-    /// Asks for memory for a part of a prompt larger than an engine.
+    /// Requests memory for a part of a prompt that is larger than one engine.
+    /// The receiver is notified when it is granted.
     ///
     /// # Errors
     ///
-    /// Refused at the gate, or when there can never be room.
+    /// Refused by the gate, or if the part can never fit.
     pub fn reserve(
         &mut self,
         part: &Part,
@@ -244,7 +248,7 @@
         Ok(told)
     }
 
-    /// Gives a reservation back, granted or not. Idempotent.
+    /// Releases a reservation, granted or not. Idempotent.
     pub fn release(&mut self, attempt: &Attempt, now: Mono) {
         if let Some(reservation) = self.reservations.remove(attempt) {
             if reservation.tell.is_none() {
@@ -255,7 +259,7 @@
         }
     }
 
-    /// The same, by the name that the engine knows it under.
+    /// Releases a reservation by the identifier that the engine knows it by.
     pub fn release_by_engine_id(&mut self, id: &str, now: Mono) {
         let named = |attempt: &&Attempt| attempt.to_string() == id;
         if let Some(attempt) = self.reservations.keys().find(named).cloned() {
@@ -263,7 +267,7 @@
         }
     }
 
-    /// Memory that only short prompts use.
+    /// Returns the memory that only short prompts may use.
     fn short_reserve(&self) -> Tokens {
         let reserve = u64::from(self.config.queue.reserve_percent.min(100));
         Tokens(self.config.capacity.0 / 100 * reserve)
@@ -297,10 +301,10 @@
         }
     }
 
-    /// The room that the queue may fill. While memory is collected for a
-    /// reservation, only the part kept for short prompts: what running work
-    /// frees would otherwise be taken by the next job each time, and the
-    /// longest prompts would never start.
+    /// Returns the room for the queue. While memory is collected for a
+    /// reservation, this is only the part kept for short prompts: otherwise the
+    /// next job would take whatever running work frees, and the longest prompts
+    /// would never start.
     fn queue_room(&self, now: Mono) -> Room {
         let mut room = self.room();
         if self.waitlist.is_collecting(now) {
@@ -309,7 +313,7 @@
         room
     }
 
-    /// Starts what there is room for.
+    /// Grants reservations and queued attempts as far as there is room.
     pub fn grant_waiting(&mut self, now: Mono) {
         self.grant_reservations(now);
         while let Some(grant) = self.queue.grant(now, &self.queue_room(now)) {
@@ -325,19 +329,19 @@
                 Stage::Waiting(tell) => tell.send(Ok(grant)).is_ok(),
                 Stage::Granted | Stage::Running(_) => true,
             };
-            // Nobody waits any more: its room goes to the next.
+            // The attempt's task is gone, so its room goes to the next attempt.
             if !told {
                 self.finish(&attempt, Tokens::ZERO, Ran::No, now);
             }
         }
     }
 
-    /// Marks a granted attempt as handed to the engine: from here on it counts
-    /// as run. The receiver is told when its entry host gives it up.
+    /// Marks a granted attempt as handed to the engine, so that it counts as
+    /// run. The receiver is notified when the entry host cancels it.
     ///
     /// # Errors
     ///
-    /// Refused when it was given up meanwhile.
+    /// Refused if the attempt was cancelled meanwhile.
     pub fn start(&mut self, attempt: &Attempt) -> Result<oneshot::Receiver<()>, Refusal> {
         self.gate.start(attempt)?;
         let (cancel, cancelled) = oneshot::channel();
@@ -347,7 +351,7 @@
         Ok(cancelled)
     }
 
-    /// Notes that a running attempt's prompt has been processed.
+    /// Records that the engine has processed a running attempt's prompt.
     pub fn end_prefill(&mut self, attempt: &Attempt, now: Mono) {
         self.queue.end_prefill(attempt, now);
         if let Some(entry) = self.entries.get(attempt) {
@@ -355,7 +359,7 @@
         }
     }
 
-    /// Takes an attempt out, whatever its stage.
+    /// Removes an attempt in any stage.
     pub fn finish(&mut self, attempt: &Attempt, output: Tokens, ran: Ran, now: Mono) {
         let Some(entry) = self.entries.remove(attempt) else {
             return;
@@ -370,7 +374,8 @@
         self.gate.finish(attempt, ran, now);
     }
 
-    /// Gives an attempt up on its entry host's word, and says whether it ran.
+    /// Cancels an attempt on behalf of its entry host, and returns whether it
+    /// ran.
     pub fn settle(&mut self, attempt: &Attempt, target: Incarnation, now: Mono) -> Ran {
         let settled = self.gate.settle(attempt, target, now);
         match settled.action {
@@ -388,7 +393,8 @@
         settled.ran
     }
 
-    /// Answers those who wait no longer: their time is over, or can't suffice.
+    /// Refuses waiting attempts whose deadline has passed or can no longer be
+    /// met.
     pub fn expire(&mut self, now: Mono) {
         for expiry in self.queue.take_expired(now) {
             self.refuse_waiting(&expiry.id, expiry.code, Some(expiry.retry_after), now);
@@ -396,8 +402,8 @@
         self.gate.sweep(now);
     }
 
-    /// Says whether the upstream is leaving. What waits is given back at once,
-    /// provably not run; what runs is left alone.
+    /// Sets whether the upstream is leaving. If it is, waiting attempts are
+    /// returned at once as not run, and running ones continue.
     pub fn set_leaving(&mut self, leaving: bool, now: Mono) {
         if leaving == self.gate.is_leaving() {
             return;
@@ -408,7 +414,7 @@
         }
     }
 
-    /// Refuses a reservation that waits.
+    /// Refuses a waiting reservation, since the upstream is leaving.
     fn refuse_reservation(&mut self, attempt: &Attempt) {
         let waits = |r: &mut Reservation| r.tell.take();
         let tell = self.reservations.get_mut(attempt).and_then(waits);
@@ -423,12 +429,12 @@
         }
     }
 
-    /// Whether the upstream takes no new work.
+    /// Returns whether the upstream is leaving and takes no new work.
     pub fn is_leaving(&self) -> bool {
         self.gate.is_leaving()
     }
 
-    /// Sends a refusal to a waiting attempt and takes it out.
+    /// Refuses a waiting attempt and removes it.
     fn refuse_waiting(&mut self, attempt: &Attempt, code: Code, wait: Option<Duration>, now: Mono) {
         if let Some(entry) = self.entries.get_mut(attempt) {
             let refusal = Refusal {
@@ -448,14 +454,14 @@
         self.gate.finish(attempt, Ran::No, now);
     }
 
-    /// What runs on the engine.
+    /// Returns the requests that run on the engine.
     pub fn running_requests(&self) -> Vec<Request> {
         let running = |e: &&Entry| matches!(e.stage, Stage::Running(_));
         let running = self.entries.values().filter(running);
         running.map(|e| e.request.clone()).collect()
     }
 
-    /// Room on the engine, by what is kept for those that run.
+    /// Returns the room on the engine, given the needs of what was granted.
     pub fn room(&self) -> Room {
         Room {
             free_memory: self.config.capacity.saturating_sub(self.used_memory),
@@ -465,7 +471,8 @@
         }
     }
 
-    /// What is told of the upstream's load. `prefix`: of a prompt that may come.
+    /// Returns the load reported to entry hosts. `prefix` belongs to a prompt
+    /// that may be sent here.
     pub fn load(&self, prefix: &[u64]) -> Load {
         Load {
             running: self.occupied_slots,
--- a/almondlock-sidecar/src/ticket.rs
+++ b/almondlock-sidecar/src/ticket.rs
@@ -95,8 +95,11 @@
 
 /// The reason why a run ended.
 pub(crate) enum Completion {
+    /// The upstream answered, or the run failed.
     Result(Result<Usage, Failure>),
+    /// The deadline of the attempt passed.
     Deadline,
+    /// The entry host cancelled the attempt.
     Cancelled,
 }
 
@@ -219,6 +222,8 @@
         outcome
     }
 
+    /// Runs the attempt on the upstream until it ends, its deadline passes or it is
+    /// cancelled.
     async fn run_on_upstream(
         &self,
         head: &Head,
