--- a/almondlock-state/src/api.rs
+++ b/almondlock-state/src/api.rs
@@ -1,7 +1,7 @@
-//! The JSON of the operators' API, shared by server and client.
+//! The JSON types of the operators' HTTP API, shared by server and client.
 //!
-//! Fields are only ever added, with a default, so that a client and a replica
-//! of adjacent versions understand each other.
+//! Fields are only ever added, with a default, so that a client and a replica of adjacent
+//! versions understand each other.
 //!
 //! | request | answer |
 //! |---|---|
@@ -14,12 +14,12 @@
 //! | `GET /v1/history?limit=N` | [`History`] |
 //! | `GET /v1/plans`, `GET /v1/plans/ID` | [`Plans`], [`Planned`] |
 //! | `GET /v1/watch?after=REVISION&wait=MILLIS` | [`Watch`] |
-//! | `POST /v1/plans` with [`Propose`] | [`Planned`] |
+//! | `POST /v1/plans` with [`Proposal`] | [`Planned`] |
 //! | `POST /v1/plans/ID/confirm`, `.../stop` | [`Planned`] |
 //! | `POST /v1/plans/ID/undo` with [`Undo`] | [`Planned`] |
 //!
-//! Everything else is answered with a [`Failure`], whose code is also in the
-//! header [`CODE_HEADER`].
+//! Refusals are answered with a [`Failure`], whose code is also in the header
+//! [`CODE_HEADER`].
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -45,37 +45,37 @@
 /// The header that carries the number of a refusal's code.
 pub const CODE_HEADER: &str = "x-almondlock-code";
 
-/// Digits shown of a key's hash: enough to tell keys apart and to revoke one.
+/// Number of digits shown of a key's hash: enough to tell keys apart and to revoke one.
 pub const HASH_DIGITS: usize = 12;
 
-/// A refusal.
+/// The answer to a refused request.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Failure {
-    /// What went wrong.
+    /// The reason of the refusal.
     pub error: Problem,
 }
 
-/// What went wrong.
+/// The reason of a refusal.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Problem {
-    /// The code's number; perhaps of a newer version.
+    /// The code's number. May be unknown, if the server is of a newer version.
     pub code: u16,
     /// The code's name.
     #[serde(rename = "type")]
     pub kind: String,
-    /// What is wrong, for people.
+    /// The reason, for people.
     pub message: String,
-    /// Whether the change was made, as far as is known.
+    /// Whether the change was made, as far as known.
     pub ran: Ran,
-    /// The leader's address for operators, when another replica leads.
+    /// The leader's address for operators, if another replica leads.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leader: Option<SocketAddr>,
 }
 
 impl Problem {
-    /// A problem with a code and a message of its own.
+    /// Creates a problem with a code and a specific message.
     pub fn new<M>(code: Code, message: M) -> Problem
     where
         M: Into<String>,
@@ -96,41 +96,41 @@
     }
 }
 
-/// A proposal.
+/// The proposal of a change.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Proposal {
-    /// The operator's number for the change.
+    /// The change number, chosen by the operator.
     pub number: String,
-    /// What is wanted.
+    /// The intent to plan.
     #[serde(flatten)]
     pub intent: Intent,
 }
 
-/// The wish to undo a plan.
+/// A request to undo a plan.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Undo {
-    /// The operator's number for the change.
+    /// The change number of the undoing, chosen by the operator.
     pub number: String,
 }
 
-/// Shortens the hashes of keys: nobody needs a whole one back, and a hash of a
-/// key that was not made by chance may be guessed.
+/// Shortens the hashes of keys in a plan. No client needs a whole hash, and a key that was
+/// not made at random could be guessed from one.
 pub fn mask_hashes(mut plan: Plan) -> Plan {
     plan.intent.mask();
     for stage in &mut plan.stages {
         if let plan::Step::Apply(effect) = &mut stage.step {
-            mask(effect);
+            mask_effect(effect);
         }
         if let Some(inverse) = &mut stage.inverse {
-            mask(inverse);
+            mask_effect(inverse);
         }
     }
     plan
 }
 
-fn mask(effect: &mut Effect) {
+fn mask_effect(effect: &mut Effect) {
     match effect {
         Effect::Config(config::Change::Organisation(_, Some(known))) => {
             known
@@ -143,19 +143,19 @@
     }
 }
 
-/// A plan, and whether what it has done so far is in force.
+/// A plan, and whether its changes so far are in force.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Planned {
     /// The plan.
     pub plan: Plan,
-    /// Whether no live process is behind the plan's last revision; `None` when
-    /// it has changed nothing yet, or nobody knows.
+    /// Whether no live process is behind the plan's last revision. `None` if the plan has
+    /// changed nothing yet, or this isn't known.
     #[serde(default)]
     pub in_force: Option<bool>,
 }
 
-/// Plans in short, newest first.
+/// Summaries of plans, newest first.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Plans {
@@ -163,27 +163,27 @@
     pub plans: Vec<Summary>,
 }
 
-/// A plan in short.
+/// The summary of a plan.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Summary {
-    /// Its number.
+    /// The plan's number.
     pub id: plan::Id,
     /// The change number.
     pub number: String,
-    /// Who proposed it.
+    /// The operator who proposed the plan.
     pub operator: String,
-    /// When.
+    /// When the plan was proposed.
     pub proposed: Wall,
-    /// What is wanted.
+    /// The intent that the plan carries out.
     pub intent: Intent,
-    /// Where it stands.
+    /// The state of the plan.
     pub state: State,
-    /// Steps that ended well.
+    /// Number of steps that succeeded.
     pub done: usize,
-    /// Steps in all.
+    /// Number of all steps.
     pub steps: usize,
-    /// Why it stopped or failed.
+    /// Why the plan failed. Empty otherwise.
     #[serde(default)]
     pub message: String,
 }
@@ -210,90 +210,90 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Process {
-    /// Where it runs.
+    /// The host on which it runs.
     pub host: Host,
-    /// Its life.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// The revision that it acts on.
+    /// The revision of the configuration that it acts on.
     pub revision: Revision,
-    /// The version of the inner protocol that it speaks.
+    /// The version of the inner protocol that it uses.
     #[serde(default)]
     pub version: u16,
 }
 
-/// What a replica knows of itself and of the processes below it.
+/// A replica's view of its group, and of the processes that act on the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Observation {
     /// The replica that answers.
     pub replica: replica::Id,
-    /// The leader, when it knows one.
+    /// The leader, if known.
     pub leader: Option<replica::Id>,
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The last entry of the log that each replica is known to hold.
+    /// The index of the last log entry that each replica is known to hold.
     pub matched: BTreeMap<replica::Id, u64>,
     /// The lowest revision that a live process acts on.
     pub in_force: Option<Revision>,
-    /// How many live processes are known.
+    /// Number of known live processes.
     pub processes: u32,
-    /// The furthest behind.
+    /// The live processes that are furthest behind.
     pub laggards: Vec<Process>,
-    /// Refusals by code since this replica started.
+    /// Number of refusals by code since this replica started.
     pub refusals: BTreeMap<u16, u64>,
 }
 
-/// How the system is.
+/// The status of the system.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
-    /// Whether a quorum has confirmed that this is the present state. If not,
-    /// it is what this replica knew last.
+    /// Whether a quorum has confirmed that this is the current state. If not, it is the last
+    /// state that this replica knew.
     pub current: bool,
     /// The revision of the configuration.
     pub revision: Revision,
-    /// What the replica knows of itself.
+    /// The replica's view of the group and the processes.
     #[serde(rename = "standing")]
     pub observation: Observation,
     /// The replicas.
     pub replicas: BTreeMap<replica::Id, Replica>,
-    /// How many organisations there are.
+    /// Number of organisations.
     pub organisations: usize,
     /// The models.
     pub models: Vec<ModelRow>,
-    /// How many upstreams are registered.
+    /// Number of registered upstreams.
     pub upstreams: usize,
-    /// How many upstreams are drained, registered or not.
+    /// Number of drained upstreams, registered or not.
     pub drained: usize,
-    /// Upstreams by failure domain.
+    /// Number of registered upstreams by failure domain.
     pub domains: BTreeMap<String, usize>,
-    /// Failure domains whose upstreams take no new work.
+    /// Evacuated failure domains, whose upstreams take no new requests.
     pub evacuated: BTreeMap<id::Domain, Drain>,
-    /// Fingerprints under suspicion, and how many of them are refused.
+    /// Number of suspected or refused fingerprints, and of refused ones.
     pub suspects: (usize, usize),
-    /// Claims held.
+    /// Number of claims, open or ended.
     pub claims: usize,
-    /// Plans that wait or run.
+    /// Plans that are waiting or running.
     pub plans: Vec<Summary>,
 }
 
-/// A model in short.
+/// The summary of a model.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ModelRow {
-    /// Its name.
+    /// The name of the model.
     pub name: Model,
     /// The version in force.
     pub version: Version,
-    /// Upstreams that requests for it may be given to.
+    /// Number of upstreams that may be given requests for the model.
     pub serving: usize,
 }
 
 impl Status {
-    /// What the state tells.
-    pub fn new(machine: &Machine, standing: Observation, current: bool) -> Status {
+    /// Creates the status from the state.
+    pub fn new(machine: &Machine, observation: Observation, current: bool) -> Status {
         let config = machine.config();
         let row = |(name, known): (&Model, &Definition)| ModelRow {
             name: name.clone(),
@@ -313,7 +313,7 @@
         Status {
             current,
             revision: config.revision,
-            observation: standing,
+            observation,
             replicas: machine.tables().replicas.clone(),
             organisations: config.organisations.len(),
             models: config.models.iter().map(row).collect(),
@@ -328,13 +328,13 @@
     }
 }
 
-/// All organisations; of their keys' hashes the first digits.
+/// All organisations, with shortened key hashes.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Organisations {
     /// The revision.
     pub revision: Revision,
-    /// By name.
+    /// Organisations by name.
     pub organisations: BTreeMap<id::Organisation, config::Organisation>,
 }
 
@@ -389,20 +389,20 @@
 pub struct Upstreams {
     /// The revision.
     pub revision: Revision,
-    /// By name.
+    /// Upstreams by name.
     pub upstreams: BTreeMap<id::Upstream, UpstreamRow>,
 }
 
-/// An upstream.
+/// The registration, drain and order of an upstream.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct UpstreamRow {
-    /// What it registered with, unless it is gone.
+    /// The registration, unless the upstream is gone.
     pub registration: Option<Registration>,
-    /// Why it takes no new work.
+    /// The drain, if the upstream takes no new requests.
     pub drain: Option<Drain>,
-    /// What it was told to load.
+    /// The load order, if there is one.
     pub order: Option<Order>,
 }
 
@@ -427,9 +427,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Replicas {
-    /// By number.
+    /// Replicas by identity.
     pub replicas: BTreeMap<replica::Id, Replica>,
-    /// What the replica that answers knows.
+    /// The answering replica's view of the group and the processes.
     #[serde(default, rename = "standing")]
     pub observation: Observation,
 }
@@ -452,7 +452,7 @@
     }
 }
 
-/// What happened, newest first.
+/// The history of plans, newest first.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct History {
@@ -460,27 +460,27 @@
     pub records: Vec<Record>,
 }
 
-/// News, or that there is none yet.
+/// The answer to a watch: the state after a change, or after the wait ended without one.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Watch {
-    /// The revision. Ask again with it.
+    /// The revision, to be given with the next watch.
     pub revision: Revision,
     /// The lowest revision that a live process acts on.
     #[serde(default)]
     pub in_force: Option<Revision>,
-    /// Plans that wait or run.
+    /// Plans that are waiting or running.
     #[serde(default)]
     pub plans: Vec<Summary>,
 }
 
 impl Watch {
-    /// What the state tells.
-    pub fn new(machine: &Machine, standing: &Observation) -> Watch {
+    /// Creates the answer from the state.
+    pub fn new(machine: &Machine, observation: &Observation) -> Watch {
         let open = machine.plans().iter().filter(|plan| !plan.state.is_over());
         Watch {
             revision: machine.config().revision,
-            in_force: standing.in_force,
+            in_force: observation.in_force,
             plans: open.map(Summary::from).collect(),
         }
     }
--- a/almondlock-state/src/placement.rs
+++ b/almondlock-state/src/placement.rs
@@ -1,56 +1,55 @@
-//! Which upstreams hold which adapters.
+//! Placement of adapters on upstreams.
 //!
-//! An adapter needs room on some upstreams of its model, in different failure
-//! domains, and brings load to them. Packing is NP-hard. "Generalized Resource
-//! Allocation for the Cloud" (Rai, Bhagwan, Guha, SoCC 2012) gives a search that
-//! draws assignments at random, asks a usage function about each partial one,
-//! and runs many draws side by side; its baselines are first-fit heuristics.
+//! Each copy of an adapter needs memory on an upstream of its model, each in another
+//! failure domain, and brings load there. This packing problem is NP-hard. "Generalized
+//! Resource Allocation for the Cloud" (Rai, Bhagwan, Guha, SoCC 2012) describes a search
+//! that draws random assignments, checks each partial one by a usage function, and runs
+//! many draws in parallel; its baselines are first-fit heuristics.
 //!
-//! `docs/placement.md` has the comparison at today's sizes and the target's.
-//! Neither way wins at both: draws find places and lower peaks where there are a
-//! dozen upstreams, and fail at hundreds that are nearly full, where a
-//! decreasing fit still places everything. [`place`] therefore fits first and
-//! then draws for as long as a stated amount of work lasts, and keeps the best.
+//! `docs/placement.md` compares both at present and target sizes. Random draws find
+//! placements with lower load peaks on a dozen upstreams, and fail on hundreds that are
+//! nearly full, where placing the largest items first still succeeds. [`place`] therefore
+//! places the largest first, then draws within a fixed amount of work, and keeps the best.
 
 use std::{cmp::Reverse, collections::BTreeSet};
 
 use rand::{Rng, seq::SliceRandom};
 
-/// Copies that are placed by chance before the search ends: some ten
-/// milliseconds of work, whatever the sizes.
-const DRAWN: usize = 200_000;
+/// Number of randomly placed copies after which the search ends: about ten milliseconds of
+/// work, whatever the sizes.
+const MAX_DRAWN_COPIES: usize = 200_000;
 
-/// Draws at most: with a few items more of them find nothing new.
-const DRAWS: usize = 5_000;
+/// Maximum number of draws. With few items, more draws find nothing new.
+const MAX_DRAWS: usize = 5_000;
 
-/// What is to be placed.
+/// An item to place, such as an adapter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// The model whose upstreams can hold it.
+    /// The model whose upstreams can hold the item.
     pub group: usize,
     /// Memory that each copy takes.
     pub size: u64,
-    /// Load that it brings, shared by its copies.
+    /// Total load of the item, divided equally among its copies.
     pub load: f64,
-    /// Copies, each in another failure domain.
+    /// Number of copies, each in another failure domain.
     pub copies: usize,
 }
 
-/// Where it can be placed.
+/// A bin that holds items, such as an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bin {
-    /// The model that runs there.
+    /// The model that the upstream runs.
     pub group: usize,
     /// The failure domain.
     pub domain: usize,
-    /// Memory for items.
+    /// Memory available for items.
     pub room: u64,
 }
 
-/// For each item the bins of its copies.
+/// The bins of each item's copies.
 pub type Placement = Vec<Vec<usize>>;
 
-/// How full and how loaded the bins are while items are placed.
+/// Memory use and load of the bins while items are placed.
 #[derive(Clone, Debug)]
 pub struct Usage<'a> {
     bins: &'a [Bin],
@@ -59,7 +58,7 @@
 }
 
 impl<'a> Usage<'a> {
-    /// Nothing is placed.
+    /// Creates the usage of empty bins.
     pub fn new(bins: &'a [Bin]) -> Usage<'a> {
         Usage {
             bins,
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Whether a copy fits there, beside copies in these domains.
+    /// Returns whether a copy of the item fits the bin, when other copies are in `domains`.
     pub fn fits(&self, item: &Item, bin: usize, domains: &BTreeSet<usize>) -> bool {
         let it = &self.bins[bin];
         it.group == item.group
@@ -76,18 +75,18 @@
             && !domains.contains(&it.domain)
     }
 
-    /// Places a copy.
+    /// Places a copy of the item on the bin.
     pub fn place(&mut self, item: &Item, bin: usize) {
         self.used[bin] += item.size;
         self.load[bin] += item.load / item.copies as f64;
     }
 
-    /// The load of a bin.
+    /// Returns the load of a bin.
     pub fn load(&self, bin: usize) -> f64 {
         self.load[bin]
     }
 
-    /// The highest load over the mean.
+    /// Returns the ratio of the highest load to the mean.
     pub fn peak(&self) -> f64 {
         let mean = self.load.iter().sum::<f64>() / self.load.len().max(1) as f64;
         let most = self.load.iter().copied().fold(0.0, f64::max);
@@ -95,15 +94,15 @@
     }
 }
 
-/// Places all items, with the lowest peak of load that was found. `None` when no
-/// way was found.
+/// Places all items with the lowest load peak that was found; `None` if no placement was
+/// found.
 pub fn place<R>(items: &[Item], bins: &[Bin], generator: &mut R) -> Option<Placement>
 where
     R: Rng,
 {
     let copies = items.iter().map(|item| item.copies).sum::<usize>().max(1);
     let mut best = place_largest_first(items, bins);
-    for _ in 0..(DRAWN / copies).min(DRAWS) {
+    for _ in 0..(MAX_DRAWN_COPIES / copies).min(MAX_DRAWS) {
         let drawn = place_randomly(items, bins, generator);
         best = match (best, drawn) {
             (Some(best), Some(drawn)) if drawn.0 < best.0 => Some(drawn),
@@ -113,8 +112,8 @@
     best.map(|(_, placement)| placement)
 }
 
-/// Places the largest items first, each copy on the least loaded bin that has
-/// room in a domain without a copy. Gives the peak, too.
+/// Places the largest items first, each copy on the least loaded bin that it fits. Returns
+/// the load peak and the placement.
 pub fn place_largest_first(items: &[Item], bins: &[Bin]) -> Option<(f64, Placement)> {
     assign(items, bins, &largest_first(items), |usage, fits| {
         let fitting = (0..bins.len()).filter(|bin| fits(usage, *bin));
@@ -122,7 +121,8 @@
     })
 }
 
-/// Places the items in an order and on bins drawn by chance.
+/// Places the items in random order, each copy on the first bin that it fits from a random
+/// one on. Returns the load peak and the placement.
 pub fn place_randomly<R>(
     items: &[Item],
     bins: &[Bin],
@@ -140,8 +140,9 @@
     })
 }
 
-/// Places items in this order, each copy where `choose` says among the bins that
-/// it fits.
+/// Places the items in this order, each copy on the bin that `choose` returns; `None` if it
+/// returns none. `choose` is given the usage, and a function that tells whether the copy
+/// fits a bin. Returns the load peak and the placement.
 pub fn assign<F>(
     items: &[Item],
     bins: &[Bin],
@@ -167,7 +168,7 @@
     Some((usage.peak(), placement))
 }
 
-/// The order in which a fit places items.
+/// Returns the indices of the items, largest first.
 pub fn largest_first(items: &[Item]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..items.len()).collect();
     order.sort_by_key(|index| Reverse(items[*index].size));
