--- a/almondlock-state/examples/placement.rs
+++ b/almondlock-state/examples/placement.rs
@@ -1,10 +1,9 @@
-//! Compares ways of placing adapters on upstreams.
+//! Compares algorithms that place adapters on upstreams.
 //!
-//! `cargo run --release -p almondlock-state --example placement`. First-fit
-//! decreasing, a decreasing fit on the least loaded, a randomised search after
-//! "Generalized Resource Allocation for the Cloud" (SoCC 2012) on some threads
-//! for a fixed time, and the way that is kept. Instances are drawn with fixed
-//! seeds.
+//! `cargo run --release -p almondlock-state --example placement` compares first-fit
+//! decreasing, placing the largest items first on the least loaded bin, a randomised search
+//! after "Generalized Resource Allocation for the Cloud" (SoCC 2012) on several threads for a
+//! fixed time, and the algorithm in use. Problem instances are drawn with fixed seeds.
 
 use std::time::{Duration, Instant};
 
@@ -13,16 +12,16 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// Time of the search for one instance, on each of its threads.
+/// Duration of the search for one problem instance, on each of its threads.
 const SEARCH: Duration = Duration::from_millis(500);
-/// Threads of the search.
+/// Number of threads of the search.
 const THREADS: u64 = 4;
-/// Instances of each kind.
+/// Number of problem instances of each kind.
 const SEEDS: u64 = 10;
 
-/// A placement and its peak of load over the mean.
+/// A placement, with the ratio of its load peak to the mean load.
 type Found = Option<(f64, Placement)>;
-/// A way to find one.
+/// An algorithm that finds a placement.
 type Way = fn(&[Item], &[Bin], u64) -> Found;
 
 const WAYS: [(&str, Way); 4] = [
@@ -89,8 +88,8 @@
     }
 }
 
-/// An instance: items of unlike sizes, a few of them with most of the load, and
-/// bins with as much room as makes the fill.
+/// Draws a problem instance: items of different sizes, a few of them with most of the load,
+/// and bins with as much memory as gives the fill ratio.
 fn instance(size: &Size, fill: f64, seed: u64) -> (Vec<Item>, Vec<Bin>) {
     let mut generator = SmallRng::seed_from_u64(seed);
     let items: Vec<Item> = (0..size.items)
@@ -136,8 +135,8 @@
     assign(items, bins, &order, |_, _| chosen.next())
 }
 
-/// Draws whole assignments until the time is over, on some threads, and keeps
-/// the one with the lowest peak.
+/// Draws complete placements on several threads until the time is over, and returns the one
+/// with the lowest load peak.
 fn search(items: &[Item], bins: &[Bin], seed: u64) -> Found {
     let found: Vec<(f64, Placement)> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..THREADS)
--- a/almondlock-state/examples/state_slopes.rs
+++ b/almondlock-state/examples/state_slopes.rs
@@ -1,8 +1,7 @@
-//! Measures what the state costs: bytes and time per item.
+//! Measures the memory and time that the replicated state takes per item.
 //!
-//! `cargo run --release -p almondlock-state --example state_slopes`. Memory is the
-//! process's resident set before and after, so run it on a machine that doesn't
-//! swap.
+//! Run it by `cargo run --release -p almondlock-state --example state_slopes`. Memory is the
+//! difference of the process's resident set, so run it on a machine that doesn't swap.
 
 use std::{fs, hint::black_box, time::Instant};
 
@@ -36,7 +35,7 @@
     Ok(())
 }
 
-/// Resident bytes of this process.
+/// Returns the resident set of this process in bytes.
 fn resident() -> Result<usize> {
     let text = fs::read_to_string("/proc/self/statm")?;
     let pages = text
@@ -46,8 +45,8 @@
     Ok(pages.parse::<usize>()? * 4096)
 }
 
-/// Applies commands, read from the log's bytes as a replica does, and prints
-/// what each of them cost.
+/// Applies commands, decoded from their bytes in the log as on a replica, and prints the mean
+/// cost of one.
 fn measure<I>(what: &str, machine: &mut Machine, commands: I) -> Result<()>
 where
     I: IntoIterator<Item = Command>,
@@ -129,7 +128,7 @@
     Ok(())
 }
 
-/// Proposes and confirms.
+/// Proposes and confirms a change.
 fn change(machine: &mut Machine, number: usize, intent: Intent) -> Result<()> {
     let operator = || "anna".to_owned();
     let command = Command::Propose {
--- a/almondlock-state/tests/claim_history.rs
+++ b/almondlock-state/tests/claim_history.rs
@@ -1,9 +1,8 @@
-//! Concurrent claims, checked as a history.
+//! Checks the linearizability of concurrent claims.
 //!
-//! Entry hosts claim, are cut off from the leader before or after their command
-//! is applied, ask again, settle, and die. What each was told, with its begin
-//! and end, must be explained by some order of whole operations on one register
-//! for each key that grants once.
+//! Entry hosts claim, lose the connection to the leader before or after their command is
+//! applied, retry, settle, and die. The recorded history must be linearizable with respect
+//! to a register for each key that grants its claim once.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,7 +18,7 @@
     specifications::Specification,
 };
 
-/// An operation on one key, with what it was answered.
+/// An operation on one key and its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Operation {
     Claim(usize, Option<Told>),
@@ -36,7 +35,7 @@
     Tombstoned,
 }
 
-/// What the key should be, said in the plainest way.
+/// The sequential specification of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Register {
     Free(Option<usize>),
@@ -140,9 +139,8 @@
 
 const HOSTS: usize = 4;
 
-/// One run: each host has one operation under way; operations begin, are
-/// applied, and are answered in an order drawn by chance. Returns the history
-/// and how often the key was granted without having been freed between.
+/// Runs operations of several hosts, one at a time for each host, which begin, are applied
+/// and are answered in random order. Returns the history.
 fn run(seed: u64) -> Vec<(usize, todc_utils::Action<Operation>)> {
     let mut generator = SmallRng::seed_from_u64(seed);
     let mut machine = Machine::new();
@@ -161,7 +159,7 @@
             None => {}
             Some((operation, None)) => {
                 let reply = machine.apply(command(&operation)).reply;
-                // One in four answers is lost: the caller knows nothing.
+                // One in four answers is lost.
                 let heard = generator.random_range(0..4) > 0;
                 let result = match operation {
                     Operation::Claim(who, _) => {
--- a/almondlock-state/tests/command_round.rs
+++ b/almondlock-state/tests/command_round.rs
@@ -1,4 +1,4 @@
-//! Every command that can be written to the log can be read from it.
+//! Each command that can be written to the log must be readable from it.
 
 mod common;
 
@@ -11,9 +11,8 @@
     replica::Replica,
 };
 
-/// The first leader seeds the state with the replicas, whose numbers are keys
-/// of a map. Written to the log, the command could not be read back: every
-/// replica stopped when it came to it, and the system never came up.
+/// Guards against a seed command that can't be read from the log: its replicas are a map
+/// with numeric keys. Each replica stopped at the command, and the system never started.
 #[test]
 fn seed() {
     let replica = Replica {
@@ -34,9 +33,8 @@
     assert_eq!(Command::from_slice(&bytes).unwrap(), command);
 }
 
-/// The leader copies the log's membership into the state. The command was
-/// refused every time as one that could not be read back, so a replica that had
-/// been replaced never showed.
+/// Guards against a copy of the log's membership that is always refused because it can't be
+/// read back. A replaced replica then never appeared in the state.
 #[test]
 fn replicas() {
     let replica = Replica {
--- a/almondlock-state/tests/common/mod.rs
+++ b/almondlock-state/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the state share: short ways to make commands.
+//! Helpers of the state's tests for making and applying commands.
 #![allow(dead_code, clippy::unwrap_used, clippy::panic)]
 
 use almondlock_base::{
@@ -50,7 +50,7 @@
     }
 }
 
-/// An engine `number` of model `m`, in one of three domains.
+/// Returns the registration of engine `number` of model `m`, in one of three failure domains.
 pub(crate) fn engine(number: u16, life: u64, loaded: &str) -> Registration {
     Registration {
         address: format!("10.0.0.1:{}", 7000 + number).parse().unwrap(),
@@ -117,7 +117,7 @@
     machine.apply(command).reply
 }
 
-/// Lets the machine's clock get to `at`, as the leader does.
+/// Advances the machine's clock to `at`, as the leader does.
 pub(crate) fn pass_time(machine: &mut Machine, at: u64) {
     machine.apply(Command::Expire { at: wall(at) });
     while machine.clock() < wall(at) {
@@ -184,7 +184,7 @@
         .reply
 }
 
-/// Proposes and confirms, and expects both to be accepted.
+/// Proposes and confirms a change, and expects both to be accepted.
 pub(crate) fn change(machine: &mut Machine, number: &str, intent: Intent, at: u64) -> Plan {
     let plan = planned(propose(machine, number, intent, at));
     planned(confirm(machine, plan.id, at))
--- a/almondlock-state/tests/dead_holder.rs
+++ b/almondlock-state/tests/dead_holder.rs
@@ -1,4 +1,4 @@
-//! An entry host dies while it holds claims.
+//! Claims whose holder dies, restarts or is cut off.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,9 +23,9 @@
     });
 }
 
-/// The entry host dies after it handed a payment on; the caller sends it again
-/// through another host. Nobody knows whether it ran, so it isn't run again:
-/// the caller gets `OutcomeLost`, however often it asks.
+/// Guards against running a request twice: the entry host dies after it forwarded a payment,
+/// and the caller sends it again through another host. Since the payment may have run, the
+/// caller gets `OutcomeLost`, however often it asks.
 #[test]
 fn never_given_again() {
     let mut machine = Machine::new();
@@ -37,9 +37,8 @@
     }
 }
 
-/// The host was only cut off, and its lease ended. When it is back it knows
-/// how the request ended and says so: `no` frees the claim, an outcome is given
-/// to later copies.
+/// The host was only cut off, and its lease ended. It returns and reports how its requests
+/// ended: `no` frees a claim, and an outcome is given to later copies.
 #[test]
 fn returned_holder() {
     let mut machine = Machine::new();
@@ -60,9 +59,9 @@
     ));
 }
 
-/// A host restarts. Only what its earlier life held is lost.
+/// A host restarts. Only the claims of its earlier incarnation are lost.
 #[test]
-fn other_life() {
+fn other_incarnation() {
     let mut machine = Machine::new();
     claim(&mut machine, "k", &attempt("entry-1", 1), 1);
     gone(&mut machine, 6, 2);
@@ -74,9 +73,9 @@
     );
 }
 
-/// The entry host restarts and claims again. Nobody has told the replicas that
-/// its earlier life ended; its new life's claim tells it. The caller's second
-/// copy is answered with `OutcomeLost` and not with `AlreadyRunning` for a day.
+/// Guards against copies that get `AlreadyRunning` for a day: an entry host restarts, and
+/// the replicas learn of it only by a claim of its new incarnation. Copies then get
+/// `OutcomeLost`.
 #[test]
 fn restarted_holder() {
     let mut machine = Machine::new();
@@ -89,9 +88,9 @@
     assert_eq!(claim(&mut machine, "other", &second, 3), Verdict::Running);
 }
 
-/// Nobody ever says how a claim ended. Some time past the organisation's longest
-/// deadline, or after a day when the organisation isn't known, it counts as lost,
-/// is kept for its time, and is forgotten; it isn't held for ever.
+/// Guards against claims that stay open for ever when nobody settles them. Such a claim
+/// counts as lost some time after the organisation's longest deadline, or after a day if the
+/// organisation is unknown, and is removed after its retention.
 #[parameterized(
     unknown_organisation = { false, limit::MAX_OPEN_CLAIM_AGE },
     known_organisation = { true, Duration::from_secs(600) + limit::OPEN_CLAIM_MARGIN },
--- a/almondlock-state/tests/document_delta.rs
+++ b/almondlock-state/tests/document_delta.rs
@@ -1,6 +1,6 @@
-//! Versions of a configuration differ in few of their pieces. Whatever an operator
-//! changes, the delta makes the same text, to the byte, and only of the version that it
-//! was made for: a host that applied it to another one would act on a text that nobody sent.
+//! A delta must reproduce the new text byte for byte, and apply only to the version that it
+//! was computed for: a host that applied it to another version would act on a text that
+//! nobody published.
 
 use almondlock_state::document::{Delta, Document, Mismatch, Piece, Run, Shape};
 use yare::parameterized;
@@ -54,8 +54,8 @@
     );
 }
 
-/// A process that got the base from an earlier version holds it as one piece. The places in
-/// a delta mean other texts there, even where they exist.
+/// A process that got the base from an earlier release holds it as one piece, in which the
+/// indices of a delta mean other texts.
 #[test]
 fn other_shape() {
     let base = document(1, "a,b,");
@@ -64,7 +64,8 @@
     assert_eq!(delta.apply(&whole), Err(Mismatch::Shape(Shape::of(&whole))));
 }
 
-/// The places in a delta have to mean the same before and after a restart.
+/// The indices in a delta must mean the same pieces before and after a restart, which
+/// doesn't restore empty pieces.
 #[test]
 fn no_empty_pieces() {
     let pieces = ["", "a,", "", "b,", ""].map(Piece::from);
@@ -74,7 +75,7 @@
     assert_eq!(Document::whole(1, ""), Document::new(1, []));
 }
 
-/// A damaged delta is not read, rather than read as another one.
+/// Guards against a damaged delta that is read as another one.
 #[parameterized(
     text_too_long = { r#""cuts":[2]"#, r#""cuts":[1]"# },
     text_too_short = { r#""cuts":[2]"#, r#""cuts":[3]"# },
@@ -90,7 +91,7 @@
     assert!(serde_json::from_str::<Delta>(&damaged).is_err());
 }
 
-/// A written document keeps its pieces; damaged cuts lose none of its text.
+/// A serialised document keeps its pieces, and damaged piece lengths lose none of its text.
 #[test]
 fn pieces_kept() {
     let whole = document(4, "a,ä,c,");
--- a/almondlock-state/tests/enrolled_instance.rs
+++ b/almondlock-state/tests/enrolled_instance.rs
@@ -1,6 +1,5 @@
-//! A server leaves or crashes, and a heartbeat of its that the network held
-//! back arrives afterwards. Acting on it would send callers' requests to a
-//! server that is gone, or to whoever has its address now.
+//! Delayed heartbeats of servers that have left or crashed. Acting on one would send requests
+//! to a server that is gone, or to another one at its address.
 
 use std::time::Duration;
 
@@ -85,7 +84,7 @@
     enrol(&mut machine, "i-1", "10.0.0.1:80", false);
     enrol(&mut machine, "i-2", "10.0.0.1:80", false);
     assert_eq!(known(&machine, "i-1"), None);
-    // The first one's last heartbeat, after its address was given on.
+    // The last heartbeat of the first instance, after its address was reused.
     enrol(&mut machine, "i-1", "10.0.0.1:80", false);
     assert_eq!(known(&machine, "i-1"), None);
     assert_eq!(known(&machine, "i-2"), Some(false));
@@ -118,9 +117,9 @@
     );
 }
 
-/// An instance says again and again that it leaves, while hundreds of others come. It
-/// is acknowledged once the revision in which it left is in force everywhere: waiting
-/// for the newest one, it would wait without end, and never be free to stop.
+/// Guards against an instance that can never stop: it reports again and again that it is
+/// leaving, while hundreds of others enrol. It must be acknowledged once the revision in
+/// which it left is in force, and not wait for the newest revision each time.
 #[test]
 fn leaves_meanwhile() {
     let mut machine = Machine::new();
@@ -138,7 +137,7 @@
         roster.receive(now, machine.config(), (&i, 8), &leaving),
         known
     );
-    // A new leader doesn't know since when, and takes the revision of the moment.
+    // A new leader doesn't know when it began to leave, and takes the current revision.
     let later = Disposition::Leaving(Revision(2));
     let mut roster = Roster::default();
     assert_eq!(
@@ -147,8 +146,8 @@
     );
 }
 
-/// Its first word that it leaves is still being entered when a delayed copy of it
-/// comes. Acknowledged at once, the copy would set it free to stop too soon.
+/// Guards against an instance that stops too soon: a delayed copy of its leaving heartbeat
+/// arrives while the first one is still being entered, and must not be acknowledged at once.
 #[test]
 fn leaves_twice() {
     let mut machine = Machine::new();
@@ -175,15 +174,15 @@
     let (config, lease) = (machine.config(), Duration::from_secs(10));
     let mut roster = Roster::default();
     let at = Mono::from_millis;
-    // A new leader gives all of them a whole lease.
+    // A new leader grants each instance a full lease.
     assert!(roster.find_silent(at(1_000), lease, config).is_empty());
     let spoke = instance("10.0.0.2:80", false);
     roster.receive(at(9_000), config, (&name("i-2"), 3), &spoke);
     assert_eq!(roster.find_silent(at(11_000), lease, config), [name("i-1")]);
 }
 
-/// A heartbeat that another replica took counts like one that came here; an old one, of
-/// an earlier life, or of a number that was overtaken, does not go back behind it.
+/// A heartbeat that another replica received counts like one received here. One of an earlier
+/// incarnation, or with a number that was overtaken, changes nothing.
 #[test]
 fn heard_elsewhere() {
     let mut machine = Machine::new();
@@ -200,20 +199,20 @@
     roster.receive_relayed(at(8_000), &told(0, 5));
     assert!(roster.find_silent(at(17_000), lease, config).is_empty());
     let ready = instance("10.0.0.1:80", false);
-    // Overtaken: no news.
+    // Overtaken: nothing changes.
     assert_eq!(
         roster.receive(at(17_000), config, (&name("i-1"), 4), &ready),
         Disposition::Unchanged
     );
     assert_eq!(roster.find_silent(at(18_000), lease, config), [name("i-1")]);
-    // Another life is heard; the earlier one's heartbeats count no more.
+    // Another incarnation is heard; heartbeats of the earlier one no longer count.
     roster.receive_relayed(at(18_000), &told(9, 1));
     roster.receive_relayed(at(19_000), &told(0, 6));
     assert!(roster.find_silent(at(27_000), lease, config).is_empty());
     assert_eq!(roster.find_silent(at(28_000), lease, config), [name("i-1")]);
 }
 
-/// Only what changes nothing is taken without a decision.
+/// Only a heartbeat that changes nothing is accepted without a decision of the leader.
 #[test]
 fn routine_only() {
     let mut machine = Machine::new();
@@ -235,7 +234,7 @@
     assert!(!is_routine(&later));
 }
 
-/// Guards against servers that are acknowledged and never entered because the table is full.
+/// Guards against servers that are acknowledged and never enrolled because the table is full.
 #[test]
 fn full_table() {
     let mut machine = Machine::new();
--- a/almondlock-state/tests/equal_numbers.rs
+++ b/almondlock-state/tests/equal_numbers.rs
@@ -1,4 +1,4 @@
-//! Operators race one another and send changes again.
+//! Concurrent and repeated changes of operators.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,9 +12,9 @@
 };
 use common::{add, code, confirm, organisation, planned, propose, share, stop, wall};
 
-/// Two operators choose number 17 for two different changes at the same moment,
-/// through two replicas. The log puts one of them first: that one is planned,
-/// and exactly the other is told of the conflict, also when it asks again.
+/// Two operators choose number 17 for different changes at the same time, through two
+/// replicas. The one that comes first in the log is planned, and only the other gets a
+/// conflict, also when it asks again.
 #[test]
 fn racing_operators() {
     for (first, second) in [("acme", "rival"), ("rival", "acme")] {
@@ -31,9 +31,9 @@
     }
 }
 
-/// The answer to a confirmation is lost, another operator's change follows, and
-/// the first one sends proposal and confirmation again. Both are answered as
-/// before, and the first change isn't put back over the second.
+/// Guards against a repeated change that overwrites a later one: the answer to a confirmation
+/// is lost, another operator makes a change, and the first operator sends the proposal and
+/// the confirmation again.
 #[test]
 fn resent_change() {
     let mut machine = Machine::new();
@@ -54,10 +54,10 @@
     );
 }
 
-/// A plan does nothing until it is confirmed, and a stopped or lapsed one never
-/// does anything.
+/// A plan does nothing until it is confirmed, and nothing at all once it is stopped or has
+/// lapsed.
 #[test]
-fn nothing_before() {
+fn unconfirmed_plan() {
     let mut machine = Machine::new();
     let plan = planned(propose(&mut machine, "1", add("acme"), 1));
     let before = machine.config().clone();
@@ -77,8 +77,8 @@
     assert_eq!(*machine.config(), before);
 }
 
-/// A seed brings the first operators in, once: a replica that starts again with
-/// other settings can't make itself an administrator.
+/// Guards against a restarted replica that makes an operator of its settings an
+/// administrator: only the first seed counts.
 #[test]
 fn one_seed() {
     let mut machine = Machine::new();
--- a/almondlock-state/tests/evacuated_domain.rs
+++ b/almondlock-state/tests/evacuated_domain.rs
@@ -1,4 +1,4 @@
-//! Failure domains that operators evacuate and give work again.
+//! Evacuation of failure domains by operators.
 
 mod common;
 
@@ -59,7 +59,7 @@
     accepted(machine, command)
 }
 
-/// How many changes an accepted command makes.
+/// Returns the number of changes that an accepted command makes.
 fn accepted(machine: &mut Machine, command: Command) -> usize {
     let applied = machine.apply(command);
     assert!(matches!(applied.reply, Reply::Accepted { .. }));
@@ -70,8 +70,8 @@
     machine.config().instances[&Upstream::new(name).unwrap()].cold
 }
 
-/// Guards against an order that is refused, or taken for a second one, when its answer was
-/// lost and it comes again.
+/// Guards against an evacuation that is refused or makes another change when it is sent again
+/// because its answer was lost.
 #[test]
 fn repeated_order() {
     let mut machine = Machine::new();
@@ -84,7 +84,7 @@
     assert!(machine.config().evacuations.is_empty());
 }
 
-/// Guards against an evacuation that is gone with the log that a snapshot stands for.
+/// Guards against an evacuation that is lost when a snapshot replaces the log.
 #[test]
 fn kept_in_snapshot() {
     let mut machine = Machine::new();
@@ -94,8 +94,8 @@
     assert!(restored.config().evacuations.contains_key(&domain("a")));
 }
 
-/// Guards against callers' whole load on upstreams that were restarted in the meantime and
-/// haven't said yet that they are cold.
+/// Guards against the full load on upstreams that were restarted during the evacuation and
+/// have not reported yet that they are cold.
 #[test]
 fn cold_on_return() {
     let mut machine = Machine::new();
@@ -112,7 +112,7 @@
     );
 }
 
-/// A domain that is evacuated counts for each upstream in it as a drain.
+/// Each upstream in an evacuated domain counts as drained.
 #[test]
 fn drained_by_domain() {
     let mut machine = Machine::new();
@@ -133,8 +133,8 @@
     machine.apply(command).reply
 }
 
-/// An operator sees what is left before the order is confirmed, and a domain that nobody
-/// knows is refused.
+/// An operator sees the remaining capacity before confirming an evacuation, and an unknown
+/// domain is refused.
 #[test]
 fn planned_evacuation() {
     let mut machine = Machine::new();
--- a/almondlock-state/tests/far_behind.rs
+++ b/almondlock-state/tests/far_behind.rs
@@ -1,4 +1,4 @@
-//! A replica that is restored from a snapshot equals one that applied all.
+//! A replica restored from a snapshot must equal one that applied the whole log.
 
 #![allow(clippy::unwrap_used)]
 
@@ -99,9 +99,9 @@
     ]
 }
 
-/// A replica comes back after hundreds of commands and is given a snapshot and
-/// the rest of the log. Taken at any moment, it ends with the same state and
-/// gives the same answers as a replica that applied every command.
+/// A replica returns after hundreds of commands, and gets a snapshot and the rest of the log.
+/// Wherever the snapshot was taken, the replica ends with the same state and gives the same
+/// replies as one that applied all commands.
 #[test]
 fn snapshot_equals_replay() {
     let settings = Config {
@@ -129,8 +129,8 @@
     run.unwrap();
 }
 
-/// Changes alone bring a process to the same configuration: what the machine
-/// holds is the sum of the changes that it gave out, with no revision missing.
+/// The changes that the machine returned make the same configuration in a process, with no
+/// revision missing.
 #[test]
 fn sum_of_changes() {
     let settings = Config {
@@ -155,8 +155,7 @@
     run.unwrap();
 }
 
-/// A snapshot that is cut off, empty or of another format is refused; nothing is
-/// put in its place.
+/// A snapshot that is truncated, empty or of another format is refused.
 #[test]
 fn damaged_snapshot() {
     let mut machine = Machine::new();
@@ -170,8 +169,8 @@
     assert!(Machine::restore(other.as_bytes()).is_err());
 }
 
-/// The clock moves by one step a command, and the leader is told to move it
-/// until it has caught up after a long stop.
+/// The clock advances by at most one step a command, and after a long outage the leader is
+/// asked to advance it until it has caught up.
 #[test]
 fn lagging_clock() {
     let mut machine = Machine::new();
--- a/almondlock-state/tests/fencing_takeover.rs
+++ b/almondlock-state/tests/fencing_takeover.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams carry fencing numbers, and a new issuer waits.
+//! Fencing of load orders after a restart of a sidecar or a change of leader.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,9 +19,9 @@
     table.issue(&upstream("u"), &known, (&model(), &version("v2")), now)
 }
 
-/// The sidecar restarts. An order that its earlier life handed on may still be
-/// on its way to an engine which doesn't check fencing numbers; the new life is
-/// given an order only when that one can't arrive any more.
+/// Guards against a delayed order that an engine without fencing carries out after a later
+/// one: after a restart of the sidecar, the next order is issued only when one forwarded by
+/// the earlier incarnation can no longer arrive.
 #[test]
 fn takeover_wait() {
     let mut table = Table::default();
@@ -34,8 +34,8 @@
     assert!(!may_forward(&first, Incarnation(1), end));
 }
 
-/// An engine that checks refuses the earlier order by itself: no wait. The same
-/// life never waits for its own earlier order.
+/// There is no wait if the engine checks fencing numbers, nor for earlier orders of the same
+/// incarnation.
 #[test]
 fn no_wait() {
     let mut table = Table::default();
@@ -45,7 +45,7 @@
     assert_eq!([first.fence, second.fence, third.fence], [1, 2, 3]);
 }
 
-/// Only the life that an order names may hand it on, and only in its time.
+/// Only the incarnation that an order names may forward it, and only until it expires.
 #[test]
 fn one_issuer() {
     let mut table = Table::default();
@@ -55,8 +55,7 @@
     assert!(!may_forward(&order, Incarnation(1), wall(1_000) + LIFETIME));
 }
 
-/// A new leader restores a snapshot before its first order: the numbers go on
-/// from the highest one given.
+/// Fencing numbers continue from the highest one after a new leader has restored a snapshot.
 #[test]
 fn after_restore() {
     let mut table = Table::default();
--- a/almondlock-state/tests/full_table.rs
+++ b/almondlock-state/tests/full_table.rs
@@ -1,4 +1,4 @@
-//! Tables are bounded, and a full one refuses with a code.
+//! Limits of the replicated tables.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,8 +14,8 @@
     verdict, wall,
 };
 
-/// One organisation claims key after key. It fills its own part of the table and
-/// is refused; the claims of others are still granted.
+/// Guards against one organisation that fills the table of claims for all: beyond its own
+/// part it is refused, and claims of others are still granted.
 #[test]
 fn greedy_organisation() {
     let mut machine = Machine::new();
@@ -30,14 +30,14 @@
     assert_eq!(refused.code(), Some(Code::LimitReached));
     let other = machine.apply(claim_command("rival", "k", &holder, 1)).reply;
     assert_eq!(verdict(other), Verdict::Granted);
-    // What is known is still answered.
+    // Claims on known keys are still answered.
     assert_eq!(
         claim(&mut machine, "0", &attempt("entry-2", 1), 1),
         Verdict::Running
     );
 }
 
-/// Outcomes fill their bound. The oldest is dropped, its claim is not: a second
+/// When the kept outcomes reach their limit, the oldest is evicted. Its claim stays, and a
 /// copy is told that the request ran.
 #[test]
 fn oldest_outcome() {
@@ -63,7 +63,7 @@
     ));
 }
 
-/// Plans that nobody confirms pile up; the next proposal is refused.
+/// When too many plans wait for confirmation, the next proposal is refused.
 #[test]
 fn open_plans() {
     let mut machine = Machine::new();
@@ -75,8 +75,8 @@
     assert_eq!(code(&refused), Some(Code::LimitReached));
 }
 
-/// An organisation's requests are blamed for many deaths. Its oldest suspect
-/// makes room; another organisation's suspects stay.
+/// When an organisation has too many suspects, its own oldest one is evicted, and those of
+/// other organisations stay.
 #[test]
 fn many_suspects() {
     let mut machine = Machine::new();
@@ -108,7 +108,7 @@
     );
 }
 
-/// History and plans keep their newest entries only.
+/// The history and the table of plans keep only their newest entries.
 #[test]
 fn bounded_history() {
     let mut machine = Machine::new();
--- a/almondlock-state/tests/held_claim.rs
+++ b/almondlock-state/tests/held_claim.rs
@@ -1,4 +1,4 @@
-//! A claim is given to one attempt, and what its end means to later copies.
+//! A claim is granted to one attempt, and its end decides the answer to later copies.
 
 #![allow(clippy::unwrap_used)]
 
@@ -8,15 +8,15 @@
 use almondlock_state::{blob::Blob, claim::Verdict, command::Command, limit, machine::Machine};
 use common::{MINUTE, attempt, claim, claim_command, code, pass_time, settle, verdict};
 
-/// The caller sends the same payment twice, and the balancer gives the copies to
-/// two entry hosts. The second is told that it runs, and never runs. After the
-/// first ended, the second gets the first one's outcome.
+/// Guards against a payment that runs twice: the caller sends it twice, and the copies reach
+/// two entry hosts. The second copy is told that the first is running, and gets its outcome
+/// once it has ended.
 #[test]
 fn second_copy() {
     let mut machine = Machine::new();
     let (first, second) = (attempt("entry-1", 1), attempt("entry-2", 1));
     assert_eq!(claim(&mut machine, "k", &first, 1), Verdict::Granted);
-    // The answer to the claim was lost; the same attempt asks again.
+    // The same attempt asks again because the answer to its claim was lost.
     assert_eq!(claim(&mut machine, "k", &first, 1), Verdict::Granted);
     assert_eq!(claim(&mut machine, "k", &second, 2), Verdict::Running);
     assert_eq!(
@@ -27,8 +27,7 @@
     assert_eq!(claim(&mut machine, "k", &second, 4), Verdict::Done(outcome));
 }
 
-/// The same key comes with another body: neither run nor answered with the
-/// other one's outcome.
+/// A request with a used key and another body neither runs nor gets the other's outcome.
 #[test]
 fn other_body() {
     let mut machine = Machine::new();
@@ -40,14 +39,13 @@
     }
     let answer = verdict(machine.apply(command).reply);
     assert_eq!(answer.code(), Some(Code::KeyReused));
-    // Another organisation's key of the same name is another key.
+    // The same key of another organisation is another key.
     let other = claim_command("rival", "k", &attempt("entry-2", 1), 2);
     assert_eq!(verdict(machine.apply(other).reply), Verdict::Granted);
 }
 
-/// The first attempt is refused by the upstream, so that it provably did not
-/// run, and another attempt may. A delayed copy of the first one's claim arrives
-/// after that: granted, it would hold the key open with nobody to settle it.
+/// Guards against a claim that nobody settles: the upstream refuses the first attempt, which
+/// therefore frees its claim, and a delayed duplicate of its claim arrives afterwards.
 #[test]
 fn freed_claim() {
     let mut machine = Machine::new();
@@ -62,7 +60,7 @@
         Verdict::Refused(_)
     ));
     assert_eq!(claim(&mut machine, "k", &second, 4), Verdict::Granted);
-    // The first one's `no` arrives again and must not free the second's claim.
+    // The first attempt's `no` arrives again and must not free the second's claim.
     let late = settle(&mut machine, "k", (&first, Ran::No, ""), 5);
     assert_eq!(code(&late), Some(Code::Conflict));
     assert_eq!(
@@ -71,8 +69,8 @@
     );
 }
 
-/// A copy comes after the outcome was too large to keep, and another after the
-/// claim's time is over: the first is told that it ran, the second is granted.
+/// A copy of a request whose outcome was too large to keep is told that the request ran. A
+/// copy that arrives after the claim's retention is granted.
 #[test]
 fn bounded_keep() {
     let mut machine = Machine::new();
@@ -98,8 +96,8 @@
     );
 }
 
-/// A leader's clock is a day ahead. Its word alone must not make claims expire,
-/// because the caller's next copy would run a second time.
+/// Guards against a leader whose clock is a day ahead: it must not expire all claims at once,
+/// because copies of their requests would run a second time.
 #[test]
 fn wrong_clock() {
     let mut machine = Machine::new();
@@ -113,7 +111,7 @@
     });
     let second = claim(&mut machine, "k", &attempt("entry-2", 1), 2 * MINUTE);
     assert!(matches!(second, Verdict::Done(_)), "{second:?}");
-    // The next leader's clock is right, and so behind the machine's.
+    // The next leader's clock is right, and therefore behind the machine's.
     let clock = machine.clock();
     machine.apply(Command::Expire {
         at: common::wall(MINUTE),
--- a/almondlock-state/tests/moved_base.rs
+++ b/almondlock-state/tests/moved_base.rs
@@ -1,6 +1,6 @@
-//! A delta tells what differs from the version that its proposer had applied. Guards against
-//! a delta that is applied to another version, which would put a text in force that nobody
-//! sent, and against replicas that make different changes of the same log.
+//! Guards against a delta that is applied to another version than its proposer had, which
+//! would put a text in force that nobody published, and against replicas that make different
+//! changes of the same log.
 
 use almondlock_base::{Code, time::Wall};
 use almondlock_state::{
@@ -11,7 +11,7 @@
 };
 use yare::parameterized;
 
-/// Eight short pieces that stay, and one for each word.
+/// Creates a document of eight pieces that stay the same, and one for each word.
 fn document(version: u64, words: &str) -> Document {
     let fixed = (0..8).map(|n| format!("{{\"route\": {n}, \"padding\": \"{n:0100}\"}},\n"));
     let words = words.split_inclusive(' ').map(str::to_owned);
@@ -22,7 +22,7 @@
 fn command(publication: Publication) -> Command {
     let at = Wall::from_millis(1);
     let command = Command::Publish { publication, at };
-    // As it is read from the log.
+    // The command as it is read from the log.
     let bytes = command.to_bytes().unwrap();
     let read = Command::from_slice(&bytes).unwrap();
     assert_eq!(read, command);
@@ -56,7 +56,7 @@
     assert_eq!(held(&machine), &new);
 }
 
-/// Two operators publish at the same time: both were proposed on version 1.
+/// Two operators publish deltas to version 1 at the same time.
 #[test]
 fn moved() {
     let mut machine = started();
@@ -82,9 +82,8 @@
     assert!(machine.config().document.is_none());
 }
 
-/// An acknowledged publication that is sent again, also one that was overtaken, is
-/// acknowledged again whatever its base was, and another text under the version in force
-/// changes nothing.
+/// A publication that is sent again is acknowledged again, also after a later one and
+/// whatever its base was. Another text with the version in force changes nothing.
 #[parameterized(
     same = { 1, 2, "a c " },
     same_on_itself = { 2, 2, "a c " },
@@ -102,8 +101,8 @@
     assert_eq!(machine, before);
 }
 
-/// The same version divided in another way can't come of the same log: the replica must
-/// not go on as if the delta had only been late.
+/// The same version in another division into pieces can't come from the same log, so the
+/// replica must report an error and not treat the delta as late.
 #[test]
 fn other_shape() {
     let base = document(1, "a b ");
@@ -117,10 +116,10 @@
     assert_eq!(machine, before);
 }
 
-/// A whole that a proposer sent for want of the base goes down the tree as a delta all the
-/// same, and what doesn't change is not copied.
+/// A whole text, sent because the proposer lacked the base, is still distributed as a delta,
+/// and unchanged pieces are not copied.
 #[test]
-fn whole_is_told_short() {
+fn whole_becomes_delta() {
     let mut machine = started();
     let first = held(&machine).clone();
     let mut config: Config = machine.config().clone();
@@ -138,8 +137,8 @@
     }
 }
 
-/// A replica that is behind gets a snapshot. Guards against a second copy of the text beside
-/// the one that its view holds.
+/// Guards against a second copy of the text in memory after a replica that was behind has
+/// restored a snapshot.
 #[test]
 fn restored_shares() {
     let earlier = started();
--- a/almondlock-state/tests/name_clash.rs
+++ b/almondlock-state/tests/name_clash.rs
@@ -1,4 +1,4 @@
-//! Announcements: each kind has a stated result.
+//! The result of each kind of announcement.
 
 #![allow(clippy::unwrap_used)]
 
@@ -26,8 +26,8 @@
     });
 }
 
-/// The same life announces itself again and again: accepted, and no revision
-/// is made of it. Once it has loaded another version, one is.
+/// Repeated announcements of one incarnation are accepted without a new revision, until it
+/// has loaded another version.
 #[test]
 fn repeated() {
     let mut machine = Machine::new();
@@ -51,9 +51,8 @@
     );
 }
 
-/// The process restarts on its host; then an announcement of its earlier life
-/// arrives late. It must not bring the earlier life back: requests would be sent
-/// to an incarnation that refuses them.
+/// Guards against a delayed announcement that restores an earlier incarnation after a restart:
+/// requests would be sent to an incarnation that refuses them.
 #[test]
 fn stale_repeat() {
     let mut machine = Machine::new();
@@ -67,8 +66,8 @@
     );
 }
 
-/// Two processes on two hosts claim one name. The first keeps it until its lease
-/// ends; the second is refused till then, and nothing flaps.
+/// Guards against a name that alternates between processes on two hosts. The first one keeps
+/// it until its lease ends, and the second is refused until then.
 #[test]
 fn two_processes() {
     let mut machine = Machine::new();
@@ -88,8 +87,8 @@
     );
 }
 
-/// The upstream was cut off, its lease ended, and it is back with the same life.
-/// The end of that earlier lease, told late, doesn't forget a newer life.
+/// An upstream that was cut off registers again with the same incarnation. A late report that
+/// the lease of an earlier incarnation ended doesn't remove a newer one.
 #[test]
 fn cut_off() {
     let mut machine = Machine::new();
@@ -104,8 +103,7 @@
     assert!(machine.config().upstreams.contains_key(&upstream("u")));
 }
 
-/// A process with another name stands at a registered address: the process that
-/// was there is gone, and its name goes with it.
+/// A process with another name at a registered address replaces the registration there.
 #[test]
 fn old_address() {
     let mut machine = Machine::new();
@@ -126,7 +124,7 @@
     no_service = { |it: &mut Registration| (it.kind, it.model) = (Kind::Service, None) },
     engine_of_service = { |it: &mut Registration| it.service = Service::new("s").ok() },
 )]
-fn silly_figures(spoil: fn(&mut Registration)) {
+fn invalid_values(spoil: fn(&mut Registration)) {
     let mut machine = Machine::new();
     let mut it = engine(1, 1, "v1");
     spoil(&mut it);
@@ -135,7 +133,7 @@
     assert!(machine.config().upstreams.is_empty() && applied.changes.is_empty());
 }
 
-/// A drained upstream vanishes and returns, as another life: still drained.
+/// An upstream stays drained when it disappears and returns as another incarnation.
 #[test]
 fn stays_drained() {
     let mut machine = Machine::new();
--- a/almondlock-state/tests/old_publications.rs
+++ b/almondlock-state/tests/old_publications.rs
@@ -1,6 +1,6 @@
-//! Logs and snapshots hold publications of all forms that were ever written: whole as plain
-//! text, whole and packed, in pieces, and as deltas. Guards against replicas that stop at what
-//! an earlier version wrote, or hold another text after a restart than before.
+//! Compatibility with all forms in which publications were ever stored: whole as plain text,
+//! whole and compressed, in pieces, and as deltas. Guards against replicas that can't read
+//! what an earlier release wrote, or hold another text after a restart.
 
 use almondlock_base::time::Wall;
 use almondlock_state::{
@@ -13,10 +13,10 @@
     test_runner::RngSeed,
 };
 
-/// As 0.1.0 wrote it.
+/// A command as release 0.1.0 wrote it.
 const PLAIN: &str =
     r#"{"command":"publish","document":{"version":1,"text":"as it \"was\" ä"},"at":7}"#;
-/// "aaa…", 6,000 of them, deflated.
+/// 6,000 times the letter a, deflated.
 const PACKED: &str = r#"{"command":"publish","document":{"version":2,"text":{"packed":"7dDBAAAAAAMh1vOXGMS+hVBhwIABAwYMGDBgwIABAwYMGDBgwIABAwYMvAMD"}},"at":8}"#;
 
 fn read(machine: &Machine) -> (u64, String) {
@@ -58,7 +58,7 @@
     assert_eq!(read(&machine), (2, "a".repeat(6_000)));
 }
 
-/// A log that begins with the old form goes on with deltas.
+/// A log that begins with the old form and continues with deltas.
 #[test]
 fn old_and_new() {
     let cut = |version, text: &str| {
@@ -83,7 +83,7 @@
     assert_eq!(restored, machine);
 }
 
-/// A snapshot of 0.1.0 holds the text in one piece; the next publication is whole.
+/// A snapshot of release 0.1.0 has the text in one piece, so the next publication is whole.
 #[test]
 fn old_snapshot() {
     let snapshot = r#"{"format":1,"machine":{"tables":{"config":{"revision":4,
@@ -103,8 +103,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is edited, a replica that starts again from a snapshot in between holds the
-    /// same as one that doesn't, and the text is the one published.
+    /// After any edits, a replica that restarted from a snapshot in between holds the same
+    /// state as one that did not, with the published text.
     #[test]
     fn restarted(
         edits in prop::collection::vec(
--- a/almondlock-state/tests/paced_rollout.rs
+++ b/almondlock-state/tests/paced_rollout.rs
@@ -1,4 +1,4 @@
-//! A version is rolled out over the upstreams of a model.
+//! Rollouts of a version to the upstreams of a model: pace, failures, stops and undoing.
 
 #![allow(clippy::unwrap_used)]
 
@@ -26,9 +26,9 @@
 struct Fleet {
     machine: Machine,
     now: u64,
-    /// What each engine loads when it is told to.
+    /// The version that each engine loads when it is ordered to load.
     spoilt: bool,
-    /// The fewest upstreams that served at any moment.
+    /// The lowest number of serving upstreams so far.
     fewest: usize,
     handed: BTreeMap<String, u64>,
 }
@@ -74,7 +74,7 @@
         self.machine.plans().get(id).unwrap()
     }
 
-    /// A second passes: the leader does what is due, engines do as told.
+    /// Advances by one second: the leader carries out the due actions, engines their orders.
     fn tick(&mut self) {
         self.now += SECOND;
         for action in due_actions(&self.machine, wall(self.now)) {
@@ -128,8 +128,8 @@
     }
 }
 
-/// All upstreams get the version, never fewer serve than must, and nothing of
-/// the rollout is left in the configuration.
+/// All upstreams get the version, enough of them serve at any time, and nothing of the rollout
+/// remains in the configuration.
 #[test]
 fn whole_rollout() {
     let mut fleet = Fleet::new();
@@ -144,11 +144,10 @@
     assert!(config.drains.is_empty() && config.orders.is_empty() && config.settings.is_empty());
 }
 
-/// The new version can't be loaded. The first upstream goes alone and fails; the
-/// rollout stops by itself with the other five serving the old version, and undo
-/// has nothing to load.
+/// The new version can't be loaded. The first upstream is upgraded alone and fails; the rollout
+/// stops by itself with the other five serving the old version, and undoing loads nothing.
 #[test]
-fn spoilt_version() {
+fn unloadable_version() {
     let mut fleet = Fleet::new();
     fleet.spoilt = true;
     let plan = fleet.rollout("1", "v2");
@@ -163,8 +162,8 @@
     );
 }
 
-/// The new version loads, and then its engines die one after another. The
-/// rollout stops although every load went well.
+/// The new version can be loaded, but its engines die one after another. The rollout stops
+/// although all loads succeeded.
 #[test]
 fn dying_engines() {
     let mut fleet = Fleet::new();
@@ -184,8 +183,8 @@
     assert!(fleet.versions().iter().filter(|v| **v == "v1").count() >= 3);
 }
 
-/// Stopped half-way: what was only drained returns at once, what loads is waited
-/// for. Confirmed again it goes on; undone it goes back to the old version.
+/// A rollout is stopped half-way: drained upstreams return at once, loading ones are waited
+/// for. Confirmed again it continues; undone it returns to the old version.
 #[test]
 fn stopped_half_way() {
     let mut fleet = Fleet::new();
@@ -212,10 +211,9 @@
     assert!(fleet.machine.config().settings.is_empty());
 }
 
-/// An operator drains an upstream that the rollout hasn't come to. The rollout
-/// upgrades it and leaves it drained.
+/// The rollout upgrades an upstream that an operator drained, and leaves it drained.
 #[test]
-fn drained_by_people() {
+fn operator_drain() {
     let mut fleet = Fleet::new();
     let drain = Intent::Drain {
         upstream: upstream("u5"),
@@ -229,8 +227,8 @@
     assert_eq!(drains, [&upstream("u5")]);
 }
 
-/// Two leaders believe that they lead, and each proposes every step. The second
-/// proposal of each finds the step taken and changes nothing.
+/// Two replicas both believe that they lead and propose each step. The second proposal of a
+/// step changes nothing.
 #[test]
 fn two_leaders() {
     let mut fleet = Fleet::new();
@@ -251,8 +249,8 @@
     assert_eq!(fleet.fewest, 4);
 }
 
-/// The leader changes at random moments: the new one holds a restored snapshot
-/// and goes on. Whatever the moments, the rollout ends the same.
+/// The leader changes at random times, and the new one continues from a restored snapshot. The
+/// rollout ends the same whenever that is.
 #[test]
 fn leader_changes() {
     let config = Config {
@@ -279,7 +277,7 @@
 
 /// A step that isn't due is refused, whoever asks.
 #[test]
-fn out_of_turn() {
+fn step_not_due() {
     let mut fleet = Fleet::new();
     let plan = fleet.rollout("1", "v2");
     let at = wall(fleet.now);
@@ -300,7 +298,7 @@
     assert_eq!(fleet.plan(plan.id).stages[1].progress, Progress::Pending);
 }
 
-/// All must go on serving: the rollout is refused before anybody confirms it.
+/// A rollout that must keep all upstreams serving is refused when it is proposed.
 #[test]
 fn nothing_to_spare() {
     let mut fleet = Fleet::new();
@@ -321,8 +319,8 @@
     assert!(risk.seconds > 1_000, "{}", risk.seconds);
 }
 
-/// The weight store would bear six loads at a time; four in five upstreams must
-/// go on serving all the same.
+/// Although the weight store allows six concurrent loads, four in five upstreams must go on
+/// serving.
 #[test]
 fn enough_serve() {
     let mut fleet = Fleet::new();
@@ -339,8 +337,8 @@
     assert_eq!(fleet.fewest, 5);
 }
 
-/// An operator wants to return an upstream that the rollout has just drained. It
-/// would take new work while it loads; the operator is told which plan has it.
+/// Guards against an upstream that takes requests while it loads: an operator who wants to
+/// return one that the rollout has drained is refused, and told which plan is changing it.
 #[test]
 fn under_way() {
     let mut fleet = Fleet::new();
--- a/almondlock-state/tests/packed_document.rs
+++ b/almondlock-state/tests/packed_document.rs
@@ -1,5 +1,5 @@
-//! An operator publishes a configuration of a thousand routes. It reaches every
-//! process over slow links in time, and is read back to the byte.
+//! Compression of published configurations, which must reach all processes over slow links in
+//! time and be read back byte for byte.
 
 use almondlock_state::document::{Delta, Document, Piece};
 use yare::parameterized;
@@ -36,8 +36,8 @@
     assert!(written.len() * 10 < document.len(), "{}", written.len());
 }
 
-/// Guards against a delta that takes as many bytes as the text: one changed route costs
-/// hundreds, and many new ones are packed together.
+/// Guards against a delta that is as long as the text: one changed route takes hundreds of
+/// bytes, and many new ones are compressed together.
 #[parameterized(
     one = { 1, 700 },
     hundred = { 100, 4_000 },
@@ -55,7 +55,7 @@
     assert_eq!(serde_json::from_slice::<Delta>(&written).unwrap(), delta);
 }
 
-/// What an earlier version wrote, or somebody else damaged.
+/// Documents that an earlier release wrote are read, and damaged ones are not.
 #[parameterized(
     plain = { r#"{"version":1,"text":"as it was"}"#, true },
     no_base = { r#"{"version":1,"text":{"packed":"%%"}}"#, false },
--- a/almondlock-state/tests/placed_adapters.rs
+++ b/almondlock-state/tests/placed_adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters are placed on upstreams.
+//! Placement of adapters on upstreams.
 #![allow(clippy::unwrap_used)]
 
 use almondlock_state::placement::{Bin, Item, place, place_largest_first};
@@ -26,8 +26,8 @@
     })
 }
 
-/// Whatever is placed holds: on upstreams of its model, within their room, no two
-/// copies in one failure domain.
+/// A placement uses only upstreams of an item's model, within their memory, and no failure
+/// domain twice for one item.
 #[test]
 fn holds() {
     let config = Config {
@@ -58,8 +58,8 @@
     run.unwrap();
 }
 
-/// Load is spread, also where the fit alone finds no place, and what has no
-/// place is said.
+/// Load is spread, random draws succeed where placing the largest first fails, and an item
+/// that can't be placed is reported.
 #[test]
 fn spread_load() {
     let bin = |domain, room| Bin {
@@ -86,7 +86,7 @@
     );
     assert_eq!(place(&[item(10, 3)], &bins), None, "two domains only");
     assert_eq!(place(&[item(101, 1)], &bins), None);
-    // Fitted by size and load, 5 and 4 go apart and leave no room for three 3.
+    // With the largest first, 5 and 4 go to different bins and leave no room for three of 3.
     let bins = [bin(0, 9), bin(0, 9)];
     let items = [item(5, 1), item(4, 1), item(3, 1), item(3, 1), item(3, 1)];
     assert!(place_largest_first(&items, &bins).is_none());
--- a/almondlock-state/tests/poison_expiry.rs
+++ b/almondlock-state/tests/poison_expiry.rs
@@ -1,4 +1,4 @@
-//! A request that kills engines is refused after a few deaths, for a time.
+//! Refusal of requests that crash engines, and its expiry.
 
 #![allow(clippy::unwrap_used)]
 
@@ -35,8 +35,8 @@
     machine.config().quarantine(print("acme", body))
 }
 
-/// The request runs alone and kills two engines. It is refused from then on. The
-/// same death told by three entry hosts is one death.
+/// A request that runs alone is refused after the deaths of two engines. A death that three
+/// entry hosts report counts once.
 #[test]
 fn two_alone() {
     let mut machine = Machine::new();
@@ -48,9 +48,9 @@
     assert!(quarantine(&machine, "poison").is_some_and(|it| it.refused));
 }
 
-/// A poisonous request kills three engines with others beside it. The innocent
-/// that ran beside it twice is only suspected; it finishes alone and is cleared.
-/// The poisonous one can't be cleared any more.
+/// A poison request crashes three engines while other requests run there. An innocent one that
+/// ran beside it twice is only suspected, and is cleared once it finishes alone. The poison
+/// request can't be cleared any more.
 #[test]
 fn innocent_beside() {
     let mut machine = Machine::new();
@@ -67,8 +67,7 @@
     assert!(quarantine(&machine, "poison").is_some_and(|it| it.refused));
 }
 
-/// The quarantine ends by itself, also after the replicas were restored from a
-/// snapshot in between, and not before its time.
+/// A quarantine expires in time and not before, also after a restore from a snapshot.
 #[test]
 fn ends_by_itself() {
     let mut machine = Machine::new();
@@ -85,7 +84,7 @@
     assert!(machine.config().quarantines.is_empty());
 }
 
-/// The same body from another organisation isn't touched by the blame.
+/// Blame doesn't affect a request with the same body from another organisation.
 #[test]
 fn other_organisation() {
     let mut machine = Machine::new();
--- a/almondlock-state/tests/published_document.rs
+++ b/almondlock-state/tests/published_document.rs
@@ -1,6 +1,6 @@
-//! The operator's acknowledged configuration is read back as it was sent, and
-//! an older one that is sent again, or another text under the same version,
-//! changes nothing: processes have acted on the first.
+//! A published configuration is read back as it was sent. An older version that is sent again,
+//! or another text with the same version, changes nothing, because processes have acted on the
+//! first one.
 
 use almondlock_base::time::Wall;
 use almondlock_state::{
--- a/almondlock-state/tests/replaced_replica.rs
+++ b/almondlock-state/tests/replaced_replica.rs
@@ -1,4 +1,4 @@
-//! Control replicas are replaced by a plan.
+//! Replacement of control replicas by plans.
 
 mod common;
 
@@ -66,9 +66,9 @@
     assert_eq!(code(&machine.apply(step).reply), None);
 }
 
-/// A host's disk was wiped; it waits at its old address with a new identity. It
-/// is added, and only once that is through does the old identity go. The leader
-/// changes in between and the new one is told to go on with the same step.
+/// A host whose disk was wiped waits at its old address with a new identity. It is added
+/// before the old identity is removed. The leader changes in between, and the new one is
+/// asked to continue with the same step.
 #[test]
 fn same_host() {
     let mut machine = group(&[(11, 1), (12, 2), (13, 3)]);
@@ -100,8 +100,8 @@
     );
 }
 
-/// The leader copies the log's membership: the newcomer's identity is its
-/// disk's, and its admin address that of the plan which added it.
+/// The leader copies the log's membership: a new replica has the identity of its disk, and the
+/// admin address of the plan that added it.
 #[test]
 fn copied_members() {
     let mut machine = group(&[(11, 1), (12, 2)]);
@@ -126,8 +126,8 @@
     assert_eq!(empty, None, "not before the seed");
 }
 
-/// The newcomer never catches up. The plan fails at that step, and the lost
-/// replica is not removed: that would leave fewer than before.
+/// The new replica never catches up. The plan fails at that step, and the old replica is not
+/// removed, since that would leave fewer replicas than before.
 #[test]
 fn newcomer_fails() {
     let mut machine = group(&[(11, 1), (12, 2), (13, 3)]);
@@ -147,9 +147,9 @@
     assert!(machine.tables().replicas.contains_key(&12));
 }
 
-/// What would break the group is refused, and what is risky is told.
+/// A change that would break the group is refused, and the risks of others are shown.
 #[test]
-fn told_before() {
+fn risks_shown() {
     let mut machine = group(&[(11, 1), (12, 2), (13, 3)]);
     let taken = Intent::AddReplica {
         replica: replica(3),
--- a/almondlock-state/tests/restarted_instance.rs
+++ b/almondlock-state/tests/restarted_instance.rs
@@ -1,8 +1,7 @@
-//! A server crashes and starts again under the name that it had. Callers must
-//! reach the new life as soon as it says that it is there, and nothing that the
-//! earlier one said, and the network held back, may count against it: a late
-//! `draining` or a number that is higher than the new life's first ones would
-//! keep a sound server out for good.
+//! A server crashes and restarts under its earlier name. The new incarnation must get requests
+//! from its first heartbeat on. Guards against delayed heartbeats of the earlier incarnation:
+//! a late `draining`, or a higher sequence number than the new one's first, would keep a sound
+//! server out for good.
 
 use almondlock_base::{
     id::{Domain, Service, Upstream},
@@ -50,7 +49,7 @@
     });
 }
 
-/// The life that is enrolled, and whether it leaves.
+/// Returns the start time of the enrolled incarnation, and whether it is leaving.
 fn known(machine: &Machine, text: &str) -> Option<(u64, bool)> {
     let found = machine.config().instances.get(&name(text));
     found.map(|instance| (instance.birth.0, instance.leaving))
@@ -98,7 +97,7 @@
 
 #[test]
 fn late_at_address() {
-    // The address was given on to another server that started later.
+    // The address was reused by another server that started later.
     let mut machine = Machine::new();
     enrol(&mut machine, "i-2", life(SECOND, false));
     enrol(&mut machine, "i-1", life(FIRST, false));
@@ -121,7 +120,7 @@
         roster.receive(now, config, (&i, 1), &second),
         Disposition::Changed
     );
-    // The earlier life's last one, which is told nothing new and isn't entered.
+    // The last heartbeat of the earlier incarnation, which is acknowledged and not entered.
     let last = life(FIRST, true);
     assert_eq!(
         roster.receive(now, config, (&i, 41), &last),
@@ -134,7 +133,7 @@
 }
 
 #[test]
-fn leaving_is_news() {
+fn leaving_is_entered() {
     let mut machine = Machine::new();
     enrol(&mut machine, "i-1", life(FIRST, true));
     let (mut roster, i) = (Roster::default(), name("i-1"));
@@ -148,7 +147,7 @@
 
 #[test]
 fn older_snapshot() {
-    // Written before lives were told apart: every gone name is gone for good.
+    // Written before incarnations were distinguished: a gone name stays gone.
     let mut machine = Machine::new();
     withdraw(&mut machine, "i-1");
     let text = r#"{"gone":["i-1"]}"#;
--- a/almondlock-state/tests/stale_plan.rs
+++ b/almondlock-state/tests/stale_plan.rs
@@ -1,4 +1,4 @@
-//! A plan is confirmed after the ground that it stands on has moved.
+//! Plans that are confirmed after the state they were computed on has changed.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,11 +21,11 @@
     }
 }
 
-/// Anna plans a share of 5, Boris sets 9, and Anna confirms what she saw before.
-/// Her plan would put Boris's change back without a word; it is refused, and the
-/// answer says what moved.
+/// Guards against a plan that silently overwrites a later change: Anna plans a share of 5,
+/// Boris sets 9, and Anna confirms her plan. It is refused, and the answer names the modified
+/// resource.
 #[test]
-fn moved_part() {
+fn modified_resource() {
     let mut machine = Machine::new();
     change(&mut machine, "1", add("acme"), 1);
     let mine = planned(propose(&mut machine, "2", share("acme", 5), 2));
@@ -39,9 +39,9 @@
     );
 }
 
-/// The change in between was of another organisation: the plan goes through.
+/// A plan is carried out if only another organisation was changed in between.
 #[test]
-fn disjoint_parts() {
+fn disjoint_resources() {
     let mut machine = Machine::new();
     change(&mut machine, "1", add("acme"), 1);
     change(&mut machine, "2", add("rival"), 1);
@@ -60,8 +60,8 @@
     assert_eq!(shares, [5, 9]);
 }
 
-/// Two administrators each plan to remove the other. No part is touched by both
-/// plans, yet both together would leave nobody; the second is refused.
+/// Two administrators each plan to remove the other. The plans change no common resource, but
+/// would together leave no administrator, so the second one is refused.
 #[test]
 fn last_administrator() {
     let mut machine = Machine::new();
@@ -95,8 +95,7 @@
     );
 }
 
-/// Undo puts back what was there before, and refuses when somebody has changed
-/// it again since.
+/// Undoing restores the earlier value, and is refused if the value was changed again since.
 #[test]
 fn undone() {
     let mut machine = Machine::new();
@@ -116,8 +115,8 @@
     );
 }
 
-/// A drain is planned for the last upstream of a model: the plan says that
-/// nothing would be left, and does nothing by itself.
+/// A planned drain of a model's last upstream warns that none would be left, and does nothing
+/// before its confirmation.
 #[test]
 fn told_risk() {
     let mut machine = Machine::new();
