--- a/almondlock-gateway/src/standing.rs
+++ b/almondlock-gateway/src/standing.rs
@@ -147,7 +147,7 @@
         tracing::info!(
             request = %request.id, organisation = %organisation.name, action,
             resource = excess.resource.as_str(), used = excess.used, share = excess.share,
-            age_ms = finding.age.as_millis(), behind = %self.behind(excess.least_served), suppressed,
+            age_ms = finding.age.as_millis(), behind = %self.name_behind(excess.least_served), suppressed,
             "deprioritised"
         );
     }
@@ -216,6 +216,7 @@
         counts.then_some(organisation)
     }
 
+    /// Returns the finding if a request's organisation is over its share.
     fn finding(&self, now: Mono, request: &Request) -> Option<Finding> {
         let organisation = self.accounted_organisation(request)?;
         let relay = self.load.borrow().current_relay(now)?;
@@ -225,7 +226,7 @@
 
     /// Returns the name of the organisation that a request was ranked behind, as far as it
     /// is known.
-    fn behind(&self, organisation: Option<Key>) -> String {
+    fn name_behind(&self, organisation: Option<Key>) -> String {
         let Some(key) = organisation else {
             return OTHERS.to_owned();
         };
