--- a/almondlock-gateway/src/pace.rs
+++ b/almondlock-gateway/src/pace.rs
@@ -65,10 +65,12 @@
 }
 
 impl Pacing {
+    /// Forgets what was observed of an upstream, as after its restart.
     pub(crate) fn forget(&self, upstream: &Upstream) {
         self.table.borrow_mut().forget(upstream);
     }
 
+    /// Forgets all upstreams for which `is_known` is false.
     pub(crate) fn retain<F>(&self, is_known: F)
     where
         F: Fn(&Upstream) -> bool,
@@ -173,6 +175,7 @@
         }
     }
 
+    /// Counts and logs an ejection or reinstatement.
     fn log_change(&self, now: Mono, service: &Service, change: &Change<Upstream>) {
         let kind = if change.is_ejected {
             "ejected"
@@ -188,7 +191,7 @@
             upstream = %change.key, %service, change = kind, rate = finding.relative_rate,
             slowness = finding.slowness, failures = finding.failure_share,
             observations = finding.observations, source = finding.source.as_str(),
-            age_ms = now.since(finding.newest).as_millis(), "pace judged anew"
+            age_ms = now.since(finding.newest).as_millis(), "upstream ejected or reinstated"
         );
     }
 
@@ -339,6 +342,7 @@
         }
     }
 
+    /// Counts the outcome of a probe.
     fn count_probe(&self, is_probe: bool, outcome: &str) {
         if is_probe {
             self.shared.metrics.count("probes", outcome);
