--- a/almondlock-sidecar/src/pull.rs
+++ b/almondlock-sidecar/src/body.rs
@@ -1,5 +1,5 @@
-//! Reading a request's body from the entry host, chunk by chunk, as fast as
-//! the upstream takes it.
+//! Reads a request's body from the entry host in chunks, as fast as the
+//! upstream takes them.
 
 use std::rc::Rc;
 
@@ -12,16 +12,17 @@
 
 use crate::protocol::Feeder;
 
-/// Feeds the whole body to the upstream's connection. Ends early when either
-/// side is gone; the upstream then sees a body that is too short and refuses.
-pub(crate) async fn pull(head: &Head, source: &source::Client, mut to: Feeder) {
+/// Sends the whole body to the upstream's connection. Stops early when the
+/// entry host or the upstream is gone; the upstream then receives a body that
+/// is shorter than announced and refuses it.
+pub(crate) async fn feed_body(head: &Head, source: &source::Client, mut to: Feeder) {
     if !head.body.is_empty() {
         let _ = to.send(Ok(Bytes::copy_from_slice(&head.body))).await;
         return;
     }
     let mut offset = 0;
     while offset < head.body_length {
-        let chunk = match read(source, offset, BODY_CHUNK as u64).await {
+        let chunk = match read_chunk(source, offset, BODY_CHUNK as u64).await {
             Ok(chunk) if !chunk.is_empty() => chunk,
             Ok(_) => return,
             Err(error) => {
@@ -36,8 +37,9 @@
     }
 }
 
-/// Reads a range of the body.
-pub(crate) async fn range(
+/// Reads `length` bytes of the body, starting at `offset`. Fails if the body
+/// ends earlier.
+pub(crate) async fn read_range(
     source: &source::Client,
     offset: u64,
     length: u64,
@@ -47,9 +49,11 @@
     let mut at = offset;
     while at < end {
         let limit = (end - at).min(BODY_CHUNK as u64);
-        let chunk = read(source, at, limit).await?;
+        let chunk = read_chunk(source, at, limit).await?;
         if chunk.is_empty() {
-            return Err(capnp::Error::failed("the body is too short".to_owned()));
+            return Err(capnp::Error::failed(
+                "the request body ended before the requested range".to_owned(),
+            ));
         }
         at += chunk.len() as u64;
         text.extend_from_slice(&chunk);
@@ -57,7 +61,12 @@
     Ok(text)
 }
 
-async fn read(source: &source::Client, offset: u64, limit: u64) -> Result<Bytes, capnp::Error> {
+/// Reads at most `limit` bytes of the body, starting at `offset`.
+async fn read_chunk(
+    source: &source::Client,
+    offset: u64,
+    limit: u64,
+) -> Result<Bytes, capnp::Error> {
     let mut request = source.read_request();
     request.get().set_offset(offset);
     request
--- a/almondlock-sidecar/src/parts.rs
+++ b/almondlock-sidecar/src/parts.rs
@@ -1,5 +1,6 @@
-//! A member's side of a prompt larger than an engine: memory is reserved
-//! first, on all members, and only then is anything processed.
+//! Handles one part of a prompt that is larger than one engine, on one member
+//! of the group that shares the prompt. Memory is reserved on all members
+//! before any of them starts to process its part.
 
 use std::rc::Rc;
 
@@ -16,14 +17,14 @@
 use tokio::time::timeout;
 
 use crate::{
+    body,
     memory::owner_of,
     protocol::{Failure, Piece, Protocol},
-    pull,
-    service::{Inner, Service, failed, refused},
+    sidecar::{Inner, Sidecar, failed_outcome, refused_outcome},
 };
 
-/// A reservation that is waited for; dropping it takes it back.
-struct Wait<P>
+/// A reservation that waits for memory. Dropping it withdraws the reservation.
+struct Pending<P>
 where
     P: Protocol,
 {
@@ -31,7 +32,7 @@
     attempt: Option<Attempt>,
 }
 
-impl<P> Drop for Wait<P>
+impl<P> Drop for Pending<P>
 where
     P: Protocol,
 {
@@ -40,20 +41,20 @@
             let now = clock::mono();
             let mut table = self.inner.table.borrow_mut();
             table.release(&attempt, now);
-            table.pump(now);
+            table.grant_waiting(now);
         }
     }
 }
 
-impl<P> Service<P>
+impl<P> Sidecar<P>
 where
     P: Protocol,
 {
-    /// Reserves memory for a part; waits until there is room.
+    /// Reserves memory for a part, and waits until there is room.
     pub async fn reserve(&self, part: &Part) -> Outcome {
         let inner = &self.inner;
         inner.handle.heard(&part.from);
-        inner.check_leaving(clock::mono());
+        inner.update_leaving(clock::mono());
         if inner.down.get() {
             return Outcome::refused(Code::NoUpstream, None);
         }
@@ -61,26 +62,26 @@
             let now = clock::mono();
             let mut table = inner.table.borrow_mut();
             let asked = table.reserve(part, now);
-            table.pump(now);
+            table.grant_waiting(now);
             asked
         };
         let told = match asked {
             Ok(told) => told,
-            Err(refusal) => return refused(refusal),
+            Err(refusal) => return refused_outcome(refusal),
         };
-        let mut wait = Wait {
+        let mut pending = Pending {
             inner: Rc::clone(inner),
             attempt: Some(part.attempt.clone()),
         };
         match told.await {
             Ok(Ok(())) => {}
             Ok(Err(refusal)) => {
-                wait.attempt = None;
-                return refused(refusal);
+                pending.attempt = None;
+                return refused_outcome(refusal);
             }
             Err(_) => return Outcome::refused(Code::HostStopping, None),
         }
-        wait.attempt = None;
+        pending.attempt = None;
         let item = Item {
             kind: Kind::Reservation,
             tokens: part.tokens,
@@ -90,20 +91,20 @@
         inner
             .memory
             .open(id, item, &owner, part.lease, clock::mono());
-        whole()
+        success()
     }
 
-    /// Processes a reserved part and keeps it on the engine.
+    /// Processes a reserved part and keeps the result on the engine.
     pub async fn process(&self, part: &Part, source: source::Client) -> (Outcome, Option<Segment>) {
         let inner = &self.inner;
         let id = part.attempt.to_string();
         let text = match part.text {
             (_, 0) => None,
-            (offset, length) => match pull::range(&source, offset, length).await {
+            (offset, length) => match body::read_range(&source, offset, length).await {
                 Ok(text) => Some(text),
                 Err(error) => {
                     let text = error.to_string();
-                    return (failed(Code::CallerLeft, Ran::No, text), None);
+                    return (failed_outcome(Code::CallerLeft, Ran::No, text), None);
                 }
             },
         };
@@ -113,35 +114,37 @@
             text,
             priority: Class::Huge.index() as u8,
         };
-        let work = timeout(part.budget, inner.protocol.segment(piece)).await;
+        let work = timeout(part.budget, inner.protocol.process_segment(piece)).await;
         match work {
-            Ok(Ok(segment)) => (whole(), Some(segment)),
+            Ok(Ok(segment)) => (success(), Some(segment)),
             Ok(Err(failure)) => {
                 let broken = matches!(failure, Failure::Broken | Failure::Unreachable);
-                let died = broken && inner.look_for_death().await.is_some();
-                let mut outcome = failed(Code::UpstreamLost, Ran::Unknown, failure.to_string());
+                let died = broken && inner.check_for_death().await.is_some();
+                let mut outcome =
+                    failed_outcome(Code::UpstreamLost, Ran::Unknown, failure.to_string());
                 outcome.died = died;
                 (outcome, None)
             }
             Err(_) => {
                 let text = Code::DeadlinePassed.text().to_owned();
-                (failed(Code::DeadlinePassed, Ran::Yes, text), None)
+                (failed_outcome(Code::DeadlinePassed, Ran::Yes, text), None)
             }
         }
     }
 
-    /// Gives a part's memory back, on the engine too. Idempotent.
+    /// Frees a part's memory, on the engine too. Idempotent.
     pub fn release(&self, attempt: &Attempt) {
         let now = clock::mono();
         let inner = &self.inner;
         inner.memory.release(&attempt.to_string(), now);
         let mut table = inner.table.borrow_mut();
         table.release(attempt, now);
-        table.pump(now);
+        table.grant_waiting(now);
     }
 }
 
-fn whole() -> Outcome {
+/// Returns the outcome of a step that succeeded.
+fn success() -> Outcome {
     Outcome {
         code: None,
         ran: Ran::Yes,
--- a/almondlock-sidecar/src/service.rs
+++ b/almondlock-sidecar/src/sidecar.rs
@@ -1,4 +1,5 @@
-//! One upstream's sidecar at work: from a submitted attempt to its outcome.
+//! The sidecar of one upstream: takes an attempt, queues it, runs it on the
+//! upstream and returns its outcome.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,37 +27,39 @@
 use tracing::Instrument;
 
 use crate::{
-    death::Death,
+    death,
     memory::Memory,
-    orders::Desk,
+    orders::Forwarder,
     protocol::Protocol,
     stop::Stop,
     table::{Config, Refusal, Table},
     ticket::Ticket,
 };
 
-/// How often deadlines of waiting work and the upstream's leaving are looked
-/// at; what is given up on is answered within this time.
-const TICK: Duration = Duration::from_millis(10);
-/// Pause between two looks at what memory is to be freed.
-const MEMORY_PAUSE: Duration = Duration::from_millis(100);
-/// Pause between two looks at whether the upstream answers.
-const HEALTH_PAUSE: Duration = Duration::from_millis(500);
-/// When to come back after a refusal that names no time.
+/// Interval at which the deadlines of waiting attempts, and whether the
+/// upstream is leaving, are checked. An expired attempt is answered within this
+/// time.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Pause between rounds of freeing memory and forwarding orders.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause between health checks of the upstream.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after which a caller may retry when a refusal names none.
 pub(crate) const DEFAULT_RETRY: Duration = Duration::from_secs(1);
 
-/// The sidecar of one upstream. Clones are handles to the same one.
-pub struct Service<P> {
+/// The sidecar of one upstream. Clones refer to the same one.
+pub struct Sidecar<P> {
     pub(crate) inner: Rc<Inner<P>>,
 }
 
-impl<P> Clone for Service<P> {
-    fn clone(&self) -> Service<P> {
+impl<P> Clone for Sidecar<P> {
+    fn clone(&self) -> Sidecar<P> {
         let inner = Rc::clone(&self.inner);
-        Service { inner }
+        Sidecar { inner }
     }
 }
 
+/// State shared by the clones of a sidecar.
 pub(crate) struct Inner<P> {
     pub(crate) upstream: Upstream,
     pub(crate) incarnation: Incarnation,
@@ -64,22 +67,23 @@
     pub(crate) handle: Handle,
     pub(crate) replicas: Replicas,
     pub(crate) table: RefCell<Table>,
-    pub(crate) death: RefCell<Death>,
+    pub(crate) death: RefCell<death::Record>,
     rng: RefCell<SmallRng>,
     pub(crate) metrics: Metrics,
     stop: Stop,
     pub(crate) memory: Memory,
-    pub(crate) orders: Desk,
-    // The upstream doesn't answer; nothing is handed to it until it does.
+    pub(crate) orders: Forwarder,
+    // Set while the upstream doesn't answer. New attempts are refused until it
+    // does.
     pub(crate) down: Cell<bool>,
 }
 
-impl<P> Service<P>
+impl<P> Sidecar<P>
 where
     P: Protocol,
 {
-    /// A sidecar in front of an upstream. Must be made on the thread that
-    /// serves it.
+    /// Creates the sidecar of an upstream and starts its periodic tasks. Must
+    /// be called on the thread that serves it.
     pub fn new(
         upstream: Upstream,
         incarnation: Incarnation,
@@ -88,7 +92,7 @@
         handle: Handle,
         replicas: Replicas,
         (metrics, stop): (Metrics, Stop),
-    ) -> Service<P> {
+    ) -> Sidecar<P> {
         let inner = Rc::new(Inner {
             upstream,
             incarnation,
@@ -101,7 +105,7 @@
             metrics,
             stop,
             memory: Memory::new(clock::mono()),
-            orders: Desk::default(),
+            orders: Forwarder::default(),
             down: Cell::new(false),
         });
         let weak = Rc::downgrade(&inner);
@@ -109,38 +113,38 @@
             while let Some(inner) = weak.upgrade() {
                 inner.tick();
                 drop(inner);
-                sleep(TICK).await;
+                sleep(TICK_INTERVAL).await;
             }
         });
         let weak = Rc::downgrade(&inner);
         spawn_local(async move {
             while let Some(inner) = weak.upgrade() {
-                let alive = inner.protocol.alive().await;
+                let alive = inner.protocol.is_alive().await;
                 inner.set_down(!alive);
                 drop(inner);
-                sleep(HEALTH_PAUSE).await;
+                sleep(HEALTH_CHECK_INTERVAL).await;
             }
         });
         let weak = Rc::downgrade(&inner);
         spawn_local(async move {
             while let Some(inner) = weak.upgrade() {
-                inner.tend_memory().await;
-                inner.tend_orders().await;
+                inner.maintain_memory().await;
+                inner.forward_due_order().await;
                 drop(inner);
-                sleep(MEMORY_PAUSE).await;
+                sleep(MAINTENANCE_INTERVAL).await;
             }
         });
-        Service { inner }
+        Sidecar { inner }
     }
 
-    /// Runs an attempt to its outcome. Dropping the future gives it up.
+    /// Runs an attempt and returns its outcome. Dropping the future cancels it.
     pub async fn submit(&self, head: &Head, source: source::Client, sink: sink::Client) -> Outcome {
         let inner = &self.inner;
         inner.handle.heard(&head.from);
-        inner.check_leaving(clock::mono());
-        // Until its outcome is on its way: a process that stops waits for it.
-        let _busy = inner.stop.begin();
-        let context = inner.hop(&head.traceparent);
+        inner.update_leaving(clock::mono());
+        // A stopping process waits until this guard is dropped.
+        let _guard = inner.stop.track_attempt();
+        let context = inner.hop_context(&head.traceparent);
         let hop = tracing::info_span!(
             "sidecar",
             request = %head.request,
@@ -151,7 +155,7 @@
         let work = async {
             match inner.clone().admit(head).await {
                 Ok(ticket) => ticket.run(head, &context, source, sink).await,
-                Err(refusal) => refused(refusal),
+                Err(refusal) => refused_outcome(refusal),
             }
         };
         let mut outcome = work.instrument(hop).await;
@@ -159,47 +163,50 @@
         outcome
     }
 
-    /// Gives an attempt up and says whether it ran.
+    /// Cancels an attempt on behalf of its entry host, and returns whether it
+    /// ran.
     pub fn settle(&self, attempt: &Attempt, target: Incarnation) -> Ran {
         let now = clock::mono();
         let mut table = self.inner.table.borrow_mut();
         let ran = table.settle(attempt, target, now);
-        table.pump(now);
+        table.grant_waiting(now);
         ran
     }
 
-    /// The upstream's load. One that doesn't answer has none, and would look
-    /// like the best of all; so it is told as taking no work.
+    /// Returns the upstream's load. An upstream that is down has no load and
+    /// would look like the best choice, so it is reported as leaving.
     pub fn load(&self, prefix: &[u64]) -> Load {
         let mut load = self.inner.table.borrow().load(prefix);
         load.leaving |= self.inner.down.get();
         load
     }
 
-    /// An entry host lives: the leases of all it holds here are extended.
+    /// Extends the leases of all that an entry host holds here.
     pub fn renew(&self, host: Host, incarnation: Incarnation) {
         let owner = Owner { host, incarnation };
         self.inner.memory.renew(&owner, clock::mono());
     }
 
-    /// Whether the upstream answers.
+    /// Returns whether the upstream answers.
     pub async fn is_alive(&self) -> bool {
-        self.inner.protocol.alive().await
+        self.inner.protocol.is_alive().await
     }
 
-    /// The node's handle, for what every exchange carries.
+    /// Returns the node's handle, which supplies the peer data that every
+    /// message carries.
     pub fn handle(&self) -> &Handle {
         &self.inner.handle
     }
 }
 
-pub(crate) fn refused(refusal: Refusal) -> Outcome {
+/// Returns the outcome of an attempt that was refused.
+pub(crate) fn refused_outcome(refusal: Refusal) -> Outcome {
     let mut outcome = Outcome::refused(refusal.code, refusal.retry_after.or(Some(DEFAULT_RETRY)));
     outcome.ran = refusal.ran;
     outcome
 }
 
-/// The span that a `traceparent` names, for logs.
+/// Formats the span of a `traceparent` header for logs.
 struct Parent<'a>(&'a str);
 
 impl std::fmt::Display for Parent<'_> {
@@ -211,7 +218,8 @@
     }
 }
 
-pub(crate) fn failed(code: Code, ran: Ran, message: String) -> Outcome {
+/// Returns the outcome of a run that failed.
+pub(crate) fn failed_outcome(code: Code, ran: Ran, message: String) -> Outcome {
     Outcome {
         ran,
         message,
@@ -223,17 +231,19 @@
 where
     P: Protocol,
 {
+    /// Refuses expired attempts and grants those that there is room for.
     fn tick(&self) {
         let now = clock::mono();
-        self.check_leaving(now);
+        self.update_leaving(now);
         let mut table = self.table.borrow_mut();
         table.expire(now);
-        table.pump(now);
+        table.grant_waiting(now);
     }
 
-    /// The sidecar is the gate: an entry host that is cut off and doesn't know
-    /// of the drain is refused here.
-    pub(crate) fn check_leaving(&self, now: Mono) {
+    /// Updates whether the upstream takes new attempts. Refusing them here also
+    /// covers entry hosts that are cut off and don't know that the upstream is
+    /// drained.
+    pub(crate) fn update_leaving(&self, now: Mono) {
         let config = self.handle.view().get();
         let leaving = config.is_drained(&self.upstream) || self.stop.is_stopping();
         self.table.borrow_mut().set_leaving(leaving, now);
@@ -246,20 +256,22 @@
         draw(&mut self.rng.borrow_mut())
     }
 
-    /// The context of this process's hop of an attempt.
-    fn hop(&self, traceparent: &str) -> Context {
+    /// Returns the trace context of this process for an attempt.
+    fn hop_context(&self, traceparent: &str) -> Context {
         self.with_rng(|rng| match Context::parse(traceparent) {
             Some(parent) => parent.child(rng),
             None => Context::root(rng),
         })
     }
 
+    /// Records whether the upstream fails to answer.
     pub(crate) fn set_down(&self, down: bool) {
         if self.down.replace(down) != down {
             tracing::info!(upstream = %self.upstream, down, "the upstream's health changed");
         }
     }
 
+    /// Queues an attempt and waits until it is granted or refused.
     pub(crate) async fn admit(self: Rc<Self>, head: &Head) -> Result<Ticket<P>, Refusal> {
         if self.down.get() {
             return Err(Refusal {
@@ -286,22 +298,22 @@
         let now = clock::mono();
         let told = {
             let mut table = self.table.borrow_mut();
-            let told = table.enter(head, treatment, now)?;
-            table.pump(now);
+            let told = table.enqueue(head, treatment, now)?;
+            table.grant_waiting(now);
             told
         };
         let deadline = now + head.budget;
         let mut ticket = Ticket::new(Rc::clone(&self), &head.attempt, suspect, deadline);
         match told.await {
             Ok(Ok(grant)) => {
-                ticket.granted(&grant);
+                ticket.record_grant(&grant);
                 Ok(ticket)
             }
             Ok(Err(refusal)) => {
-                ticket.left();
+                ticket.mark_removed();
                 Err(refusal)
             }
-            // The sidecar is stopping.
+            // The table was dropped: the sidecar is stopping.
             Err(_) => Err(Refusal {
                 code: Code::HostStopping,
                 ran: Ran::No,
