--- a/almondlock-quorum/src/machine/ballot.rs
+++ b/almondlock-quorum/src/machine/ballot.rs
@@ -69,6 +69,7 @@
     refused: BTreeMap<Id, Term>,
     /// The newest ballot that ended without a leader.
     failed: Option<Ballot>,
+    /// The newest denial for each candidate since they were last taken.
     denials: BTreeMap<Id, Denial>,
 }
 
--- a/almondlock-quorum/src/machine/mod.rs
+++ b/almondlock-quorum/src/machine/mod.rs
@@ -96,6 +96,7 @@
     answered_at: Mono,
     // The highest commit index that a leader announced in the current term.
     leader_commit: Option<Index>,
+    // The replicas that granted their vote in the current ballot.
     votes: BTreeSet<Id>,
     tally: ballot::Tally,
     // The cause of the last election that this replica started.
@@ -110,7 +111,9 @@
     // Leader only: the voter to which it transfers leadership. Invariant: no entry is appended
     // while it is set.
     successor: Option<Id>,
+    // The reads that wait to be confirmed.
     reads: read::Queue,
+    // Follower only: the snapshot that is being received.
     incoming: Option<snapshot::Incoming>,
     // Leader only: whether entries were appended since the last replication.
     unsent: bool,
--- a/almondlock-quorum/src/storage/mod.rs
+++ b/almondlock-quorum/src/storage/mod.rs
@@ -98,7 +98,7 @@
 
     /// Removes entries that don't agree with the snapshot. Returns false if it removed any, since
     /// the log on disk must then be reset, or a later opening would take them for valid.
-    pub fn settle(&mut self) -> bool {
+    pub fn drop_conflicting_entries(&mut self) -> bool {
         let Some(snapshot) = &self.snapshot else {
             return true;
         };
--- a/almondlock-quorum/src/storage/segment.rs
+++ b/almondlock-quorum/src/storage/segment.rs
@@ -65,7 +65,7 @@
             Found::Damaged(reason) => return Err(Error::damaged(&wanted.file, reason)),
             Found::Record(record, next) => {
                 let first = segment.valid == 0;
-                take(record, first, wanted, snapshot, loaded, &mut segment)?;
+                apply_record(record, first, wanted, snapshot, loaded, &mut segment)?;
                 segment.valid = next;
             }
         }
@@ -73,7 +73,7 @@
     Ok(segment)
 }
 
-fn take(
+fn apply_record(
     record: Record,
     first: bool,
     wanted: &Header,
--- a/almondlock-quorum/src/storage/store.rs
+++ b/almondlock-quorum/src/storage/store.rs
@@ -58,7 +58,7 @@
             .map_err(|e| Error::io("can't list the data folder", e))?;
         let newest = load_snapshot(&disk, group, id, &names, &mut loaded)?;
         let closed = load_segments(&disk, group, id, &names, &mut loaded)?;
-        let settled = loaded.settle();
+        let log_agrees = loaded.drop_conflicting_entries();
         let number = closed.back().map_or(0, |(number, _)| number + 1);
         let file = disk
             .create(&segment::name(number))
@@ -80,7 +80,7 @@
             syncs: 0,
         };
         store.write_header();
-        if let Some(newest) = newest.filter(|_| !settled) {
+        if let Some(newest) = newest.filter(|_| !log_agrees) {
             Record::Reset(newest).write(&mut store.buffer);
         }
         store.sync()?;
--- a/almondlock-quorum/tests/cluster/mod.rs
+++ b/almondlock-quorum/tests/cluster/mod.rs
@@ -185,7 +185,7 @@
             .unwrap();
         let now = self.mono();
         let node = &mut self.nodes[n];
-        node.disk.settle();
+        node.disk.drop_conflicting_entries();
         let snapshot = node.disk.snapshot.clone();
         node.state = snapshot.map_or_else(State::default, |s| State::restore(&s.data));
         node.compacted = node.state.index;
@@ -246,7 +246,7 @@
         let data = Arc::from(self.value.to_le_bytes());
         let machine = self.nodes[n].machine.as_mut();
         let done = machine.is_some_and(|m| m.propose(data).is_ok());
-        self.settle(n);
+        self.process_output(n);
         done
     }
 
@@ -256,7 +256,7 @@
         let now = self.mono();
         let machine = self.nodes[n].machine.as_mut();
         let asked = machine.is_some_and(|m| m.request_read(now, token).is_ok());
-        self.settle(n);
+        self.process_output(n);
         asked
     }
 
@@ -264,7 +264,7 @@
         let now = self.mono();
         let machine = self.nodes[n].machine.as_mut();
         let done = machine.is_some_and(|m| m.propose_change(now, change).is_ok());
-        self.settle(n);
+        self.process_output(n);
         done
     }
 
@@ -278,7 +278,7 @@
             }
             if let Some(machine) = self.nodes[n].machine.as_mut() {
                 machine.receive(now, from, message);
-                self.settle(n);
+                self.process_output(n);
             }
         }
         for n in 0..self.nodes.len() {
@@ -297,7 +297,7 @@
             if let Some(machine) = self.nodes[n].machine.as_mut() {
                 machine.tick(now);
             }
-            self.settle(n);
+            self.process_output(n);
         }
         check::logs(&self.nodes);
     }
@@ -332,11 +332,11 @@
         }
         if let (Some(machine), Some(newest)) = (node.machine.as_mut(), newest) {
             machine.synced(now, newest);
-            self.settle(n);
+            self.process_output(n);
         }
     }
 
-    fn settle(&mut self, n: usize) {
+    fn process_output(&mut self, n: usize) {
         let now = self.mono();
         let node = &mut self.nodes[n];
         let Some(machine) = node.machine.as_mut() else {
--- a/almondlock-quorum/tests/data_folder.rs
+++ b/almondlock-quorum/tests/data_folder.rs
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn founded_once() {
+fn initialized_once() {
     let path = tempfile::tempdir().unwrap();
     let members = Members::of_voters([Member::sample(1)]);
     let (mut store, loaded) = open(path.path()).unwrap();
--- a/almondlock-quorum/tests/handed_over.rs
+++ b/almondlock-quorum/tests/handed_over.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 /// Returns a cluster of three, its leader that has committed some entries, and the leader's term.
-fn led(seed: u64) -> (Cluster, usize, Term) {
+fn elected_cluster(seed: u64) -> (Cluster, usize, Term) {
     let mut cluster = Cluster::new(seed, 3);
     cluster.elect();
     cluster.accept();
@@ -39,10 +39,10 @@
 
 /// Returns the seeds with which the next leader is not in the next term. `before` entries are
 /// proposed right before the transfer begins, and `after` entries are tried after it.
-fn late(before: usize, after: usize) -> Vec<u64> {
+fn seeds_with_late_successor(before: usize, after: usize) -> Vec<u64> {
     let mut late = Vec::new();
     for seed in 0..100 {
-        let (mut cluster, leader, term) = led(seed);
+        let (mut cluster, leader, term) = elected_cluster(seed);
         for _ in 0..before {
             cluster.propose(leader);
         }
@@ -63,7 +63,7 @@
 #[test]
 fn entries_beside() {
     for (before, after) in [(0, 0), (3, 0), (0, 3), (3, 3)] {
-        let late = late(before, after);
+        let late = seeds_with_late_successor(before, after);
         assert!(
             late.is_empty(),
             "{before} entries before, {after} after: one more election with seeds {late:?}"
@@ -75,7 +75,7 @@
 #[test]
 fn dead_voter() {
     for seed in 0..40 {
-        let (mut cluster, leader, term) = led(seed);
+        let (mut cluster, leader, term) = elected_cluster(seed);
         cluster.run(200);
         let dead = (0..3).rev().find(|n| *n != leader).unwrap();
         cluster.crash(dead);
--- a/almondlock-quorum/tests/leader_found.rs
+++ b/almondlock-quorum/tests/leader_found.rs
@@ -16,7 +16,7 @@
 
 /// The time within which a leader must be found, in milliseconds: five of the longest election
 /// timeouts.
-const SOON: u64 = 5_000;
+const LEADER_TIMEOUT_MS: u64 = 5_000;
 
 struct Schedule {
     c: Cluster,
@@ -221,7 +221,7 @@
             return None;
         }
         let before = self.c.history.register();
-        while self.c.history.register() <= before && self.c.now < start + SOON {
+        while self.c.history.register() <= before && self.c.now < start + LEADER_TIMEOUT_MS {
             if let Some(leader) = self.c.leader() {
                 self.c.propose(leader);
             }
@@ -247,7 +247,7 @@
         (0..steps).for_each(|_| schedule.act());
         let span = schedule.recover();
         assert!(
-            span.is_none_or(|span| span < SOON),
+            span.is_none_or(|span| span < LEADER_TIMEOUT_MS),
             "seed {seed}: {span:?} ms without a leader"
         );
     }
--- a/almondlock-quorum/tests/split_start.rs
+++ b/almondlock-quorum/tests/split_start.rs
@@ -10,7 +10,7 @@
 use cluster::Cluster;
 
 /// Returns the milliseconds until a group of `size` replicas with one down has a leader.
-fn led_after(seed: u64, size: u64) -> u64 {
+fn millis_until_leader(seed: u64, size: u64) -> u64 {
     let mut cluster = Cluster::new(seed, size);
     cluster.crash(0);
     let start = cluster.mono();
@@ -23,10 +23,10 @@
 /// starts another election for a whole election timeout. Two elections fit into the shortest
 /// timeout.
 #[test]
-fn tried_again_soon() {
+fn next_election_soon() {
     for size in [3, 5] {
         let late: Vec<(u64, u64)> = (0..400)
-            .map(|seed| (seed, led_after(seed, size)))
+            .map(|seed| (seed, millis_until_leader(seed, size)))
             .filter(|(_, millis)| *millis > 500)
             .collect();
         assert!(
