--- a/almondlock-state/src/plan/rollout.rs
+++ b/almondlock-state/src/plan/rollout.rs
@@ -106,7 +106,7 @@
     (loaded.count() * usize::from(keep)).div_ceil(100)
 }
 
-/// Compiles a rollout of a version, of which `keep` percent of the upstreams must go on
+/// Compiles a rollout of a version during which `keep` percent of the upstreams must go on
 /// serving.
 pub(super) fn compile(
     tables: &Tables,
