--- a/almondlock-control/src/replica/server.rs
+++ b/almondlock-control/src/replica/server.rs
@@ -130,7 +130,7 @@
                 key: from.get_key()?.to_str()?.to_owned(),
                 body: Blob::from(from.get_body()?),
                 holder: read_id(from.get_holder()?)?,
-                keep: from.get_keep_millis(),
+                retention_ms: from.get_keep_millis(),
                 at: clock::wall(),
             }
         };
--- a/almondlock-control/tests/group/mod.rs
+++ b/almondlock-control/tests/group/mod.rs
@@ -355,7 +355,7 @@
             incarnation: Incarnation(1),
             counter,
         },
-        keep: 3_600_000,
+        retention_ms: 3_600_000,
         at: clock::wall(),
     }
 }
--- a/almondlock-entry/tests/fleet/control.rs
+++ b/almondlock-entry/tests/fleet/control.rs
@@ -88,7 +88,7 @@
             key: params.get_key()?.to_string()?,
             body: params.get_body()?.into(),
             holder: read_id(params.get_holder()?)?,
-            keep: params.get_keep_millis(),
+            retention_ms: params.get_keep_millis(),
             at: clock::wall(),
         });
         self.tell(results.get().init_status(), reply.as_ref());
--- a/almondlock-state/examples/state_slopes.rs
+++ b/almondlock-state/examples/state_slopes.rs
@@ -102,7 +102,7 @@
         key: key(number),
         body: Blob::from(hash_key(&key(number)).as_bytes()),
         holder: holder(number as u64),
-        keep: 3_600_000,
+        retention_ms: 3_600_000,
         at: AT,
     };
     let settle = |number: usize| Command::SettleClaim {
--- a/almondlock-state/src/command.rs
+++ b/almondlock-state/src/command.rs
@@ -110,7 +110,8 @@
         /// The attempt that will run the request.
         holder: Attempt,
         /// Milliseconds to keep the claim after its end.
-        keep: u64,
+        #[serde(rename = "keep")]
+        retention_ms: u64,
         /// The leader's time.
         at: Wall,
     },
--- a/almondlock-state/src/machine.rs
+++ b/almondlock-state/src/machine.rs
@@ -209,7 +209,7 @@
                 key,
                 body,
                 holder,
-                keep,
+                retention_ms,
                 at,
             } => {
                 let request = claim::Request {
@@ -217,7 +217,7 @@
                     key: &key,
                     body: &body,
                     holder: &holder,
-                    retention: Duration::from_millis(keep),
+                    retention: Duration::from_millis(retention_ms),
                     run_limit: self.open_claim_limit(&organisation),
                 };
                 let verdict = self.claims.claim(request, self.time(at));
--- a/almondlock-state/tests/common/mod.rs
+++ b/almondlock-state/tests/common/mod.rs
@@ -83,7 +83,7 @@
         key: key.to_owned(),
         body: Blob::from(&b"body"[..]),
         holder: holder.clone(),
-        keep: 10 * MINUTE,
+        retention_ms: 10 * MINUTE,
         at: wall(at),
     }
 }
