--- a/almondlock-gateway/tests/changed_rules.rs
+++ b/almondlock-gateway/tests/changed_rules.rs
@@ -132,7 +132,7 @@
 /// Guards against versions that never come into force because newer ones are published: the
 /// one being read is finished, the newest follows, and a long wait is reported.
 #[test]
-fn overtaken() {
+fn newest_follows() {
     let dialect = Lines::new();
     let mut current = Current::default();
     let at = Mono::from_micros;
--- a/almondlock-gateway/tests/engine_choice.rs
+++ b/almondlock-gateway/tests/engine_choice.rs
@@ -97,7 +97,7 @@
 /// left that writes only one. The mix has changed to long prompts, and some engines that
 /// were packed with short streams still write the last of them.
 #[test]
-fn full_ones_last() {
+fn full_engines_last() {
     let mut candidates = writing(2, 10);
     for candidate in &mut candidates[4..] {
         candidate.total.reading = 600.0;
@@ -140,7 +140,7 @@
 /// streams will pause for too long in any case: it is taken before those whose streams are
 /// in time.
 #[test]
-fn stopped_ones_first() {
+fn late_streams_first() {
     let mut candidates = writing(2, 10);
     for reader in &mut candidates[2..12] {
         reader.total.reading = 900.0;
@@ -218,7 +218,7 @@
 /// Guards against entry hosts that all choose the same engine. All see the same idle
 /// engines at the same moment, so their draws among writers and among readers must differ.
 #[test]
-fn no_herd() {
+fn draws_differ() {
     let mut candidates = vec![idle()[0]; 60];
     for writer in &mut candidates[56..] {
         writer.total.streams = 3;
--- a/almondlock-gateway/tests/known_loads.rs
+++ b/almondlock-gateway/tests/known_loads.rs
@@ -54,14 +54,14 @@
 /// Guards against an estimate that runs out before a slow engine is done: part of the
 /// reading time counts until the first event proves that the prompt was read.
 #[test]
-fn doubt_remains() {
+fn slow_engine_counted() {
     let mut table = Table::default();
     table.begin(at(0), &name(), work(400, 0));
     assert_eq!(table.total(at(60_000), &name()).reading, 100.0);
 }
 
 #[test]
-fn told_by_others() {
+fn direct_reports() {
     let mut table = Table::default();
     let told = Total {
         reading: 50.0,
--- a/almondlock-gateway/tests/limited_engines.rs
+++ b/almondlock-gateway/tests/limited_engines.rs
@@ -46,7 +46,7 @@
     long = { LONG },
     huge = { HUGE },
 )]
-fn spared(prompt: u64) {
+fn limits_kept(prompt: u64) {
     let limited = [[Quota::Exhausted; 5], [Quota::Available; 5]].concat();
     let candidates = engines(&limited);
     for seed in 0..50 {
@@ -85,7 +85,7 @@
 /// Guards against long prompts without a writer because the last engines, which would be
 /// writers, name limits.
 #[test]
-fn writers_beside() {
+fn unlimited_writers() {
     let mut limited = [Quota::Unlimited; 18];
     limited[12..].fill(Quota::Available);
     let candidates = engines(&limited);
@@ -99,7 +99,7 @@
 /// Engines at their limits still read parts for other engines, since these are not requests
 /// of hosts.
 #[test]
-fn still_read() {
+fn parts_still_read() {
     let candidates = engines(&[Quota::Exhausted; 10]);
     let choice = choose(LONG, &candidates, 1).unwrap();
     let mut helpers = choice.helpers.iter();
--- a/almondlock-gateway/tests/told_loads.rs
+++ b/almondlock-gateway/tests/told_loads.rs
@@ -382,7 +382,7 @@
 /// Of two relays with about the same hosts, the last sum is used. The other relay is
 /// listened to seldom, and has heard of one more host meanwhile.
 #[test]
-fn last_word() {
+fn last_sum_used() {
     let mut table = Table::default();
     let sum = |hosts, streams| Sum {
         hosts,
@@ -398,7 +398,7 @@
 /// Guards against loads that a relay no longer repeats: it repeats each within 2.5 s unless
 /// a datagram is lost.
 #[test]
-fn never_told_again() {
+fn unrepeated_loads_end() {
     let mut table = Table::default();
     let sum = |streams: &[(u8, u16)]| Sum {
         hosts: 5,
--- a/almondlock-gateway/tests/told_paces.rs
+++ b/almondlock-gateway/tests/told_paces.rs
@@ -82,7 +82,7 @@
 /// Guards against judging an upstream by observations of its process before a restart, and
 /// against one host that claims another process.
 #[test]
-fn lives() {
+fn restarted_upstream() {
     let mut paces = Paces::default();
     let of = |birth, failures| Pace {
         birth: Birth(birth),
