--- a/almondlock-sidecar/src/announce.rs
+++ b/almondlock-sidecar/src/announce.rs
@@ -335,10 +335,10 @@
                 continue;
             }
             let registration = self.registration(&announcement);
-            let told = self
+            let registered = self
                 .replicas
                 .announce(&name, &registration, REGISTER_TIMEOUT);
-            match told.await {
+            match registered.await {
                 Ok(_) | Err(Code::NoQuorum) => sleep(RENEWAL_INTERVAL).await,
                 Err(code) => {
                     tracing::warn!(upstream = %name, %code, "replicas refused the registration");
--- a/almondlock-sidecar/src/death.rs
+++ b/almondlock-sidecar/src/death.rs
@@ -96,8 +96,8 @@
             };
             async move { self.replicas.blame(&blame, BLAME_TIMEOUT).await }
         });
-        for told in futures::future::join_all(all).await {
-            match told {
+        for result in futures::future::join_all(all).await {
+            match result {
                 Ok(revision) => self.handle.heard_revision(revision),
                 Err(code) => tracing::warn!(%code, "blame for a death could not be told"),
             }
@@ -110,8 +110,8 @@
     /// Withdraws a charge after the run. With `harmless`, the request is no
     /// longer suspected.
     pub(crate) async fn withdraw_charge(&self, charge: &Blame, harmless: bool) {
-        let told = self.replicas.clear(charge, harmless, BLAME_TIMEOUT).await;
-        if let Err(code) = told {
+        let result = self.replicas.clear(charge, harmless, BLAME_TIMEOUT).await;
+        if let Err(code) = result {
             tracing::warn!(%code, "could not withdraw a charge");
         }
     }
--- a/almondlock-sidecar/src/maintenance.rs
+++ b/almondlock-sidecar/src/maintenance.rs
@@ -27,14 +27,14 @@
         match self.protocol.load_model(model, version, order.fence).await {
             Ok(()) => {
                 self.orders.mark_forwarded(&order);
-                tracing::info!(upstream = %self.upstream, model, version, "order to load forwarded");
+                tracing::info!(upstream = %self.upstream, model, version, "order forwarded");
             }
             Err(failure @ Failure::Refused(..)) => {
                 self.orders.mark_forwarded(&order);
-                tracing::warn!(upstream = %self.upstream, %failure, "upstream refused the order to load");
+                tracing::warn!(upstream = %self.upstream, %failure, "upstream refused the order");
             }
             Err(failure) => {
-                tracing::warn!(upstream = %self.upstream, %failure, "order to load failed, will retry");
+                tracing::warn!(upstream = %self.upstream, %failure, "order failed, will retry");
             }
         }
     }
--- a/almondlock-sidecar/src/parts.rs
+++ b/almondlock-sidecar/src/parts.rs
@@ -58,22 +58,22 @@
         if inner.down.get() {
             return Outcome::refused(Code::NoUpstream, None);
         }
-        let asked = {
+        let reserved = {
             let now = clock::mono();
             let mut table = inner.table.borrow_mut();
-            let asked = table.reserve(part, now);
+            let reserved = table.reserve(part, now);
             table.grant_waiting(now);
-            asked
+            reserved
         };
-        let told = match asked {
-            Ok(told) => told,
+        let verdict = match reserved {
+            Ok(verdict) => verdict,
             Err(refusal) => return refused_outcome(refusal),
         };
         let mut pending = Pending {
             inner: Rc::clone(inner),
             attempt: Some(part.attempt.clone()),
         };
-        match told.await {
+        match verdict.await {
             Ok(Ok(())) => {}
             Ok(Err(refusal)) => {
                 pending.attempt = None;
--- a/almondlock-sidecar/src/sidecar.rs
+++ b/almondlock-sidecar/src/sidecar.rs
@@ -296,15 +296,15 @@
         };
         let suspect = treatment.is_charged();
         let now = clock::mono();
-        let told = {
+        let verdict = {
             let mut table = self.table.borrow_mut();
-            let told = table.enqueue(head, treatment, now)?;
+            let verdict = table.enqueue(head, treatment, now)?;
             table.grant_waiting(now);
-            told
+            verdict
         };
         let deadline = now + head.budget;
         let mut ticket = Ticket::new(Rc::clone(&self), &head.attempt, suspect, deadline);
-        match told.await {
+        match verdict.await {
             Ok(Ok(grant)) => {
                 ticket.record_grant(&grant);
                 Ok(ticket)
--- a/almondlock-sidecar/src/table.rs
+++ b/almondlock-sidecar/src/table.rs
@@ -67,7 +67,7 @@
 struct Reservation {
     tokens: Tokens,
     // Notified when the reservation is granted. `None` after that.
-    tell: Option<oneshot::Sender<Result<(), Refusal>>>,
+    sender: Option<oneshot::Sender<Result<(), Refusal>>>,
 }
 
 /// Limits of a table.
@@ -185,7 +185,7 @@
                 retry_after: (!wait.is_zero()).then_some(wait),
             });
         }
-        let (tell, told) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let request = Request {
             fingerprint: head.fingerprint,
             organisation: head.organisation.clone(),
@@ -194,10 +194,10 @@
             request,
             memory_need,
             prefix: head.prefix.clone(),
-            stage: Stage::Waiting(tell),
+            stage: Stage::Waiting(sender),
         };
         self.entries.insert(head.attempt.clone(), entry);
-        Ok(told)
+        Ok(receiver)
     }
 
     fn queue_job(&self, head: &Head, suspect: bool, deadline: Mono) -> Job {
@@ -239,19 +239,19 @@
                 retry_after: None,
             });
         }
-        let (tell, told) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let reservation = Reservation {
             tokens: part.tokens,
-            tell: Some(tell),
+            sender: Some(sender),
         };
         self.reservations.insert(attempt.clone(), reservation);
-        Ok(told)
+        Ok(receiver)
     }
 
     /// Releases a reservation, granted or not. Idempotent.
     pub fn release(&mut self, attempt: &Attempt, now: Mono) {
         if let Some(reservation) = self.reservations.remove(attempt) {
-            if reservation.tell.is_none() {
+            if reservation.sender.is_none() {
                 self.used_memory = self.used_memory.saturating_sub(reservation.tokens);
             }
             self.waitlist.remove(attempt);
@@ -276,9 +276,9 @@
     fn grant_reservations(&mut self, now: Mono) {
         for attempt in self.waitlist.take_expired(now) {
             if let Some(reservation) = self.reservations.remove(&attempt)
-                && let Some(tell) = reservation.tell
+                && let Some(sender) = reservation.sender
             {
-                let _ = tell.send(Err(Refusal {
+                let _ = sender.send(Err(Refusal {
                     code: Code::MemoryUnavailable,
                     ran: Ran::No,
                     retry_after: Some(MEMORY_RETRY_AFTER),
@@ -293,9 +293,9 @@
             let Some(reservation) = self.reservations.get_mut(&attempt) else {
                 continue;
             };
-            let told = reservation.tell.take().map(|tell| tell.send(Ok(())));
+            let sent = reservation.sender.take().map(|sender| sender.send(Ok(())));
             self.used_memory += reservation.tokens;
-            if !matches!(told, Some(Ok(()))) {
+            if !matches!(sent, Some(Ok(()))) {
                 self.release(&attempt, now);
             }
         }
@@ -325,12 +325,12 @@
             self.used_memory += entry.memory_need;
             self.occupied_slots += 1;
             let stage = std::mem::replace(&mut entry.stage, Stage::Granted);
-            let told = match stage {
-                Stage::Waiting(tell) => tell.send(Ok(grant)).is_ok(),
+            let sent = match stage {
+                Stage::Waiting(sender) => sender.send(Ok(grant)).is_ok(),
                 Stage::Granted | Stage::Running(_) => true,
             };
             // The attempt's task is gone, so its room goes to the next attempt.
-            if !told {
+            if !sent {
                 self.finish(&attempt, Tokens::ZERO, Ran::No, now);
             }
         }
@@ -416,10 +416,10 @@
 
     /// Refuses a waiting reservation, since the upstream is leaving.
     fn refuse_reservation(&mut self, attempt: &Attempt) {
-        let waits = |r: &mut Reservation| r.tell.take();
-        let tell = self.reservations.get_mut(attempt).and_then(waits);
-        if let Some(tell) = tell {
-            let _ = tell.send(Err(Refusal {
+        let take_sender = |r: &mut Reservation| r.sender.take();
+        let sender = self.reservations.get_mut(attempt).and_then(take_sender);
+        if let Some(sender) = sender {
+            let _ = sender.send(Err(Refusal {
                 code: Code::UpstreamLeaving,
                 ran: Ran::No,
                 retry_after: None,
@@ -443,8 +443,8 @@
                 retry_after: wait,
             };
             let stage = std::mem::replace(&mut entry.stage, Stage::Granted);
-            if let Stage::Waiting(tell) = stage {
-                let _ = tell.send(Err(refusal));
+            if let Stage::Waiting(sender) = stage {
+                let _ = sender.send(Err(refusal));
                 self.entries.remove(attempt);
                 self.queue.remove(attempt);
             } else {
--- a/almondlock-sidecar/src/ticket.rs
+++ b/almondlock-sidecar/src/ticket.rs
@@ -142,7 +142,7 @@
         self.ending = None;
     }
 
-    /// Runs the attempt to its outcome.
+    /// Runs the attempt on the upstream and returns its outcome.
     pub(crate) async fn run(
         mut self,
         head: &Head,
