--- a/almondlock-quorum/src/machine/output.rs
+++ b/almondlock-quorum/src/machine/output.rs
@@ -1,10 +1,10 @@
-//! What a machine wants done, and what it holds back until a sync.
+//! The work that a machine has for its driver, and messages held back until a sync.
 //!
-//! Replies that promise something (a vote, entries kept) leave only when the
-//! promise is on disk: a replica that crashed between the two would otherwise
-//! forget a vote that was counted, or an entry that its acknowledgement made
-//! accepted. Each held message waits for the newest write at its time, which is
-//! enough since the disk finishes writes in order.
+//! A reply that grants a vote or acknowledges entries is sent only once the vote or the
+//! entries are on disk. Otherwise a replica that crashes in between would forget a vote that
+//! was counted, or an entry that was committed because of its acknowledgement. A held
+//! message waits for the newest write at the time it was queued, which is enough since the
+//! disk finishes writes in order.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -17,46 +17,50 @@
     storage::Write,
 };
 
-/// What to do now.
+/// Work for the driver, from [`Machine::take`](super::Machine::take).
 #[derive(Debug, Default)]
 pub struct Output {
-    /// To be written and synced, in the order taken. Each is answered by
-    /// [`Machine::synced`](super::Machine::synced), one call may answer many.
+    /// Data to write and sync, in the order in which outputs are taken. The driver reports it with
+    /// [`Machine::synced`](super::Machine::synced); one call may report many writes.
     pub write: Option<Write>,
-    /// To be sent, in any order; losing one is allowed.
+    /// Messages to send, in any order. They may be lost.
     pub messages: Vec<Envelope>,
-    /// Replaces the state machine's state; comes before `committed`.
+    /// A snapshot that replaces the state machine's state, before `committed` is applied.
     pub restore: Option<Arc<Snapshot>>,
-    /// To be applied in order.
+    /// Committed entries to apply in order.
     pub committed: Vec<Entry>,
-    /// Answers to reads. Each is to wait until its index is applied.
+    /// Outcomes of reads. A read is answered once the grant's index is applied.
     pub grants: Vec<Grant>,
 }
 
+/// The parts of the next [`Output`], and messages that wait for a sync.
 #[derive(Debug, Default)]
 pub(super) struct Pending {
-    // The number of the newest write taken.
+    // The sequence number of the newest write taken.
     sequence: u64,
-    // All writes up to it are synced.
-    done: u64,
-    // The write that is being gathered has something in it.
+    // All writes up to this sequence number are synced.
+    synced_sequence: u64,
+    // Whether there is anything to put into the next write.
     dirty: bool,
-    first: Option<Index>,
+    // The first index of the entries for the next write.
+    first_index: Option<Index>,
     reset: bool,
     snapshot: Option<Arc<Snapshot>>,
-    // The last entry of each write taken and not yet synced, or of its snapshot.
+    // The position of the last entry, or else of the snapshot, of each write that was taken and
+    // is not yet synced.
     in_flight: VecDeque<(u64, Position)>,
+    // Messages held back, each with the sequence number of the write that it waits for.
     held: VecDeque<(u64, Envelope)>,
     messages: Vec<Envelope>,
     restore: Option<Arc<Snapshot>>,
     grants: Vec<Grant>,
-    // The write that holds the present term and vote.
-    hard: u64,
+    // The sequence number of the write that holds the current term and vote.
+    hard_state_sequence: u64,
 }
 
 impl Pending {
-    /// The number that the write being gathered will have.
-    fn next(&self) -> u64 {
+    /// Returns the sequence number of the write that holds all changes so far.
+    fn next_sequence(&self) -> u64 {
         if self.dirty {
             self.sequence + 1
         } else {
@@ -64,21 +68,21 @@
         }
     }
 
-    /// The term or the vote changed.
+    /// Records that the term or the vote changed.
     pub(super) fn mark_hard_state_changed(&mut self) {
         self.dirty = true;
-        self.hard = self.next();
+        self.hard_state_sequence = self.next_sequence();
     }
 
-    /// Whether the present term and vote are synced.
+    /// Whether the current term and vote are synced.
     pub(super) fn is_hard_state_synced(&self) -> bool {
-        !self.is_held(self.hard)
+        !self.is_held(self.hard_state_sequence)
     }
 
-    /// Entries from `first` on are new.
+    /// Records that entries from `first` on are new.
     pub(super) fn mark_entries_written(&mut self, first: Index) {
         self.dirty = true;
-        self.first = Some(self.first.map_or(first, |old| old.min(first)));
+        self.first_index = Some(self.first_index.map_or(first, |old| old.min(first)));
     }
 
     pub(super) fn save(&mut self, snapshot: Arc<Snapshot>) {
@@ -86,13 +90,13 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// A leader's snapshot came. Unless entries after it were kept, the log
-    /// starts anew behind it.
+    /// Adds a leader's snapshot. Unless entries after it were kept, the log is
+    /// reset and starts after the snapshot.
     pub(super) fn install(&mut self, snapshot: Arc<Snapshot>, kept: bool) {
         self.save(Arc::clone(&snapshot));
         if !kept {
             self.reset = true;
-            self.first = None;
+            self.first_index = None;
             self.in_flight.clear();
         }
         self.restore = Some(snapshot);
@@ -107,7 +111,7 @@
     }
 
     pub(super) fn hold(&mut self, to: Id, message: Message) {
-        let sequence = self.next();
+        let sequence = self.next_sequence();
         if self.is_held(sequence) {
             self.held.push_back((sequence, Envelope { to, message }));
         } else {
@@ -116,25 +120,37 @@
     }
 
     fn is_held(&self, sequence: u64) -> bool {
-        sequence > self.done
+        sequence > self.synced_sequence
     }
 
-    /// Frees what waited for these writes. Returns their last entry.
+    /// Releases the messages that waited for writes up to `sequence`. Returns the position of the
+    /// last entry that is newly synced.
     pub(super) fn synced(&mut self, sequence: u64) -> Option<Position> {
-        self.done = self.done.max(sequence.min(self.sequence));
-        while let Some((_, envelope)) = self.held.pop_front_if(|(at, _)| *at <= self.done) {
+        self.synced_sequence = self.synced_sequence.max(sequence.min(self.sequence));
+        while let Some((_, envelope)) = self
+            .held
+            .pop_front_if(|(at, _)| *at <= self.synced_sequence)
+        {
             self.messages.push(envelope);
         }
         let mut last = None;
-        while let Some((_, position)) = self.in_flight.pop_front_if(|(at, _)| *at <= self.done) {
+        while let Some((_, position)) = self
+            .in_flight
+            .pop_front_if(|(at, _)| *at <= self.synced_sequence)
+        {
             last = Some(position);
         }
         last
     }
 
-    pub(super) fn take(&mut self, hard: HardState, log: &Log, committed: Vec<Entry>) -> Output {
+    pub(super) fn take(
+        &mut self,
+        hard_state: HardState,
+        log: &Log,
+        committed: Vec<Entry>,
+    ) -> Output {
         Output {
-            write: self.take_write(hard, log),
+            write: self.take_write(hard_state, log),
             messages: std::mem::take(&mut self.messages),
             restore: self.restore.take(),
             committed,
@@ -142,14 +158,17 @@
         }
     }
 
-    fn take_write(&mut self, hard: HardState, log: &Log) -> Option<Write> {
+    fn take_write(&mut self, hard_state: HardState, log: &Log) -> Option<Write> {
         if !std::mem::take(&mut self.dirty) {
             return None;
         }
         self.sequence += 1;
         // What a snapshot took over needs no writing.
         let least = log.base().next();
-        let entries = self.first.take().map(|first| log.from(first.max(least)));
+        let entries = self
+            .first_index
+            .take()
+            .map(|first| log.from(first.max(least)));
         let entries = entries.unwrap_or_default();
         let snapshot = self.snapshot.take();
         let position = |index, term| Position { term, index };
@@ -160,7 +179,7 @@
         }
         Some(Write {
             sequence: self.sequence,
-            hard,
+            hard_state,
             snapshot,
             reset: std::mem::take(&mut self.reset),
             entries,
--- a/almondlock-quorum/tests/current_follower.rs
+++ b/almondlock-quorum/tests/current_follower.rs
@@ -1,4 +1,4 @@
-//! When a follower may say that its state is recent.
+//! When a follower may report that its state is current.
 
 #![allow(clippy::unwrap_used)]
 
@@ -31,21 +31,20 @@
     machine.receive(NOW, Id(2), Message { term, body });
 }
 
-/// A replica returns after hundreds of changes and hears the leader at once. It
-/// has applied all that it knows to be accepted, which is little; a process that
-/// fetched from it then and took it for recent would act on an old configuration.
-/// It is recent only once it has what the leader says to be accepted, of a leader
-/// that has accepted something itself, and hears it.
+/// Guards against a replica that returns after hundreds of changes and claims to be current
+/// as soon as it hears the leader, so that processes act on an old configuration. It is
+/// current only once it hears a leader that has committed an entry of its own term, and has
+/// committed everything that this leader announced.
 #[test]
 fn behind_is_not_current() {
     let founding = Loaded::initial(Members::of_voters((1..=3).map(Member::sample)));
     let config = Config::builder().build().unwrap();
     let mut machine = Machine::new(config, Id(1), founding, Mono::ZERO);
     append(&mut machine, 3, (0, 0), 4, &[1, 1]);
-    assert_eq!(machine.commit(), Index(2));
+    assert_eq!(machine.commit_index(), Index(2));
     assert!(!machine.is_current(NOW), "it lacks two entries");
     append(&mut machine, 3, (2, 1), 4, &[2, 3]);
-    assert_eq!(machine.commit(), Index(4));
+    assert_eq!(machine.commit_index(), Index(4));
     assert!(machine.is_current(NOW));
     assert!(!machine.is_current(Mono::from_millis(2_000)), "silence");
     append(&mut machine, 5, (4, 3), 4, &[5]);
@@ -57,7 +56,7 @@
     assert!(machine.is_current(NOW));
     append(&mut machine, 5, (5, 5), 5, &[5, 5]);
     append(&mut machine, 5, (5, 5), 7, &[]);
-    assert_eq!(machine.commit(), Index(5));
+    assert_eq!(machine.commit_index(), Index(5));
     assert!(
         !machine.is_current(NOW),
         "two entries are here, not yet applied"
