--- a/almondlock-control/src/replica/core.rs
+++ b/almondlock-control/src/replica/core.rs
@@ -134,7 +134,7 @@
         };
         let now = almondlock_node::clock::mono();
         let quorum = config.quorum.clone();
-        let silence = quorum.election() * 2;
+        let silence = quorum.election_timeout() * 2;
         let machine = Machine::new(quorum.clone(), id, loaded, now);
         let mut core = Core {
             peers: Peers::new(quorum.group(), id, silence, config.security.clone()),
@@ -213,7 +213,10 @@
 
     pub(super) fn change(&mut self, now: Mono, change: &Change) -> Result<Answer<()>, Refusal> {
         self.check()?;
-        let changed = self.machine.change(now, change).map_err(Refusal::from);
+        let changed = self
+            .machine
+            .propose_change(now, change)
+            .map_err(Refusal::from);
         self.note_change(change, changed.as_ref().err());
         let position = changed?;
         let (asker, answer) = oneshot::channel();
@@ -237,7 +240,7 @@
         self.next_read += 1;
         let (asker, answer) = oneshot::channel();
         self.reads.insert(token, asker);
-        self.machine.read(now, token)?;
+        self.machine.request_read(now, token)?;
         Ok(answer)
     }
 
@@ -258,9 +261,9 @@
     }
 
     fn hand_over(&mut self, now: Mono) {
-        if let Some(to) = self.machine.hand_over(now) {
+        if let Some(to) = self.machine.transfer_leadership(now) {
             let (term, matched) = (self.machine.term().0, self.machine.matched(to));
-            let (last, matched) = (self.machine.last().0, matched.map(|index| index.0));
+            let (last, matched) = (self.machine.last_index().0, matched.map(|index| index.0));
             tracing::info!(%to, term, matched, last, "hands leadership over");
         }
     }
@@ -364,14 +367,14 @@
     /// confirmed reads; see `duties`.)
     fn vouch_as_follower(&self, now: Mono) {
         if self.is_current(now) {
-            self.vouch.at(now - self.quorum.election() * 2);
+            self.vouch.at(now - self.quorum.election_timeout() * 2);
         }
     }
 
     /// Whether a follower holds all that was accepted up to an election timeout ago, and
     /// hears the leader.
     pub(super) fn is_current(&self, now: Mono) -> bool {
-        let applied = self.applied == self.machine.commit();
+        let applied = self.applied == self.machine.commit_index();
         self.stopped.is_none() && applied && self.machine.is_current(now)
     }
 
--- a/almondlock-control/src/replica/core/sight.rs
+++ b/almondlock-control/src/replica/core/sight.rs
@@ -16,13 +16,13 @@
             own: self.own.id,
             members: self.machine.members(),
             newcomers: self.gathering.present(now, repair::PRESENT),
-            led_since: self.machine.led_since(),
-            patience: self.quorum.election(),
+            led_since: self.machine.leader_since(),
+            patience: self.quorum.election_timeout(),
             now,
         };
         sight.step(|id| Peer {
-            heard: self.machine.heard(id),
-            advanced: self.machine.advanced(id),
+            heard: self.machine.last_heard(id),
+            advanced: self.machine.last_advanced(id),
             caught_up: self.machine.is_caught_up(id),
             leaving: self.is_leaving(now, id),
         })
--- a/almondlock-control/tests/slow_voters.rs
+++ b/almondlock-control/tests/slow_voters.rs
@@ -50,17 +50,17 @@
         own: machine.id(),
         members,
         newcomers: newcomers.collect(),
-        led_since: machine.led_since(),
+        led_since: machine.leader_since(),
         patience: PATIENCE,
         now,
     };
     let step = sight.step(|id| Peer {
-        heard: machine.heard(id),
-        advanced: machine.advanced(id),
+        heard: machine.last_heard(id),
+        advanced: machine.last_advanced(id),
         caught_up: machine.is_caught_up(id),
         leaving: false,
     });
-    step.filter(|_| machine.has_accepted_members())
+    step.filter(|_| machine.has_committed_members())
 }
 
 /// The cluster's step, with proposals and repairs.
--- a/almondlock-gateway/examples/pace_cost.rs
+++ b/almondlock-gateway/examples/pace_cost.rs
@@ -1,4 +1,4 @@
-//! The processor time that judging upstreams takes, at a host and at a relay.
+//! Measures the processor time that judging upstreams takes at a host and at a relay.
 //!
 //! `cargo run --release -p almondlock-gateway --example pace_cost`
 
@@ -11,7 +11,7 @@
 
 use almondlock_base::{id::Upstream, time::Mono};
 use almondlock_gateway::{
-    exchange::{Message, Observed, Pace, Paces},
+    exchange::{Message, Observation, Pace, Paces},
     load::Key,
 };
 use almondlock_policy::outlier::{Detector, Sample, Summary};
@@ -25,7 +25,7 @@
     Ok(Upstream::new(&format!("i-{upstream}"))?)
 }
 
-/// Microseconds of each of these.
+/// Returns the microseconds of each of `count` steps.
 fn each(spent: Duration, count: u32) -> f64 {
     spent.as_secs_f64() * 1e6 / f64::from(count)
 }
@@ -79,15 +79,15 @@
     for round in 0..ROUNDS {
         let now = start + Duration::from_secs(u64::from(round));
         for host in 0..hosts {
-            let observed = Observed {
+            let observed = Observation {
                 host: host.into(),
                 number: round,
                 follows: true,
                 paces: paces(()).step_by(8).collect(),
             };
-            relay.hear(now, SocketAddr::from(([127, 0, 0, 1], host)), observed);
+            relay.receive(now, SocketAddr::from(([127, 0, 0, 1], host)), observed);
         }
-        black_box(relay.take(now));
+        black_box(relay.take_updates(now));
     }
     let round = each(begun.elapsed(), ROUNDS);
     println!(
--- a/almondlock-gateway/src/attempt.rs
+++ b/almondlock-gateway/src/attempt.rs
@@ -13,7 +13,7 @@
     failure::Failure,
     outgoing,
     pace::Sent,
-    pick::{Choice, Lack},
+    pick::{Choice, Shortage},
     placement::{self, Placement, lack_fault},
     request::{History, Request, Response},
     resources::Resources,
@@ -133,7 +133,7 @@
         let connection = connect(worker, request, target).await;
         let connection = connection.map_err(|error| Fault::from_error(&error, &target.name))?;
         let now = clock::mono();
-        let participants = iter::once(&choice.first).chain(&choice.helpers);
+        let participants = iter::once(&choice.primary).chain(&choice.helpers);
         let mut participating = participants.filter_map(|place| targets.get(*place));
         let Some(closed) = participating.find(|target| worker.backoff(now, &target.name).is_some())
         else {
@@ -152,8 +152,8 @@
 }
 
 /// Returns the upstream that answers.
-fn answering_target<'a>(targets: &'a [Target], choice: &Choice) -> Result<&'a Target, Lack> {
-    targets.get(choice.first).ok_or(Lack::Upstream)
+fn answering_target<'a>(targets: &'a [Target], choice: &Choice) -> Result<&'a Target, Shortage> {
+    targets.get(choice.primary).ok_or(Shortage::Upstream)
 }
 
 /// Sends a request to one upstream and waits for the head of the answer.
@@ -237,7 +237,7 @@
         part_ms = choice.part.as_millis(), read_by = %helper_names(targets, choice),
         expected_ms = choice.expected.as_millis(),
         backlog_ms = worker.load.borrow().total(now, &target.name).reading,
-        hosts = worker.load.borrow().hosts(now),
+        hosts = worker.load.borrow().other_hosts(now),
         revision = snapshot.revision.0, age_ms = worker.node.known_age(now).map(|age| age.as_millis()),
         attempt = history.tried.len() + 1,
         backoff = worker.backoff(now, &target.name).map(Reason::as_str), "sent"
@@ -333,7 +333,7 @@
     let status = run.head.status;
     if let Some(requests) = run.head.text(names.load.as_str()).and_then(parse_load) {
         let mut load = worker.load.borrow_mut();
-        load.report(clock::mono(), &run.upstream, requests);
+        load.record_reported(clock::mono(), &run.upstream, requests);
     }
     let fault = |failure, reason: &str| Fault::new(failure, Some(&run.upstream), reason);
     if run.head.get(names.not_run.as_str()).is_some() || status == 421 {
--- a/almondlock-gateway/src/exchange/relay.rs
+++ b/almondlock-gateway/src/exchange/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: sums of what hosts tell, in rounds.
+//! The relay: receives the hosts' reports, and sends sums and other messages in rounds.
 
 use std::{io, net::SocketAddr};
 
@@ -7,46 +7,48 @@
 use tokio::{net::UdpSocket, time::sleep};
 
 use super::{
-    DATAGRAM, Gather, Message, Paces, Ration, Round, Sum, Suspects, send, send_bytes, shares::Tally,
+    Aggregator, Limiter, MAX_DATAGRAM_BYTES, Message, Paces, Round, Sum, Suspects, send,
+    send_bytes, shares::Tally,
 };
 
-/// What a relay has heard.
+/// What a relay knows from the hosts' reports.
 #[derive(Default)]
 struct State {
-    gather: Gather,
-    ration: Ration,
+    aggregator: Aggregator,
+    limiter: Limiter,
     suspects: Suspects,
     shares: Tally,
     paces: Paces,
 }
 
-/// Adds up what entry hosts tell, in this failure domain, and gives out permits, until the
-/// process ends. `relays` tells how many relays share the limits; 0: that isn't known.
-pub async fn relay<F>(socket: UdpSocket, domain: Domain, relays: F) -> io::Result<()>
+/// Runs a relay in this failure domain until the process ends: adds up the reports of entry
+/// hosts, and grants permits. `relays` returns how many relays share the limits, or 0 if
+/// that isn't known.
+pub async fn run_relay<F>(socket: UdpSocket, domain: Domain, relays: F) -> io::Result<()>
 where
     F: Fn() -> u32,
 {
     let mut state = State::default();
-    let mut buffer = vec![0; DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut next = clock::mono();
     loop {
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
                 let Ok((length, from)) = received else {
-                    // A host that has ended: its port refused an earlier datagram.
+                    // A host has stopped: its port refused an earlier datagram.
                     continue;
                 };
                 match postcard::from_bytes(&buffer[..length]) {
-                    Ok(message) => take_in(&socket, &mut state, from, message, relays()).await,
-                    Err(error) => tracing::debug!(%from, %error, "unreadable datagram"),
+                    Ok(message) => receive_message(&socket, &mut state, from, message, relays()).await,
+                    Err(error) => tracing::debug!(%from, %error, "datagram can't be decoded"),
                 }
             }
             () = sleep(next.since(clock::mono())) => {
                 let now = clock::mono();
-                let round = state.gather.take(now, &domain);
-                next = now + state.gather.period();
+                let round = state.aggregator.next_round(now, &domain);
+                next = now + state.aggregator.period();
                 send_round(&socket, &round).await;
-                send_news(&socket, &mut state, &round).await;
+                send_updates(&socket, &mut state, &round).await;
                 send_totals(&socket, &mut state).await;
                 send_paces(&socket, &mut state).await;
             }
@@ -54,7 +56,8 @@
     }
 }
 
-async fn take_in(
+/// Takes in a host's message, and answers a query for a permit.
+async fn receive_message(
     socket: &UdpSocket,
     state: &mut State,
     from: SocketAddr,
@@ -63,16 +66,16 @@
 ) {
     let now = clock::mono();
     match message {
-        Message::Tell(digest) => state.gather.tell(now, from, digest),
-        Message::Limits(limits) => state.ration.hear(now, &limits),
-        Message::Ask(ask) => {
-            let permit = state.ration.ask(now, &ask, relays);
+        Message::Tell(digest) => state.aggregator.receive_report(now, from, digest),
+        Message::Limits(limits) => state.limiter.receive(now, &limits),
+        Message::Ask(query) => {
+            let permit = state.limiter.request_permit(now, &query, relays);
             send(socket, from, &Message::Permit(permit)).await;
         }
-        Message::Lost(loss) => state.suspects.lose(now, &loss),
-        Message::Harmless(print) => state.suspects.clear(now, print),
-        Message::Shares(envelope) => state.shares.hear(now, from, &envelope),
-        Message::Observed(report) => state.paces.hear(now, from, report),
+        Message::Lost(loss) => state.suspects.record_loss(now, &loss),
+        Message::Harmless(print) => state.suspects.record_answer(now, print),
+        Message::Shares(envelope) => state.shares.receive(now, from, &envelope),
+        Message::Observed(report) => state.paces.receive(now, from, report),
         Message::Sum { .. }
         | Message::Beacon { .. }
         | Message::Introduction(_)
@@ -80,51 +83,52 @@
         | Message::Suspects(_)
         | Message::ShareTotals(_)
         | Message::Paces(_) => {
-            tracing::debug!(%from, "a relay's message sent to a relay");
+            tracing::debug!(%from, "message for hosts received by a relay, ignored");
         }
     }
 }
 
-/// Tells all hosts what has changed of limits and suspected requests, and new ones all of
-/// them.
-async fn send_news(socket: &UdpSocket, state: &mut State, round: &Round) {
+/// Sends the changes of limits and suspected requests to all hosts, and all of them to new
+/// hosts.
+async fn send_updates(socket: &UdpSocket, state: &mut State, round: &Round) {
     let now = clock::mono();
-    let news = [
-        some(state.ration.take(now), Message::Limits),
-        some(state.suspects.take(now), Message::Suspects),
+    let updates = [
+        nonempty_message(state.limiter.take_updates(now), Message::Limits),
+        nonempty_message(state.suspects.take_updates(now), Message::Suspects),
     ];
-    for message in news.iter().flatten() {
-        for to in state.gather.hosts() {
+    for message in updates.iter().flatten() {
+        for to in state.aggregator.hosts() {
             send(socket, to, message).await;
         }
     }
     let all = [
-        some(state.ration.all(now), Message::Limits),
-        some(state.suspects.all(now), Message::Suspects),
+        nonempty_message(state.limiter.all(now), Message::Limits),
+        nonempty_message(state.suspects.all(now), Message::Suspects),
     ];
     for message in all.iter().flatten() {
-        for (to, _) in &round.others {
+        for (to, _) in &round.newcomers {
             send(socket, *to, message).await;
         }
     }
 }
 
-/// Sends the sums by organisation to the hosts that report to this relay and follow it.
+/// Sends the sums by organisation to the hosts that report them and follow this relay
+/// closely.
 async fn send_totals(socket: &UdpSocket, state: &mut State) {
-    let Some((envelope, hosts)) = state.shares.take(clock::mono()) else {
+    let Some((envelope, hosts)) = state.shares.take_updates(clock::mono()) else {
         return;
     };
     let message = Message::ShareTotals(envelope);
     for to in hosts {
-        if state.gather.is_followed_by(&to) {
+        if state.aggregator.is_followed_by(&to) {
             send(socket, to, &message).await;
         }
     }
 }
 
-/// Tells what all hosts observed, to those that follow that.
+/// Sends the pooled observations to the hosts that follow them.
 async fn send_paces(socket: &UdpSocket, state: &mut State) {
-    let Some((hosts, paces)) = state.paces.take(clock::mono()) else {
+    let Some((hosts, paces)) = state.paces.take_updates(clock::mono()) else {
         return;
     };
     let message = Message::Paces(paces);
@@ -133,20 +137,21 @@
     }
 }
 
-/// A message of all of these, if there are any.
-fn some<T, F>(entries: Vec<T>, message: F) -> Option<Message>
+/// Makes a message of all entries, if there are any.
+fn nonempty_message<T, F>(entries: Vec<T>, message: F) -> Option<Message>
 where
     F: FnOnce(Vec<T>) -> Message,
 {
     (!entries.is_empty()).then(|| message(entries))
 }
 
+/// Sends the sums, beacons and introductions of a round.
 async fn send_round(socket: &UdpSocket, round: &Round) {
     for part in round.changes.parts() {
-        send_sum(socket, &part, &round.close).await;
+        send_sum(socket, &part, &round.followers).await;
     }
     for part in round.whole.iter().flat_map(Sum::parts) {
-        send_sum(socket, &part, &round.others).await;
+        send_sum(socket, &part, &round.newcomers).await;
     }
     let beacon = Message::Beacon {
         hosts: round.changes.hosts,
@@ -159,10 +164,10 @@
     }
 }
 
-/// Sends a sum to hosts, each with the number of its digest that is included.
+/// Sends a sum to hosts, to each with the number of its own digest that the sum includes.
 async fn send_sum(socket: &UdpSocket, sum: &Sum, hosts: &[(SocketAddr, u32)]) {
     let Ok(body) = postcard::to_stdvec(sum) else {
-        tracing::error!("a sum can't be written");
+        tracing::error!("sum of loads can't be encoded");
         return;
     };
     for (to, included) in hosts {
@@ -170,7 +175,7 @@
             included: *included,
         };
         let Ok(mut bytes) = postcard::to_stdvec(&head) else {
-            tracing::error!("the head of a sum can't be written");
+            tracing::error!("head of a sum of loads can't be encoded");
             return;
         };
         bytes.extend_from_slice(&body);
--- a/almondlock-gateway/src/permit.rs
+++ b/almondlock-gateway/src/permit.rs
@@ -19,7 +19,7 @@
 };
 
 use crate::{
-    exchange::{Ask, Limit, Message, Permit, send},
+    exchange::{Limit, Message, Permit, Query, send},
     load::Key,
 };
 
@@ -157,7 +157,7 @@
         self.last_number.set(number);
         let (sender, answer) = oneshot::channel();
         self.pending.borrow_mut().insert(number, sender);
-        let ask = Ask {
+        let ask = Query {
             number,
             limit: Limit::of(now, key, &bound.named.unwrap_or(Notice::NONE)),
             cold: bound.cold,
--- a/almondlock-gateway/src/resources.rs
+++ b/almondlock-gateway/src/resources.rs
@@ -71,12 +71,12 @@
     ) -> Resources<D> {
         let demand = request.demand;
         let memory = demand.map_or(0, |demand| demand.prompt + demand.output);
-        let others = choice.shares.iter().filter(|s| s.place != choice.first);
+        let others = choice.shares.iter().filter(|s| s.place != choice.primary);
         let shared: u64 = others.map(|share| share.tokens).sum();
         let first = Work {
             reading: choice.part,
             writes: true,
-            short: choice.helpers.is_empty() && choice.part <= pick::SHORT,
+            short: choice.helpers.is_empty() && choice.part <= pick::MAX_SHORT_READING,
             memory: memory.saturating_sub(shared),
             ..Work::default()
         };
@@ -90,7 +90,7 @@
             (*place, part)
         });
         let mut load = worker.load.borrow_mut();
-        let tickets = [(choice.first, first)].into_iter().chain(helpers);
+        let tickets = [(choice.primary, first)].into_iter().chain(helpers);
         let tickets = tickets
             .filter_map(|(place, mut work)| {
                 let name = &targets.get(place)?.name;
@@ -100,7 +100,7 @@
             .collect();
         drop(load);
         worker.load_changed.notify_one();
-        let target = targets.get(choice.first);
+        let target = targets.get(choice.primary);
         Resources {
             slot: target.and_then(|target| worker.take_slot(request, target, now)),
             is_short: first.short,
@@ -108,11 +108,11 @@
             tickets,
             leases: RefCell::default(),
             claim: worker.claim_sent(request),
-            has_helper_memory: choice.shares.iter().any(|s| s.place != choice.first),
+            has_helper_memory: choice.shares.iter().any(|s| s.place != choice.primary),
             first_event_expected: now + choice.expected,
             is_prompt_read: Cell::new(false),
             probe_objective: targets
-                .get(choice.first)
+                .get(choice.primary)
                 .filter(|target| worker.is_probe(&target.name))
                 .map(|_| request.route.objective),
         }
@@ -154,11 +154,11 @@
     pub(crate) fn mark_prompt_read(&self) {
         self.is_prompt_read.set(true);
         if let Some(claim) = &self.claim {
-            claim.read();
+            claim.finish_reading();
         }
         let mut load = self.worker.load.borrow_mut();
         for (upstream, ticket) in &self.tickets {
-            load.read(upstream, *ticket);
+            load.finish_reading(upstream, *ticket);
         }
         self.worker.load_changed.notify_one();
     }
--- a/almondlock-gateway/src/worker.rs
+++ b/almondlock-gateway/src/worker.rs
@@ -43,7 +43,7 @@
     reading::Current,
     rules::Rules,
     shared::Shared,
-    slots::Lines,
+    slots::Queues,
     standing::Shares,
     suspicion::Suspicion,
 };
@@ -112,7 +112,7 @@
     pub(crate) limits: RefCell<throttle::Limits<Key>>,
     pub(crate) permits: Permits,
     /// Short prompts that wait for a free slot.
-    pub(crate) waiting_prompts: Lines,
+    pub(crate) waiting_prompts: Queues,
     /// Requests during which upstreams were lost.
     pub(crate) suspicion: Suspicion,
     /// What organisations have in flight at this host and at all hosts.
@@ -158,7 +158,7 @@
         dialect: D,
         node: Handle,
         shared: Arc<Shared>,
-        (domain, host): (Domain, u64),
+        (domain, host_number): (Domain, u64),
         (bounds, features): (Bounds, Features),
         rng: SmallRng,
         ended_leases: UnboundedSender<Ended>,
@@ -168,7 +168,7 @@
             node,
             shared,
             domain,
-            host_number: host,
+            host_number,
             bounds,
             features,
             load: RefCell::default(),
@@ -184,7 +184,7 @@
             backoffs: RefCell::default(),
             limits: RefCell::default(),
             permits: Permits::default(),
-            waiting_prompts: Lines::default(),
+            waiting_prompts: Queues::default(),
             suspicion: Suspicion::default(),
             shares: Shares::default(),
             pacing: Pacing::default(),
@@ -327,13 +327,13 @@
         full: &[Upstream],
     ) -> Candidate {
         let suspect = tried.contains(&target.name) || self.is_suspect(now, &target.name);
-        let (rate, ejected) = self.pacing.standing(&target.name);
+        let (rate, ejected) = self.pacing.rate_and_ejection(&target.name);
         Candidate {
             total: self.load.borrow().total(now, &target.name),
             slots: target.slots,
             near: target.near,
             suspect,
-            limited: self.limit_state(now, target),
+            quota: self.limit_state(now, target),
             full: full.contains(&target.name),
             cell: target.cell,
             rate,
--- a/almondlock-gateway/tests/engine_choice.rs
+++ b/almondlock-gateway/tests/engine_choice.rs
@@ -1,5 +1,5 @@
-//! Short prompts come all the time, long ones in bursts, on the same engines. A
-//! short stream stands still while a part of a long prompt is read beside it.
+//! Choice of engines while short prompts arrive steadily and long ones in bursts. A short
+//! stream stands still while a part of a long prompt is read on its engine.
 
 mod engines;
 
@@ -7,7 +7,7 @@
 
 use almondlock_gateway::{
     load::Total,
-    pick::{self, Candidate, Choice, Demand, Lack, READERS},
+    pick::{self, Candidate, Choice, Demand, MAX_READERS, Shortage},
 };
 use engines::{engine, speed};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -19,7 +19,7 @@
     vec![engine(Total::default()); ENGINES]
 }
 
-/// The first engines write short streams.
+/// Returns engines of which the first ones write short streams.
 fn writing(engines: usize, streams: u32) -> Vec<Candidate> {
     let mut candidates = idle();
     for candidate in &mut candidates[..engines] {
@@ -39,12 +39,12 @@
 
 fn choose(prompt: u64, candidates: &[Candidate]) -> Choice {
     let mut rng = SmallRng::seed_from_u64(1);
-    pick::engine(&speed(), demand(prompt), candidates, &mut rng).unwrap()
+    pick::choose_engine(&speed(), demand(prompt), candidates, &mut rng).unwrap()
 }
 
 fn members(choice: &Choice) -> Vec<usize> {
     let mut all = choice.helpers.clone();
-    all.push(choice.first);
+    all.push(choice.primary);
     all.sort_unstable();
     all
 }
@@ -53,7 +53,7 @@
 fn reading_time() {
     let speed = speed();
     let millis = |tokens| speed.reading_time(tokens).as_millis();
-    // Tokens, and pairs of a token and any earlier one, by their own rates.
+    // Tokens, and pairs of a token and an earlier one, have separate rates.
     assert_eq!(millis(5_000), 20);
     assert_eq!(millis(45_000), 268);
     assert_eq!(millis(210_000), 2_842);
@@ -65,22 +65,22 @@
     let candidates = writing(2, 9);
     for _ in 0..20 {
         let choice = choose(4_000, &candidates);
-        assert!(choice.first < 2 && choice.helpers.is_empty());
+        assert!(choice.primary < 2 && choice.helpers.is_empty());
     }
 }
 
-/// Engines without a free place are left alone, however the lot falls.
+/// Guards against short prompts for engines without a free slot, whatever is drawn.
 #[test]
 fn short_overflow() {
     let candidates = writing(3, 16);
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let choice = pick::engine(&speed(), demand(4_000), &candidates, &mut rng).unwrap();
-        assert!(choice.first >= 3, "{choice:?}");
+        let choice = pick::choose_engine(&speed(), demand(4_000), &candidates, &mut rng).unwrap();
+        assert!(choice.primary >= 3, "{choice:?}");
     }
 }
 
-/// The parts of a long prompt leave the short streams alone.
+/// Guards against parts of long prompts on engines that write short streams.
 #[parameterized(
     usual = { 210_000 },
     large = { 420_000 },
@@ -93,11 +93,11 @@
     assert!(choice.expected < Duration::from_secs(3));
 }
 
-/// The mix has turned to long prompts, and some engines that were packed with short
-/// streams still write the last ones. One that writes a single stream is a better
-/// reader than a full one, and than those that have much to read already.
+/// Guards against readers with many short streams or a large backlog, while an engine is
+/// left that writes only one. The mix has changed to long prompts, and some engines that
+/// were packed with short streams still write the last of them.
 #[test]
-fn full_ones_last() {
+fn full_engines_last() {
     let mut candidates = writing(2, 10);
     for candidate in &mut candidates[4..] {
         candidate.total.reading = 600.0;
@@ -112,10 +112,10 @@
     assert!(helpers.contains(&5) && !helpers.contains(&4), "{helpers:?}");
 }
 
-/// The mix turns from short prompts to long ones. Five engines write the last short
-/// streams, the others are readers and have some tenths of a second to read. Twenty
-/// prompts of which each part takes longer than such a stream may pause come after
-/// each other: they must wait for the readers, not stop streams that can be spared.
+/// Guards against parts of long prompts that stop short streams when the mix changes. Five
+/// engines write the last short streams; the others are readers with a backlog of some
+/// tenths of a second. Twenty prompts follow each other, each with parts that take longer
+/// than a short stream may pause: they must wait for the readers.
 #[test]
 fn turn_spares_streams() {
     let mut candidates = writing(2, 10);
@@ -128,18 +128,19 @@
     }
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let choice = pick::engine(&speed(), demand(210_000), &candidates, &mut rng).unwrap();
+        let choice = pick::choose_engine(&speed(), demand(210_000), &candidates, &mut rng).unwrap();
         let all = members(&choice);
         assert!(!all.iter().any(|i| *i < 7), "{choice:?}");
         assert!(choice.expected < Duration::from_millis(1_500), "{choice:?}");
     }
 }
 
-/// The same turn, and the readers have much to read. One engine with streams reads a
-/// large part already, so its streams will pause for too long whatever comes: it is
-/// taken before those whose streams are in time.
+/// Guards against delaying further streams after the same change of the mix, when the
+/// readers have large backlogs. One engine with streams already reads a large part, so its
+/// streams will pause for too long in any case: it is taken before those whose streams are
+/// in time.
 #[test]
-fn stopped_ones_first() {
+fn late_streams_first() {
     let mut candidates = writing(2, 10);
     for reader in &mut candidates[2..12] {
         reader.total.reading = 900.0;
@@ -156,14 +157,14 @@
     assert!(!choice.helpers.iter().any(spared), "{choice:?}");
 }
 
-/// Parts of a prompt stop no stream but those of its own writer: readers write
-/// nothing, and the last engines write for long prompts and read no other's parts.
+/// Guards against parts of a prompt that stop other streams than those of its own writer.
+/// Readers write nothing, and writers read no parts of prompts that others answer.
 #[test]
 fn readers_write_nothing() {
     let mut candidates = writing(2, 10);
     candidates[13].total.streams = 2;
     let usual = choose(210_000, &candidates);
-    assert_eq!(usual.first, 12);
+    assert_eq!(usual.primary, 12);
     assert!(
         usual.helpers.iter().all(|i| (2..12).contains(i)),
         "{usual:?}"
@@ -171,8 +172,8 @@
     assert!(usual.part < Duration::from_millis(320));
 }
 
-/// More streams of long prompts take more writers, and at most a third of the
-/// engines for them.
+/// The number of writers grows with the streams of long prompts, up to a third of the
+/// engines for long prompts.
 #[parameterized(
     none = { 0, 2 },
     some = { 8, 3 },
@@ -188,8 +189,8 @@
     );
 }
 
-/// A part of a second beside a writer's streams would make all of them late: a
-/// reader without streams answers.
+/// Guards against a part of a second beside a writer's streams, which would make all of
+/// them late: a reader without streams answers.
 #[test]
 fn largest_written_apart() {
     let mut candidates = writing(2, 10);
@@ -204,20 +205,20 @@
     assert!(choice.part > Duration::from_millis(600));
 }
 
-/// A middling prompt is read by both sides in parts that no stream notices, and
-/// written where the short ones are.
+/// A medium prompt is read by engines of both groups in parts that no stream notices, and
+/// answered by an engine for short streams.
 #[test]
 fn middling_on_short_side() {
     let candidates = writing(3, 8);
     let choice = choose(45_000, &candidates);
-    assert!(choice.first < 3);
+    assert!(choice.primary < 3);
     assert!(choice.part <= Duration::from_millis(35));
 }
 
-/// All entry hosts see the same idle engines at the same moment; their lots
-/// differ, among the writers and among the readers.
+/// Guards against entry hosts that all choose the same engine. All see the same idle
+/// engines at the same moment, so their draws among writers and among readers must differ.
 #[test]
-fn no_herd() {
+fn draws_differ() {
     let mut candidates = vec![idle()[0]; 60];
     for writer in &mut candidates[56..] {
         writer.total.streams = 3;
@@ -225,8 +226,8 @@
     let (mut first, mut readers) = (BTreeSet::new(), BTreeSet::new());
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let choice = pick::engine(&speed(), demand(210_000), &candidates, &mut rng).unwrap();
-        first.insert(choice.first);
+        let choice = pick::choose_engine(&speed(), demand(210_000), &candidates, &mut rng).unwrap();
+        first.insert(choice.primary);
         readers.extend(choice.helpers);
     }
     assert!(first.len() >= 4, "{first:?}");
@@ -238,11 +239,11 @@
     let mut candidates = idle();
     candidates.iter_mut().for_each(|c| c.suspect = true);
     candidates[5].suspect = false;
-    assert_eq!(choose(4_000, &candidates).first, 5);
+    assert_eq!(choose(4_000, &candidates).primary, 5);
     assert_eq!(members(&choose(210_000, &candidates)), [5]);
     candidates[5].suspect = true;
     candidates[5].total.waiting = 30;
-    assert_ne!(choose(4_000, &candidates).first, 5);
+    assert_ne!(choose(4_000, &candidates).primary, 5);
 }
 
 #[test]
@@ -250,17 +251,17 @@
     let candidates = vec![idle()[0]; 60];
     for prompt in [30_000, 100_000, 300_000, 1_000_000] {
         let choice = choose(prompt, &candidates);
-        assert!(choice.helpers.len() < READERS);
-        assert!(!choice.helpers.contains(&choice.first));
+        assert!(choice.helpers.len() < MAX_READERS);
+        assert!(!choice.helpers.contains(&choice.primary));
     }
 }
 
 #[test]
 fn nobody_enrolled() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let chosen = pick::engine(&speed(), demand(5_000), &[], &mut rng);
-    assert_eq!(chosen, Err(Lack::Upstream));
-    assert_eq!(pick::plain(&[], &mut rng), Err(Lack::Upstream));
+    let chosen = pick::choose_engine(&speed(), demand(5_000), &[], &mut rng);
+    assert_eq!(chosen, Err(Shortage::Upstream));
+    assert_eq!(pick::choose_plain(&[], &mut rng), Err(Shortage::Upstream));
 }
 
 #[test]
@@ -269,5 +270,8 @@
     candidates.iter_mut().for_each(|c| c.total.streams = 3);
     candidates[4].total.streams = 1;
     let mut rng = SmallRng::seed_from_u64(1);
-    assert_eq!(pick::plain(&candidates, &mut rng).unwrap().first, 4);
+    assert_eq!(
+        pick::choose_plain(&candidates, &mut rng).unwrap().primary,
+        4
+    );
 }
--- a/almondlock-policy/tests/herd_choice.rs
+++ b/almondlock-policy/tests/herd_choice.rs
@@ -1,6 +1,6 @@
-//! Load reports lag. Between two reports all entry hosts see the same idle
-//! upstream; if each goes for the lowest figure, all callers of that moment
-//! wait behind each other there while others stand idle.
+//! Load reports are stale. Between two reports all entry hosts see the same idle
+//! upstream. Guards against a herd: if each host chose the lowest reported load,
+//! all requests of that moment would queue there while other upstreams are idle.
 
 #![cfg(test)]
 
@@ -18,24 +18,24 @@
 use yare::parameterized;
 
 fn table(host: usize, upstreams: usize) -> Table {
-    let home = Origin {
+    let origin = Origin {
         host: Host::new(&format!("entry-{host}")).unwrap(),
         domain: Domain::new("d0").unwrap(),
         region: Region::new("r0").unwrap(),
     };
-    let mut table = Table::new(Config::default(), home);
+    let mut table = Table::new(Config::default(), origin);
     for i in 0..upstreams {
-        let site = Locality {
+        let locality = Locality {
             domain: Domain::new(&format!("d{}", i % 3)).unwrap(),
             region: Region::new("r0").unwrap(),
         };
-        table.insert(&Upstream::new(&format!("engine-{i}")).unwrap(), site);
+        table.insert(&Upstream::new(&format!("engine-{i}")).unwrap(), locality);
     }
     table
 }
 
-/// Three entry hosts hear that one of 18 upstreams is idle and send 20 requests
-/// each before the next report. The largest number on one upstream.
+/// Three entry hosts get reports that one of 18 upstreams is idle, and send 20 requests each
+/// before the next report. Returns the largest number of requests at one upstream.
 fn worst<P>(picker: P) -> usize
 where
     P: Picker,
@@ -58,12 +58,12 @@
             table.record_report(index, report, now);
         }
         for _ in 0..20 {
-            let ask = Query {
+            let query = Query {
                 prompt: Tokens(1_000),
                 ..Query::default()
             };
-            let index = picker.pick(&table, &ask, now, &mut rng).unwrap();
-            table.record_sent(index, ask.prompt);
+            let index = picker.pick(&table, &query, now, &mut rng).unwrap();
+            table.record_sent(index, query.prompt);
             *counts
                 .entry(table.name(index).unwrap().clone())
                 .or_default() += 1;
@@ -73,16 +73,17 @@
 }
 
 #[test]
-fn probing_spreads_where_least_reported_piles_up() {
+fn sampling_spreads() {
     assert_eq!(worst(LeastReported), 60);
-    // An even spread is 4 to 5; the idle one may take up to what it is behind.
-    let probing = worst(Sampling);
-    assert!(probing <= 12, "{probing} on one upstream");
+    // An even spread is 3 to 4 requests each; the idle upstream may get about as many more as
+    // it has fewer in flight.
+    let most = worst(Sampling);
+    assert!(most <= 12, "{most} at one upstream");
     assert!(worst(Random) <= 12);
 }
 
 #[test]
-fn old_figures_fade() {
+fn old_reports_decay() {
     let mut table = table(0, 2);
     let mut rng = SmallRng::seed_from_u64(3);
     let now = Mono::from_millis(1_000);
@@ -93,36 +94,36 @@
         ..Report::default()
     };
     table.record_report(busy, report, now);
-    let ask = Query {
+    let query = Query {
         prompt: Tokens(100),
         ..Query::default()
     };
     let mut share = |table: &Table, at| {
         (0..200)
-            .filter(|_| Sampling.pick(table, &ask, at, &mut rng) == Some(busy))
+            .filter(|_| Sampling.pick(table, &query, at, &mut rng) == Some(busy))
             .count()
     };
     assert_eq!(share(&table, now), 0);
-    // What was busy a minute ago is no worse than the other one.
+    // An upstream that was busy a minute ago is as good as the other one.
     let later = share(&table, Mono::from_millis(61_000));
     assert!((60..140).contains(&later), "{later} of 200");
 }
 
 #[parameterized(small = { 18 }, middle = { 100 }, large = { 880 })]
-fn own_work_counts_at_once(upstreams: usize) {
+fn own_attempts_counted(upstreams: usize) {
     let mut table = table(0, upstreams);
     let mut rng = SmallRng::seed_from_u64(5);
     let mut counts: HashMap<_, usize> = HashMap::new();
     let sends = 20 * upstreams.min(32);
     for _ in 0..sends {
-        let ask = Query {
+        let query = Query {
             prompt: Tokens(1_000),
             ..Query::default()
         };
-        let index = Sampling.pick(&table, &ask, Mono::ZERO, &mut rng).unwrap();
-        table.record_sent(index, ask.prompt);
+        let index = Sampling.pick(&table, &query, Mono::ZERO, &mut rng).unwrap();
+        table.record_sent(index, query.prompt);
         *counts.entry(index).or_default() += 1;
     }
     let most = counts.into_values().max().unwrap();
-    assert!(most <= 26, "{most} on one where 20 is even");
+    assert!(most <= 26, "{most} at one upstream, where 20 is even");
 }
--- a/almondlock-quorum/src/storage/identity.rs
+++ b/almondlock-quorum/src/storage/identity.rs
@@ -1,8 +1,8 @@
-//! Whose disk this is.
+//! The identity of a replica's disk.
 //!
-//! The identity is drawn when the folder is first used and kept in a file of
-//! its own. Losing the folder loses the identity: whatever starts on an empty
-//! folder is somebody else, whom no member list names.
+//! The identity is drawn at random when the folder is first used, and kept in a file of its
+//! own. It is lost with the folder: a replica that starts on an empty folder is a new one,
+//! which is not a member yet.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,22 +13,22 @@
 };
 use crate::{error::Error, member::Id};
 
-const NAME: &str = "identity";
+const FILE_NAME: &str = "identity";
 
-/// A disk's identity, and whether it was just drawn.
+/// A disk's identity, and whether it was just created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Identity {
-    /// The identity.
+    /// The replica's identity.
     pub id: Id,
-    /// The folder was empty.
+    /// Whether the folder was empty, so that the identity is new.
     pub fresh: bool,
 }
 
 impl Identity {
-    /// Reads the folder's identity, or makes `drawn` its identity if the folder
-    /// is empty. Files without an identity are refused: whose they are, and what
-    /// that replica promised, is unknown.
+    /// Reads the folder's identity, or stores `drawn` as its identity if the folder is empty. A
+    /// folder with other files but no identity is refused, since it is unknown which replica they
+    /// belong to and what it acknowledged.
     pub fn open<D>(disk: &D, group: u16, drawn: Id) -> Result<Identity, Error>
     where
         D: Disk,
@@ -36,11 +36,17 @@
         let names = disk
             .list()
             .map_err(|e| Error::io("can't list the data folder", e))?;
-        if names.iter().any(|name| name == NAME) {
+        if names.iter().any(|name| name == FILE_NAME) {
             return read(disk, group);
         }
-        if names.iter().any(|name| !name.ends_with(disk::TEMPORARY)) {
-            return Err(Error::damaged(NAME, "it is missing beside other files"));
+        if names
+            .iter()
+            .any(|name| !name.ends_with(disk::TEMPORARY_SUFFIX))
+        {
+            return Err(Error::damaged(
+                FILE_NAME,
+                "it is missing, though the folder holds other files",
+            ));
         }
         write(disk, group, drawn)?;
         Ok(Identity {
@@ -57,12 +63,12 @@
     let mut bytes = Vec::new();
     Record::Header(Header {
         format: FORMAT,
-        file: NAME.to_owned(),
+        file: FILE_NAME.to_owned(),
         group,
         disk: id,
     })
     .write(&mut bytes);
-    disk::replace(disk, NAME, &bytes).map_err(|e| Error::io("can't write the identity", e))
+    disk::replace(disk, FILE_NAME, &bytes).map_err(|e| Error::io("can't write the identity", e))
 }
 
 fn read<D>(disk: &D, group: u16) -> Result<Identity, Error>
@@ -70,16 +76,19 @@
     D: Disk,
 {
     let bytes = disk
-        .read(NAME)
+        .read(FILE_NAME)
         .map_err(|e| Error::io("can't read the identity", e))?;
     let Found::Record(Record::Header(header), end) = Record::read(&bytes, 0) else {
-        return Err(Error::damaged(NAME, "it can't be read"));
+        return Err(Error::damaged(FILE_NAME, "it can't be read"));
     };
     if header.format != FORMAT {
-        return Err(Error::format(NAME, header.format));
+        return Err(Error::format(FILE_NAME, header.format));
     }
-    if header.group != group || header.file != NAME || end != bytes.len() {
-        return Err(Error::damaged(NAME, "it belongs to something else"));
+    if header.group != group || header.file != FILE_NAME || end != bytes.len() {
+        return Err(Error::damaged(
+            FILE_NAME,
+            "it belongs to another group or file, or has bytes after its record",
+        ));
     }
     Ok(Identity {
         id: header.disk,
--- a/almondlock-quorum/src/storage/record.rs
+++ b/almondlock-quorum/src/storage/record.rs
@@ -1,25 +1,25 @@
-//! Checksummed records, of which all files are made.
+//! Checksummed records, of which all files consist.
 //!
-//! A record is its body's length, a checksum of the length, a checksum of the
-//! body, and the body. The length has a checksum of its own, because a flipped
-//! bit that lengthens the last record would otherwise look like a record cut
-//! short by a crash, and an accepted entry would be taken away as torn.
+//! A record consists of the length of its body, a checksum of the length, a checksum of the
+//! body, and the body. The length has a checksum of its own, because a flipped bit that
+//! lengthens the last record would otherwise look like a record cut short by a crash, and a
+//! committed entry would be removed as torn.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    entry::{Entry, Hard, Index, Payload, Term},
+    entry::{Entry, HardState, Index, Payload, Term},
     member::{Id, Members},
 };
 
-const HEAD: usize = 12;
+const HEAD_BYTES: usize = 12;
 
-/// The longest body. A longer one can only be damage.
-const LIMIT: usize = 64 << 20;
+/// The maximum length of a body. A greater length means damage.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// What a file's first record says.
+/// The content of each file's first record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct Header {
@@ -29,7 +29,7 @@
     pub(super) disk: Id,
 }
 
-/// What a snapshot's second record says.
+/// The content of a snapshot file's second record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct Meta {
@@ -43,35 +43,35 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Record {
     Header(Header),
-    Hard(Hard),
+    HardState(HardState),
     Entry(Entry),
-    /// The log starts anew behind this index.
+    /// Drops all entries before this record; the log continues after this index.
     Reset(Index),
     Meta(Meta),
     Data(Vec<u8>),
 }
 
-/// What stands at a place in a file.
+/// The result of reading at an offset of a file.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Found {
-    /// A record, and where the next one starts.
+    /// A record, and the offset of the next one.
     Record(Record, usize),
-    /// The end.
+    /// The end of the file.
     End,
     /// A record that a crash cut short.
     Torn,
-    /// Something that was never written.
+    /// Bytes that were never written as they are, with the reason.
     Damaged(&'static str),
 }
 
 impl Record {
     pub(super) fn write(&self, out: &mut Vec<u8>) {
         let start = out.len();
-        out.extend_from_slice(&[0; HEAD]);
+        out.extend_from_slice(&[0; HEAD_BYTES]);
         self.write_body(out);
-        let length = u32::try_from(out.len() - start - HEAD).unwrap_or(u32::MAX);
+        let length = u32::try_from(out.len() - start - HEAD_BYTES).unwrap_or(u32::MAX);
         let length = length.to_le_bytes();
-        let body = crc32fast::hash(&out[start + HEAD..]).to_le_bytes();
+        let body = crc32fast::hash(&out[start + HEAD_BYTES..]).to_le_bytes();
         out[start..start + 4].copy_from_slice(&length);
         out[start + 4..start + 8].copy_from_slice(&crc32fast::hash(&length).to_le_bytes());
         out[start + 8..start + 12].copy_from_slice(&body);
@@ -80,7 +80,7 @@
     fn write_body(&self, out: &mut Vec<u8>) {
         match self {
             Record::Header(header) => write_json(out, 1, header),
-            Record::Hard(hard) => {
+            Record::HardState(hard) => {
                 out.push(2);
                 out.extend_from_slice(&hard.term.0.to_le_bytes());
                 out.push(u8::from(hard.vote.is_some()));
@@ -99,15 +99,15 @@
         }
     }
 
-    /// Reads what stands at `at`.
+    /// Reads the record at offset `at`.
     pub(super) fn read(bytes: &[u8], at: usize) -> Found {
         let rest = bytes.get(at..).unwrap_or_default();
         if rest.is_empty() {
             return Found::End;
         }
-        // A crash may leave the file longer than what was written to it; what
-        // lies between reads as zeros.
-        if rest.iter().all(|byte| *byte == 0) || rest.len() < HEAD {
+        // A crash may leave the file longer than the data written to it. The
+        // rest reads as zeros.
+        if rest.iter().all(|byte| *byte == 0) || rest.len() < HEAD_BYTES {
             return Found::Torn;
         }
         let word = |at: usize| {
@@ -119,17 +119,17 @@
             return Found::Damaged("a record's length fails its checksum");
         }
         let length = usize::try_from(word(0)).unwrap_or(usize::MAX);
-        if length > LIMIT {
+        if length > MAX_BODY_BYTES {
             return Found::Damaged("a record is longer than any may be");
         }
-        let Some(body) = rest.get(HEAD..HEAD + length) else {
+        let Some(body) = rest.get(HEAD_BYTES..HEAD_BYTES + length) else {
             return Found::Torn;
         };
         if crc32fast::hash(body) != word(8) {
             return Found::Damaged("a record fails its checksum");
         }
         match read_body(body) {
-            Some(record) => Found::Record(record, at + HEAD + length),
+            Some(record) => Found::Record(record, at + HEAD_BYTES + length),
             None => Found::Damaged("a record of an unknown kind"),
         }
     }
@@ -140,7 +140,7 @@
     T: Serialize,
 {
     out.push(kind);
-    // Plain structs of numbers, names and maps with plain keys: it can't fail.
+    // Can't fail: plain structs of numbers, names and maps with plain keys.
     let json = serde_json::to_vec(value).unwrap_or_default();
     out.extend_from_slice(&json);
 }
@@ -169,7 +169,7 @@
             let (vote, _) = read_word(rest)?;
             let vote = (*voted == 1).then_some(Id(vote));
             let term = Term(term);
-            Some(Record::Hard(Hard { term, vote }))
+            Some(Record::HardState(HardState { term, vote }))
         }
         3 => read_entry(rest).map(Record::Entry),
         4 => read_word(rest).map(|(index, _)| Record::Reset(Index(index))),
--- a/almondlock-quorum/src/storage/segment.rs
+++ b/almondlock-quorum/src/storage/segment.rs
@@ -1,8 +1,8 @@
-//! Segments: append-only files of records, numbered in order.
+//! Segments: the append-only, numbered files of records that hold the log.
 //!
-//! Each starts with a header and the term and vote of that moment, so that the
-//! ones before it may go. Only the last one can have a torn tail, since a new
-//! one is begun after the one before it was synced.
+//! Each segment starts with a header and the term and vote at that time, so that earlier
+//! segments can be removed. Only the last one can have a torn tail, since a new segment
+//! is begun only after the previous one was synced.
 
 use super::{
     FORMAT, Loaded, Write,
@@ -32,18 +32,18 @@
     }
 }
 
-/// A segment that was read.
+/// The result of reading a segment.
 #[derive(Debug)]
 pub(super) struct Segment {
-    /// Bytes that hold whole records.
+    /// The number of bytes at the start that hold complete records.
     pub(super) valid: usize,
-    /// Whether more followed, cut short by a crash.
+    /// Whether a record cut short by a crash follows.
     pub(super) torn: bool,
-    /// The highest index in it.
+    /// The highest index of an entry in the segment.
     pub(super) highest: Index,
 }
 
-/// Reads a segment into what was loaded so far.
+/// Reads a segment and adds its records to `loaded`.
 pub(super) fn read(
     bytes: &[u8],
     wanted: &Header,
@@ -65,7 +65,7 @@
             Found::Damaged(reason) => return Err(Error::damaged(&wanted.file, reason)),
             Found::Record(record, next) => {
                 let first = segment.valid == 0;
-                take(record, first, wanted, snapshot, loaded, &mut segment)?;
+                apply_record(record, first, wanted, snapshot, loaded, &mut segment)?;
                 segment.valid = next;
             }
         }
@@ -73,7 +73,7 @@
     Ok(segment)
 }
 
-fn take(
+fn apply_record(
     record: Record,
     first: bool,
     wanted: &Header,
@@ -86,9 +86,12 @@
             Err(Error::format(&wanted.file, header.format))
         }
         Record::Header(header) if first && header == *wanted => Ok(()),
-        _ if first => Err(Error::damaged(&wanted.file, "its header is another's")),
-        Record::Hard(hard) => {
-            loaded.hard = hard;
+        _ if first => Err(Error::damaged(
+            &wanted.file,
+            "its header names another file, group or replica",
+        )),
+        Record::HardState(hard) => {
+            loaded.hard_state = hard;
             Ok(())
         }
         Record::Reset(_) => {
@@ -104,7 +107,7 @@
             segment.highest = segment.highest.max(entry.index);
             loaded.apply(&Write {
                 sequence: 0,
-                hard: loaded.hard,
+                hard_state: loaded.hard_state,
                 snapshot: None,
                 reset: false,
                 entries: vec![entry],
--- a/almondlock-quorum/src/storage/snapshot.rs
+++ b/almondlock-quorum/src/storage/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot files: written whole beside the old one, then renamed.
+//! Snapshot files. A new one is written under a temporary name and then renamed.
 
 use std::sync::Arc;
 
@@ -15,15 +15,15 @@
 
 const PREFIX: &str = "snapshot-";
 
-/// Bytes of the state in one record.
-const CHUNK: usize = 1 << 20;
+/// The maximum number of bytes of the state in one record.
+const CHUNK_BYTES: usize = 1 << 20;
 
 pub(super) fn name(index: Index) -> String {
     format!("{PREFIX}{:016x}", index.0)
 }
 
 pub(super) fn is_name(name: &str) -> bool {
-    name.starts_with(PREFIX) && !name.ends_with(disk::TEMPORARY)
+    name.starts_with(PREFIX) && !name.ends_with(disk::TEMPORARY_SUFFIX)
 }
 
 pub(super) fn write<D>(disk: &D, group: u16, id: Id, snapshot: &Snapshot) -> Result<(), Error>
@@ -46,7 +46,7 @@
         size: snapshot.data.len() as u64,
     })
     .write(&mut bytes);
-    for chunk in snapshot.data.chunks(CHUNK) {
+    for chunk in snapshot.data.chunks(CHUNK_BYTES) {
         Record::Data(chunk.to_vec()).write(&mut bytes);
     }
     disk::replace(disk, &name, &bytes).map_err(|e| Error::io(format!("can't write {name}"), e))
@@ -67,7 +67,10 @@
         return Err(Error::format(name, header.format));
     }
     if (header.group, header.disk, header.file.as_str()) != (group, id, name) {
-        return Err(Error::damaged(name, "its header is another's"));
+        return Err(Error::damaged(
+            name,
+            "its header names another file, group or replica",
+        ));
     }
     let Found::Record(Record::Meta(meta), mut at) = Record::read(&bytes, at) else {
         return Err(damaged());
--- a/almondlock-quorum/src/storage/store.rs
+++ b/almondlock-quorum/src/storage/store.rs
@@ -1,24 +1,24 @@
-//! The store: writes of a machine, in order, to one folder.
+//! The store, which puts a machine's writes into one folder, in order.
 
 use std::{collections::VecDeque, io, sync::Arc};
 
 use super::{
     Loaded, Write,
-    disk::{self, Disk, File, TEMPORARY},
-    founding_snapshot,
+    disk::{self, Disk, File, TEMPORARY_SUFFIX},
+    initial_snapshot,
     record::Record,
     segment, snapshot,
 };
 use crate::{
-    entry::{Hard, Index, Snapshot},
+    entry::{HardState, Index, Snapshot},
     error::Error,
     member::{Id, Members},
 };
 
-/// A segment is closed when it holds this many bytes.
-const SEGMENT: usize = 16 << 20;
+/// The size in bytes at which a segment is closed.
+const SEGMENT_BYTES: usize = 16 << 20;
 
-/// A replica's files.
+/// A replica's open data folder.
 #[derive(Debug)]
 pub struct Store<D>
 where
@@ -28,19 +28,19 @@
     group: u16,
     id: Id,
     retain: u64,
-    // The present segment.
+    // The current segment: its file, number, size in bytes and highest index.
     file: D::File,
     number: u64,
     size: usize,
     highest: Index,
-    // Closed segments, oldest first, and the highest index in each.
+    // The numbers of closed segments, oldest first, and the highest index in each.
     closed: VecDeque<(u64, Index)>,
-    hard: Hard,
-    // The newest snapshot on disk.
+    hard_state: HardState,
+    // The index of the newest snapshot on disk.
     snapshot: Option<Index>,
-    // Records not yet given to the file.
+    // Records not yet written to the file.
     buffer: Vec<u8>,
-    // Invariant: once set it stays, and nothing is written or synced any more.
+    // Whether a write or sync failed. Invariant: never cleared; nothing is written or synced then.
     failed: bool,
     syncs: u64,
 }
@@ -49,9 +49,8 @@
 where
     D: Disk,
 {
-    /// Opens the folder of the disk with this identity, checks all that is in
-    /// it, and begins a new segment. `retain` entries before a snapshot are
-    /// kept.
+    /// Opens the data folder of this identity, checks all files in it, and begins a new segment.
+    /// `retain` entries before a snapshot's end are kept.
     pub fn open(disk: D, group: u16, id: Id, retain: u64) -> Result<(Store<D>, Loaded), Error> {
         let mut loaded = Loaded::default();
         let names = disk
@@ -59,11 +58,11 @@
             .map_err(|e| Error::io("can't list the data folder", e))?;
         let newest = load_snapshot(&disk, group, id, &names, &mut loaded)?;
         let closed = load_segments(&disk, group, id, &names, &mut loaded)?;
-        let settled = loaded.settle();
+        let log_agrees = loaded.drop_conflicting_entries();
         let number = closed.back().map_or(0, |(number, _)| number + 1);
         let file = disk
             .create(&segment::name(number))
-            .map_err(|e| Error::io("can't begin a segment", e))?;
+            .map_err(|e| Error::io("can't create a segment", e))?;
         let mut store = Store {
             disk,
             group,
@@ -74,14 +73,14 @@
             size: 0,
             highest: Index::ZERO,
             closed,
-            hard: loaded.hard,
+            hard_state: loaded.hard_state,
             snapshot: newest,
             buffer: Vec::new(),
             failed: false,
             syncs: 0,
         };
-        store.write_head();
-        if let Some(newest) = newest.filter(|_| !settled) {
+        store.write_header();
+        if let Some(newest) = newest.filter(|_| !log_agrees) {
             Record::Reset(newest).write(&mut store.buffer);
         }
         store.sync()?;
@@ -89,32 +88,31 @@
         Ok((store, loaded))
     }
 
-    /// Sets the members that a group starts with, on a folder that holds
-    /// nothing yet.
-    pub fn found(&mut self, members: Members) -> Result<Loaded, Error> {
-        let empty = self.snapshot.is_none() && self.hard == Hard::default();
+    /// Stores the initial members of a group in a folder that holds no state yet.
+    pub fn initialize(&mut self, members: Members) -> Result<Loaded, Error> {
+        let empty = self.snapshot.is_none() && self.hard_state == HardState::default();
         if !empty || self.highest != Index::ZERO || self.failed {
-            return Err(Error::refused("the folder is in use already"));
+            return Err(Error::refused("the data folder already holds state"));
         }
-        self.save(&founding_snapshot(members.clone()))?;
-        Ok(Loaded::founding(members))
+        self.save_snapshot(&initial_snapshot(members.clone()))?;
+        Ok(Loaded::initial(members))
     }
 
-    /// Takes in a write. It is on disk after the next [`sync`](Store::sync).
+    /// Adds a write. It is on disk after the next [`sync`](Store::sync).
     pub fn write(&mut self, write: &Write) -> Result<(), Error> {
         if self.failed {
             return Err(Error::stopped());
         }
         if let Some(snapshot) = &write.snapshot {
-            self.save(snapshot)?;
+            self.save_snapshot(snapshot)?;
         }
         if write.reset {
             let index = write.snapshot.as_ref().map_or(Index::ZERO, |s| s.index);
             Record::Reset(index).write(&mut self.buffer);
         }
-        if write.hard != self.hard {
-            self.hard = write.hard;
-            Record::Hard(write.hard).write(&mut self.buffer);
+        if write.hard_state != self.hard_state {
+            self.hard_state = write.hard_state;
+            Record::HardState(write.hard_state).write(&mut self.buffer);
         }
         for entry in &write.entries {
             self.highest = self.highest.max(entry.index);
@@ -123,7 +121,7 @@
         Ok(())
     }
 
-    /// Puts all that was written on disk. An error is final.
+    /// Writes and syncs all writes added so far. After an error the store takes no more writes.
     pub fn sync(&mut self) -> Result<(), Error> {
         if self.failed {
             return Err(Error::stopped());
@@ -136,13 +134,13 @@
             self.syncs += 1;
         }
         self.check(result, "can't write the log")?;
-        if self.size >= SEGMENT {
-            self.roll()?;
+        if self.size >= SEGMENT_BYTES {
+            self.start_segment()?;
         }
         Ok(())
     }
 
-    /// How many syncs of segments there were, each for any number of entries.
+    /// Returns the number of syncs of segments so far. Each may cover many entries.
     pub fn syncs(&self) -> u64 {
         self.syncs
     }
@@ -159,25 +157,25 @@
         self.check(result, "can't sync the data folder")
     }
 
-    fn write_head(&mut self) {
+    fn write_header(&mut self) {
         let header = segment::header(self.number, self.group, self.id);
         Record::Header(header).write(&mut self.buffer);
-        Record::Hard(self.hard).write(&mut self.buffer);
+        Record::HardState(self.hard_state).write(&mut self.buffer);
     }
 
-    fn roll(&mut self) -> Result<(), Error> {
+    fn start_segment(&mut self) -> Result<(), Error> {
         self.closed.push_back((self.number, self.highest));
         self.number += 1;
         self.size = 0;
         self.highest = Index::ZERO;
         let created = self.disk.create(&segment::name(self.number));
-        self.file = self.check(created, "can't begin a segment")?;
-        self.write_head();
+        self.file = self.check(created, "can't create a segment")?;
+        self.write_header();
         self.sync()?;
         self.sync_folder()
     }
 
-    fn save(&mut self, new: &Snapshot) -> Result<(), Error> {
+    fn save_snapshot(&mut self, new: &Snapshot) -> Result<(), Error> {
         let result = snapshot::write(&self.disk, self.group, self.id, new);
         if result.is_err() {
             self.failed = true;
@@ -188,16 +186,15 @@
             let removed = self.disk.remove(&snapshot::name(old));
             self.check(removed, "can't remove an old snapshot")?;
         }
-        self.forget(Index(new.index.0.saturating_sub(self.retain)))
+        self.remove_segments(Index(new.index.0.saturating_sub(self.retain)))
     }
 
-    /// Removes closed segments, oldest first, while all that they hold lies at
-    /// or before `index`.
+    /// Removes closed segments, oldest first, whose entries all lie at or before `index`.
     ///
-    /// **Failure.** The power fails, and of several removals that were not synced any may come
-    /// back. An older segment without the next one looks like a damaged log. So each removal is
-    /// synced before the next one.
-    fn forget(&mut self, index: Index) -> Result<(), Error> {
+    /// **Failure.** After a power failure any of several unsynced removals may be undone. An older
+    /// segment without the next one looks like a damaged log. Therefore each removal is synced
+    /// before the next one.
+    fn remove_segments(&mut self, index: Index) -> Result<(), Error> {
         let mut unsynced = false;
         while let Some((number, _)) = self.closed.pop_front_if(|(_, high)| *high <= index) {
             if unsynced {
@@ -225,7 +222,7 @@
         let removed = disk.remove(name);
         removed.map_err(|e| Error::io(format!("can't remove {name}"), e))
     };
-    for name in names.iter().filter(|name| name.ends_with(TEMPORARY)) {
+    for name in names.iter().filter(|name| name.ends_with(TEMPORARY_SUFFIX)) {
         remove(name)?;
     }
     let mut found = names.iter().filter(|name| snapshot::is_name(name));
@@ -267,12 +264,12 @@
             return Err(Error::damaged(&name, "a part of the log is missing"));
         }
         if is_last {
-            // Its end may be torn, or whole in the kernel's memory and yet not
-            // on disk, after a sync that failed. What was read is written
-            // again and synced under the same name, so that nothing is
-            // promised from here on that a power failure could take back.
+            // The end may be torn, or, after a failed sync, complete in the
+            // kernel's memory but not on disk. The complete records are written
+            // again and synced under the same name, so that a power failure
+            // can't take back anything that is acknowledged from here on.
             disk::replace(disk, &name, &bytes[..read.valid])
-                .map_err(|e| Error::io(format!("can't settle the end of {name}"), e))?;
+                .map_err(|e| Error::io(format!("can't rewrite {name}"), e))?;
         }
         closed.push_back((*number, read.highest));
     }
--- a/almondlock-quorum/tests/cluster/network.rs
+++ b/almondlock-quorum/tests/cluster/network.rs
@@ -1,4 +1,4 @@
-//! A network that loses, doubles, delays and reorders.
+//! A simulated network that drops, duplicates, delays and reorders messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,9 +12,9 @@
 
 #[derive(Default)]
 pub struct Network {
-    flying: BTreeMap<(u64, u64), (Id, Id, Message)>,
+    in_flight: BTreeMap<(u64, u64), (Id, Id, Message)>,
     count: u64,
-    /// Pairs (from, to) between which everything is lost without a sign.
+    /// Pairs (from, to) between which all messages are dropped silently.
     pub cut: BTreeSet<(Id, Id)>,
 }
 
@@ -35,19 +35,19 @@
             self.count += 1;
             let at = now + rng.random_range(0..=faults.delay);
             let message = envelope.message.clone();
-            self.flying
+            self.in_flight
                 .insert((at, self.count), (from, envelope.to, message));
         }
     }
 
     pub fn due(&mut self, now: u64) -> Vec<(Id, Id, Message)> {
-        let later = self.flying.split_off(&(now + 1, 0));
-        std::mem::replace(&mut self.flying, later)
+        let later = self.in_flight.split_off(&(now + 1, 0));
+        std::mem::replace(&mut self.in_flight, later)
             .into_values()
             .collect()
     }
 
-    /// Cuts one replica off from the others, both ways.
+    /// Cuts one replica off from the others in both directions.
     pub fn isolate<I>(&mut self, one: Id, others: I)
     where
         I: IntoIterator<Item = Id>,
--- a/almondlock-sidecar/src/orders.rs
+++ b/almondlock-sidecar/src/orders.rs
@@ -1,9 +1,10 @@
-//! Handing orders on to the upstream.
+//! Decides which order to load a model is forwarded to the upstream.
 //!
-//! Orders come with the configuration. Only the life of the sidecar that an
-//! order names hands it on, and only until the time it names: an engine that
-//! doesn't check fencing numbers would act on a delayed one and unload what a
-//! later order loaded. An order that was handed on is not handed on again.
+//! Orders arrive with the configuration. An order names one incarnation of the
+//! sidecar and a time; only that incarnation forwards it, and only until that
+//! time. An engine that doesn't check fencing numbers would otherwise act on a
+//! delayed order and unload what a later order loaded. An order is forwarded
+//! once.
 
 use std::cell::Cell;
 
@@ -16,16 +17,16 @@
     order,
 };
 
-/// Which orders were handed on.
+/// Remembers which orders were forwarded.
 #[derive(Debug, Default)]
-pub struct Desk {
-    // The highest fencing number handed on in this life.
-    handed: Cell<u64>,
+pub struct Forwarder {
+    // Highest fencing number forwarded in this incarnation.
+    highest_fence: Cell<u64>,
 }
 
-impl Desk {
-    /// The order that is to be handed on now, if any.
-    pub fn due(
+impl Forwarder {
+    /// Returns the order to forward now, if any.
+    pub fn due_order(
         &self,
         config: &Config,
         upstream: &Upstream,
@@ -36,13 +37,14 @@
         let loaded = config.upstreams.get(upstream);
         let loaded = loaded.and_then(|registered| registered.model.as_ref());
         let done = loaded.is_some_and(|(m, v)| *m == order.model && *v == order.version);
-        let fresh = order.fence > self.handed.get();
+        let fresh = order.fence > self.highest_fence.get();
         let due = !done && fresh && order::may_forward(order, own, now);
         due.then(|| order.clone())
     }
 
-    /// Notes that an order was handed on, or refused as old.
-    pub fn handed(&self, order: &Order) {
-        self.handed.set(self.handed.get().max(order.fence));
+    /// Records that an order was forwarded, or that the upstream refused it.
+    pub fn mark_forwarded(&self, order: &Order) {
+        self.highest_fence
+            .set(self.highest_fence.get().max(order.fence));
     }
 }
--- a/almondlock-sidecar/src/output.rs
+++ b/almondlock-sidecar/src/output.rs
@@ -1,10 +1,10 @@
-//! An answer on its way to the entry host.
+//! Streams an answer from the engine to the entry host.
 //!
-//! The engine's stream is read as fast as it comes and sent as fast as the
-//! entry host takes it: while one push is on its way, the frames behind it are
-//! gathered and go together with the next. Only one push is ever on its way,
-//! so frames arrive in order. The buffer between the two is bounded; when it is
-//! full, the engine's stream is not read on.
+//! The engine's stream is read as fast as the entry host takes the answer.
+//! While one push is in flight, further frames are buffered and sent together
+//! in the next. Only one push is in flight at a time, so frames arrive in
+//! order. The buffer is bounded: when it is full, reading from the engine
+//! pauses.
 
 use std::rc::Rc;
 
@@ -18,72 +18,73 @@
     task::{JoinHandle, spawn_local},
 };
 
-use crate::protocol::{Gone, Output};
+use crate::protocol::{Closed, Output};
 
-/// Frames that wait for the entry host at most.
-const DEPTH: usize = 64;
+/// Maximum number of frames that wait to be pushed to the entry host.
+const MAX_BUFFERED_FRAMES: usize = 64;
 
-/// Told of the first part of an answer that took the engine's work.
-pub trait Watch {
-    /// The prompt has been processed.
-    fn prefilled(&self);
+/// Is notified of the first part of an answer that the engine generated.
+pub trait Observer {
+    /// Called once the engine has processed the prompt.
+    fn on_prefill_end(&self);
 }
 
-/// Gives an answer's parts their places and pushes them to the entry host.
+/// Numbers the parts of an answer and pushes them to the entry host.
 pub struct Pusher<W> {
     attempt: Attempt,
     offset: u64,
     began: bool,
-    watch: Rc<W>,
+    observer: Rc<W>,
     frames: mpsc::Sender<Frame>,
     task: JoinHandle<Result<(), capnp::Error>>,
 }
 
 impl<W> Pusher<W>
 where
-    W: Watch,
+    W: Observer,
 {
-    /// Pushes the answer of an attempt that goes on at `offset`.
-    pub fn new(attempt: Attempt, offset: u64, sink: sink::Client, watch: Rc<W>) -> Pusher<W> {
-        let (frames, queue) = mpsc::channel(DEPTH);
+    /// Starts pushing the answer of an attempt, which resumes at `offset`.
+    pub fn new(attempt: Attempt, offset: u64, sink: sink::Client, observer: Rc<W>) -> Pusher<W> {
+        let (frames, queue) = mpsc::channel(MAX_BUFFERED_FRAMES);
         Pusher {
             attempt,
             offset,
             began: false,
-            watch,
+            observer,
             frames,
-            task: spawn_local(push(sink, queue)),
+            task: spawn_local(push_frames(sink, queue)),
         }
     }
 
-    /// Units of the answer passed on, with what was delivered before.
+    /// Returns the number of units of the answer passed on, including those
+    /// delivered by earlier attempts.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// Whether any part of the answer itself was passed on.
+    /// Returns whether any content of the answer was passed on.
     pub fn has_begun(&self) -> bool {
         self.began
     }
 
-    /// Waits until the entry host has taken everything.
-    pub async fn flush(self) -> Result<(), Gone> {
+    /// Waits until the entry host has received every frame.
+    pub async fn flush(self) -> Result<(), Closed> {
         drop(self.frames);
         match self.task.await {
             Ok(Ok(())) => Ok(()),
-            _ => Err(Gone),
+            _ => Err(Closed),
         }
     }
 }
 
 impl<W> Output for Pusher<W>
 where
-    W: Watch,
+    W: Observer,
 {
-    async fn put(&mut self, count: u32, part: Part) -> Result<(), Gone> {
+    async fn put(&mut self, count: u32, part: Part) -> Result<(), Closed> {
         if !self.began && count > 0 {
             self.began = true;
-            self.watch.prefilled();
+            self.observer.on_prefill_end();
         }
         let frame = Frame {
             attempt: self.attempt.clone(),
@@ -92,13 +93,17 @@
             part,
         };
         self.offset += u64::from(count);
-        self.frames.send(frame).await.map_err(|_| Gone)
+        self.frames.send(frame).await.map_err(|_| Closed)
     }
 }
 
-async fn push(sink: sink::Client, mut queue: mpsc::Receiver<Frame>) -> Result<(), capnp::Error> {
-    let mut batch = Vec::with_capacity(DEPTH);
-    while queue.recv_many(&mut batch, DEPTH).await > 0 {
+/// Pushes queued frames to the entry host in batches, one push at a time.
+async fn push_frames(
+    sink: sink::Client,
+    mut queue: mpsc::Receiver<Frame>,
+) -> Result<(), capnp::Error> {
+    let mut batch = Vec::with_capacity(MAX_BUFFERED_FRAMES);
+    while queue.recv_many(&mut batch, MAX_BUFFERED_FRAMES).await > 0 {
         let mut request = sink.push_request();
         let count = u32::try_from(batch.len()).unwrap_or(u32::MAX);
         let mut list = request.get().init_frames(count);
--- a/almondlock-sidecar/src/ticket.rs
+++ b/almondlock-sidecar/src/ticket.rs
@@ -1,4 +1,5 @@
-//! An attempt's place in the table, from its grant to its outcome.
+//! Runs a granted attempt on the upstream, and takes it out of the table at the
+//! end.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,21 +19,22 @@
 use tracing::Instrument;
 
 use crate::{
+    body::feed_body,
     memory::owner_of,
-    output::{Pusher, Watch},
-    protocol::{Failure, Job, Output, Protocol, feed},
-    pull::pull,
-    service::{DEFAULT_RETRY, Inner, refused},
+    output::{Observer, Pusher},
+    protocol::{Failure, Output, Protocol, Run, feed_channel},
+    sidecar::{DEFAULT_RETRY, Inner, refused_outcome},
 };
 
-/// How a ticket leaves the table when nothing more is said.
+/// What the table is told when the attempt is taken out.
 struct Ending {
     ran: Ran,
     output: Tokens,
 }
 
-/// An attempt's place in the table. Dropping it, at whatever point its entry
-/// host is lost, takes the attempt out and ends its run.
+/// Holds an attempt's entry in the table. Dropping the ticket at any point,
+/// such as when the entry host is lost, takes the attempt out of the table and
+/// ends its run.
 pub(crate) struct Ticket<P>
 where
     P: Protocol,
@@ -45,7 +47,7 @@
     queued: Duration,
     ending: Option<Ending>,
     started: bool,
-    // The death entered in advance, for a suspect.
+    // The death that a suspect request was charged with before its run.
     charge: Option<Blame>,
 }
 
@@ -60,13 +62,13 @@
         let now = clock::mono();
         let mut table = self.inner.table.borrow_mut();
         table.finish(&self.attempt, ending.output, ending.ran, now);
-        table.pump(now);
+        table.grant_waiting(now);
         drop(table);
         if let Some(charge) = self.charge.take() {
             let inner = Rc::clone(&self.inner);
             spawn_local(async move {
-                if inner.protocol.alive().await {
-                    inner.clear(&charge, false).await;
+                if inner.protocol.is_alive().await {
+                    inner.withdraw_charge(&charge, false).await;
                 }
             });
         }
@@ -74,35 +76,38 @@
         if self.started {
             self.inner.memory.release(&id, now);
         } else {
-            self.inner.memory.ended(&id);
+            self.inner.memory.remove(&id);
         }
     }
 }
 
-impl<P> Watch for Ticket<P>
+impl<P> Observer for Ticket<P>
 where
     P: Protocol,
 {
-    fn prefilled(&self) {
+    fn on_prefill_end(&self) {
         let now = clock::mono();
         let mut table = self.inner.table.borrow_mut();
-        table.prefilled(&self.attempt, now);
-        table.pump(now);
+        table.end_prefill(&self.attempt, now);
+        table.grant_waiting(now);
     }
 }
 
-/// Why a run ended.
-pub(crate) enum End {
+/// The reason why a run ended.
+pub(crate) enum Completion {
+    /// The upstream answered, or the run failed.
     Result(Result<Usage, Failure>),
+    /// The deadline of the attempt passed.
     Deadline,
-    GivenUp,
+    /// The entry host cancelled the attempt.
+    Cancelled,
 }
 
 impl<P> Ticket<P>
 where
     P: Protocol,
 {
-    /// The place of an attempt that waits.
+    /// Creates the ticket of an attempt that waits.
     pub(crate) fn new(
         inner: Rc<Inner<P>>,
         attempt: &Attempt,
@@ -125,18 +130,19 @@
         }
     }
 
-    /// Its turn has come.
-    pub(crate) fn granted(&mut self, grant: &Grant<Attempt>) {
+    /// Records that the queue granted the attempt.
+    pub(crate) fn record_grant(&mut self, grant: &Grant<Attempt>) {
         self.priority = grant.priority;
         self.queued = grant.waited;
     }
 
-    /// It was taken out of the table already.
-    pub(crate) fn left(&mut self) {
+    /// Records that the attempt was already taken out of the table, so that
+    /// dropping the ticket does nothing.
+    pub(crate) fn mark_removed(&mut self) {
         self.ending = None;
     }
 
-    /// Runs the attempt to its outcome.
+    /// Runs the attempt on the upstream and returns its outcome.
     pub(crate) async fn run(
         mut self,
         head: &Head,
@@ -149,13 +155,14 @@
             if let Err(code) = self.inner.charge(charge).await {
                 return Outcome::refused(code, Some(DEFAULT_RETRY));
             }
-            // Taken back also when the entry host leaves in the middle.
+            // Stored so that the charge is also withdrawn if the entry host
+            // leaves during the run.
             self.charge = Some(charge.clone());
         }
         let started = self.inner.table.borrow_mut().start(&self.attempt);
         let cancelled = match started {
             Ok(cancelled) => cancelled,
-            Err(refusal) => return refused(refusal),
+            Err(refusal) => return refused_outcome(refusal),
         };
         self.started = true;
         let owner = owner_of(&head.attempt);
@@ -166,7 +173,8 @@
         let now = clock::mono();
         let id = self.attempt.to_string();
         self.inner.memory.open(id, item, &owner, head.lease, now);
-        // Until something better is known: it was handed on.
+        // The engine may run the attempt from here on, so count it as run with
+        // its full output until the outcome is known.
         self.ending = Some(Ending {
             ran: Ran::Yes,
             output: head.output,
@@ -188,58 +196,65 @@
             parent = %context.span(),
         );
         let hop = hop.to_string();
-        let drive = ticket.drive(head, &hop, source, cancelled, &mut pusher);
+        let drive = ticket.run_on_upstream(head, &hop, source, cancelled, &mut pusher);
         let end = drive.instrument(span).await;
         let began = pusher.has_begun();
         let flushed = match &end {
-            // The last frames must be there before the outcome says so.
-            End::Result(Ok(_)) => pusher.flush().await.is_ok(),
+            // The entry host must receive the last frames before the outcome
+            // that says so.
+            Completion::Result(Ok(_)) => pusher.flush().await.is_ok(),
             _ => {
                 drop(pusher);
                 true
             }
         };
         let inner = Rc::clone(&ticket.inner);
-        let mut outcome = inner.judge(end, began, flushed).await;
+        let mut outcome = inner.resolve_outcome(end, began, flushed).await;
         outcome.queued = queued;
         if let Ok(mut ticket) = Rc::try_unwrap(ticket) {
-            ticket.close(&outcome);
+            ticket.record_outcome(&outcome);
         }
         if let Some(charge) = charge
             && !outcome.died
         {
-            inner.clear(&charge, outcome.code.is_none()).await;
+            inner.withdraw_charge(&charge, outcome.code.is_none()).await;
         }
         outcome
     }
 
-    async fn drive(
+    /// Runs the attempt on the upstream until it ends, its deadline passes or it is
+    /// cancelled.
+    async fn run_on_upstream(
         &self,
         head: &Head,
         traceparent: &str,
         source: source::Client,
         cancelled: oneshot::Receiver<()>,
         pusher: &mut Pusher<Ticket<P>>,
-    ) -> End {
+    ) -> Completion {
         let id = self.attempt.to_string();
-        let job = Job {
+        let job = Run {
             head,
             traceparent,
             id: &id,
             priority: self.priority,
         };
-        let (feeder, body) = feed();
+        let (feeder, body) = feed_channel();
         let protocol = &self.inner.protocol;
         let work = async {
             let run = async {
                 let usage = protocol.run(job, body, pusher).await?;
                 let end = Part::End(usage.clone());
-                pusher.put(0, end).await.map_err(|_| Failure::Gone)?;
+                pusher
+                    .put(0, end)
+                    .await
+                    .map_err(|_| Failure::OutputClosed)?;
                 Ok(usage)
             };
-            // The body may be left unread: the answer alone ends the run.
+            // The answer alone ends the run: the upstream may leave the body
+            // unread.
             let feeding = async {
-                pull(head, &source, feeder).await;
+                feed_body(head, &source, feeder).await;
                 std::future::pending::<()>().await;
             };
             tokio::select! {
@@ -249,18 +264,18 @@
         };
         let left = self.deadline.since(clock::mono());
         tokio::select! {
-            result = timeout(left, work) => result.map_or(End::Deadline, End::Result),
-            Ok(()) = cancelled => End::GivenUp,
+            result = timeout(left, work) => result.map_or(Completion::Deadline, Completion::Result),
+            Ok(()) = cancelled => Completion::Cancelled,
         }
     }
 
-    /// Leaves the table in the way the outcome says.
-    fn close(&mut self, outcome: &Outcome) {
+    /// Records the outcome that the table is told when the ticket is dropped.
+    fn record_outcome(&mut self, outcome: &Outcome) {
         self.charge = None;
         if let Some(ending) = &mut self.ending {
             ending.ran = outcome.ran;
         }
-        // A whole answer has left nothing on the engine to cancel.
+        // After a complete answer nothing is left to cancel on the engine.
         self.started = outcome.code.is_some();
     }
 }
