--- a/almondlock-node/src/fetch.rs
+++ b/almondlock-node/src/fetch.rs
@@ -88,8 +88,8 @@
         let rng = SmallRng::seed_from_u64(seed);
         let own = shared.own.address;
         let bounds = parent::Config {
-            stale: pace.stale,
-            pause_limit: pace.search,
+            max_answer_age: pace.stale,
+            max_pause: pace.search,
             ..parent::Config::default()
         };
         Fetcher {
@@ -107,14 +107,14 @@
 
     pub(crate) async fn run(mut self) {
         loop {
-            self.search.learn(&self.shared.view.get().sources);
+            self.search.add_sources(&self.shared.view.get().sources);
             match self.search.step(clock::mono()) {
                 Step::Wait(pause) => sleep(pause).await,
                 Step::Ask(address) => {
                     if let Err(error) = self.ask(address).await {
                         tracing::debug!(%address, %error, "fetching failed");
                         self.leave(address);
-                        self.search.fail(address);
+                        self.search.record_failure(address);
                         sleep(ERROR_PAUSE).await;
                     }
                 }
@@ -141,7 +141,7 @@
         }
         let known = parent.is_some();
         self.parent.replace(self.session.clone().filter(|_| known));
-        self.shared.tree().way = self.search.way();
+        self.shared.tree().way = self.search.path_to_source();
     }
 
     fn leave(&mut self, address: SocketAddr) {
@@ -173,7 +173,7 @@
         self.session = Some(Rc::clone(&session));
         let is_parent = self.search.parent() == Some(address);
         if !is_parent {
-            self.shared.tree().children.announce();
+            self.shared.tree().children.queue_all_members();
         }
         let fetch = self.request(is_parent);
         let sent = clock::mono();
@@ -245,11 +245,15 @@
         };
         let heard = Revision(self.shared.heard.load(Ordering::Relaxed));
         let now = clock::mono();
-        if self.search.answer(now, address, &delta, after, heard) == Verdict::Leave {
+        if self
+            .search
+            .handle_answer(now, address, &delta, after, heard)
+            == Verdict::Leave
+        {
             self.leave(address);
             return Ok(Told::Whole);
         }
-        self.shared.tree().children.delivered(told);
+        self.shared.tree().children.mark_delivered(told);
         self.apply(delta.body)?;
         if let Standing::Served(age, _) = delta.standing {
             self.recent(delta.newest, sent - age);
@@ -260,8 +264,8 @@
     /// At the moment `at`, a source had nothing newer than `newest`. Counted from the
     /// question, so that a slow answer makes nothing look newer than it is.
     fn recent(&mut self, newest: Revision, at: Mono) {
-        self.recency.tell(newest, at);
-        if let Some(at) = self.recency.reach(self.shared.view.revision()) {
+        self.recency.record_source(newest, at);
+        if let Some(at) = self.recency.record_own(self.shared.view.revision()) {
             self.shared.current.at(at);
         }
         self.shared.doubt();
@@ -309,7 +313,7 @@
                 let revision = config.revision;
                 self.shared.view.replace(config);
                 let text = assembly.into_text();
-                self.shared.tree().store.keep(revision, text);
+                self.shared.tree().store.insert_received(revision, text);
             }
             // Begun again, with another parent if there is one.
             Err(error) => {
--- a/almondlock-node/src/node.rs
+++ b/almondlock-node/src/node.rs
@@ -83,8 +83,8 @@
         Pace {
             hold: Duration::from_secs(2),
             silence: Duration::from_secs(2),
-            stale: almondlock_spread::parent::Config::default().stale,
-            search: almondlock_spread::parent::Config::default().pause_limit,
+            stale: almondlock_spread::parent::Config::default().max_answer_age,
+            search: almondlock_spread::parent::Config::default().max_pause,
         }
     }
 }
--- a/almondlock-node/src/server.rs
+++ b/almondlock-node/src/server.rs
@@ -13,7 +13,7 @@
     time::Mono,
     unit::Revision,
 };
-use almondlock_spread::{children::Admission, parent, snapshot::Form};
+use almondlock_spread::{children::Admission, parent, snapshot::Encoding};
 use almondlock_transport::Identity;
 use almondlock_wire::{
     almondlock_capnp::{node, spread},
@@ -173,7 +173,7 @@
                     self.wait(&fetch).await;
                 }
                 (
-                    self.body(fetch.want, Form::of(from.version))?,
+                    self.body(fetch.want, Encoding::for_version(from.version))?,
                     self.standing(came),
                 )
             }
@@ -194,7 +194,7 @@
 
 impl Spread {
     fn is_current(&self) -> bool {
-        self.shared.age(clock::mono()) <= parent::Config::default().stale
+        self.shared.age(clock::mono()) <= parent::Config::default().max_answer_age
     }
 
     /// Waits, as long as a newcomer allows, until this source is current.
@@ -235,11 +235,11 @@
         if others.is_empty() {
             others = self.siblings();
         }
-        let form = Form::of(fetch.report.from.version);
+        let form = Encoding::for_version(fetch.report.from.version);
         let body = self.body(fetch.want, form)?;
         let passes = {
             let mut tree = self.shared.tree();
-            tree.pacer.pass(clock::mono(), size(&body), fetch.wait)
+            tree.pacer.reserve(clock::mono(), size(&body), fetch.wait)
         };
         let Some(pause) = passes else {
             return Ok((Body::Empty, Standing::Full(others)));
@@ -314,7 +314,7 @@
         timeout(limit + limit / HEARD_PART, either).await.ok();
     }
 
-    fn body(&self, want: Want, form: Form) -> Result<Body, capnp::Error> {
+    fn body(&self, want: Want, form: Encoding) -> Result<Body, capnp::Error> {
         let view = &self.shared.view;
         let body = match want {
             Want::Nothing => Ok(Body::Empty),
@@ -330,7 +330,7 @@
         body.map_err(|error| capnp::Error::failed(error.to_string()))
     }
 
-    fn after(&self, have: Revision, form: Form) -> Result<Body, serde_json::Error> {
+    fn after(&self, have: Revision, form: Encoding) -> Result<Body, serde_json::Error> {
         let view = &self.shared.view;
         let mut tree = self.shared.tree();
         if !tree.store.is_shorter(view, form, have)? {
--- a/almondlock-node/tests/other_base.rs
+++ b/almondlock-node/tests/other_base.rs
@@ -76,7 +76,7 @@
         .await;
     }
     // By deltas alone: a whole would have begun the changes kept for others anew.
-    let reaches = |ring: &Ring| ring.reaches(Revision(1));
+    let reaches = |ring: &Ring| ring.has_all_after(Revision(1));
     assert!(node.handle().view().with_ring(reaches));
 }
 
@@ -104,7 +104,7 @@
     until("all have everything", || all_have(&nodes, &view)).await;
     for node in &nodes {
         assert_eq!(text(node), document(51).text());
-        let reaches = |ring: &Ring| ring.reaches(Revision(1));
+        let reaches = |ring: &Ring| ring.has_all_after(Revision(1));
         assert!(node.handle().view().with_ring(reaches));
     }
 }
@@ -134,7 +134,7 @@
         until("it has everything", || all_have(&nodes, &view)).await;
         assert_eq!(text(&nodes[0]), document(missed + 1).text());
         assert_eq!(seen.borrow().last(), Some(&view.revision()));
-        let reaches = |ring: &Ring| ring.reaches(Revision(1));
+        let reaches = |ring: &Ring| ring.has_all_after(Revision(1));
         assert_eq!(nodes[0].handle().view().with_ring(reaches), by_deltas);
     });
 }
--- a/almondlock-spread/src/children.rs
+++ b/almondlock-spread/src/children.rs
@@ -32,22 +32,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Children at one time.
-    pub fanout: usize,
+    pub max_children: usize,
     /// Children of a source from one failure domain.
-    pub per_domain: usize,
+    pub max_children_per_domain: usize,
     /// How long a child's last report counts.
-    pub silence: Duration,
+    pub report_lifetime: Duration,
     /// Processes of the subtree that are known by name.
-    pub members: usize,
+    pub max_members: usize,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            fanout: 12,
-            per_domain: 4,
-            silence: Duration::from_secs(12),
-            members: 8192,
+            max_children: 12,
+            max_children_per_domain: 4,
+            report_lifetime: Duration::from_secs(12),
+            max_members: 8192,
         }
     }
 }
@@ -161,7 +161,7 @@
 
     /// Leaves out whoever has been silent for too long.
     pub fn expire(&mut self, now: Mono) {
-        let silence = self.config.silence;
+        let silence = self.config.report_lifetime;
         self.siblings
             .retain(|_, (_, heard)| now.since(*heard) <= silence);
         let silent = |child: &Child| now.since(child.heard) > silence;
@@ -188,7 +188,7 @@
     }
 
     /// The parent has taken a report.
-    pub fn delivered(&mut self, report: &Report) {
+    pub fn mark_delivered(&mut self, report: &Report) {
         for member in &report.joined {
             self.outbox.own &= member.process != self.own.process;
             self.outbox.joined.remove(&member.process);
@@ -199,7 +199,7 @@
     }
 
     /// A new parent knows nobody: it is told of all.
-    pub fn announce(&mut self) {
+    pub fn queue_all_members(&mut self) {
         let members = self.members.values().map(|known| known.member.clone());
         self.outbox = Outbox {
             own: true,
@@ -292,7 +292,7 @@
             // be no parent for a newer one; then there is room for a few more.
             let fits = |child: &Child| child.open && child.told.from.version >= version;
             let has_fit = self.children.values().any(fits);
-            if has_fit || self.open() >= 4 * self.config.fanout {
+            if has_fit || self.open() >= 4 * self.config.max_children {
                 return Err(others);
             }
         }
@@ -315,8 +315,8 @@
     fn has_room(&self, domain: &Domain) -> bool {
         let open = self.children.values().filter(|child| child.open);
         let same = open.filter(|child| child.member.domain == *domain).count();
-        let part = !self.is_source || same < self.config.per_domain;
-        part && self.open() < self.config.fanout
+        let part = !self.is_source || same < self.config.max_children_per_domain;
+        part && self.open() < self.config.max_children
     }
 
     /// Children that a newcomer may try, best first.
@@ -364,7 +364,7 @@
 
     fn learn(&mut self, member: &Member, via: &Process) {
         let process = &member.process;
-        let fits = self.members.len() < self.config.members;
+        let fits = self.members.len() < self.config.max_members;
         if *process == self.own.process || !(fits || self.members.contains_key(process)) {
             return;
         }
--- a/almondlock-spread/src/pacer.rs
+++ b/almondlock-spread/src/pacer.rs
@@ -22,7 +22,7 @@
 impl Pacer {
     /// When a message of so many bytes may be sent. None: not within `patience`; then it
     /// takes no time from others.
-    pub fn pass(&mut self, now: Mono, bytes: usize, patience: Duration) -> Option<Duration> {
+    pub fn reserve(&mut self, now: Mono, bytes: usize, patience: Duration) -> Option<Duration> {
         let start = self.free.max(now);
         let wait = start.since(now);
         if wait > patience {
--- a/almondlock-spread/src/parent.rs
+++ b/almondlock-spread/src/parent.rs
@@ -27,28 +27,28 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// The oldest answer that a parent may give.
-    pub stale: Duration,
+    pub max_answer_age: Duration,
     /// How long a parent may lack what is known to exist.
-    pub behind: Duration,
+    pub max_lag: Duration,
     /// The first pause after all addresses were tried in vain.
-    pub pause: Duration,
+    pub initial_pause: Duration,
     /// The longest.
-    pub pause_limit: Duration,
+    pub max_pause: Duration,
     /// Longer ways up than this are looked over after a while.
-    pub depth: usize,
+    pub max_depth: usize,
     /// How long that while is.
-    pub settle: Duration,
+    pub depth_grace: Duration,
 }
 
 impl Default for Config {
     fn default() -> Config {
         Config {
-            stale: Duration::from_secs(9),
-            behind: Duration::from_millis(1500),
-            pause: Duration::from_millis(100),
-            pause_limit: Duration::from_secs(2),
-            depth: 4,
-            settle: Duration::from_secs(60),
+            max_answer_age: Duration::from_secs(9),
+            max_lag: Duration::from_millis(1500),
+            initial_pause: Duration::from_millis(100),
+            max_pause: Duration::from_secs(2),
+            max_depth: 4,
+            depth_grace: Duration::from_secs(60),
         }
     }
 }
@@ -149,7 +149,7 @@
     }
 
     /// Sources are known besides those of the settings, which may be gone.
-    pub fn learn(&mut self, sources: &[SocketAddr]) {
+    pub fn add_sources(&mut self, sources: &[SocketAddr]) {
         for source in sources {
             if *source != self.own && !self.sources.contains(source) {
                 self.sources.push(*source);
@@ -167,7 +167,7 @@
     }
 
     /// The way from here up to a source, nearest first.
-    pub fn way(&self) -> Vec<SocketAddr> {
+    pub fn path_to_source(&self) -> Vec<SocketAddr> {
         let Some(parent) = &self.parent else {
             return Vec::new();
         };
@@ -176,7 +176,7 @@
     }
 
     /// The process at an address didn't answer.
-    pub fn fail(&mut self, address: SocketAddr) {
+    pub fn record_failure(&mut self, address: SocketAddr) {
         let way = self.parent.take().map(|parent| parent.way);
         if let Some(way) = way {
             // The address may well answer again later, but not in this round.
@@ -187,7 +187,7 @@
 
     /// The process at an address answered. `heard` is the newest revision known
     /// to exist, `have` the one in force here, the answer's content included.
-    pub fn answer(
+    pub fn handle_answer(
         &mut self,
         now: Mono,
         address: SocketAddr,
@@ -206,7 +206,7 @@
                 // know from the configuration, and may not hand it on.
                 let is_source = self.sources.contains(&address);
                 let older = delta.from.version < self.version && !is_source;
-                if *age > self.config.stale || way.contains(&self.own) || older || lacks {
+                if *age > self.config.max_answer_age || way.contains(&self.own) || older || lacks {
                     self.leave(address, way);
                     return Verdict::Leave;
                 }
@@ -224,8 +224,8 @@
         self.rounds = 0;
         self.next.clear();
         self.tried.clear();
-        let deep = way.len() >= self.config.depth;
-        if deep && now.since(since) > self.config.settle {
+        let deep = way.len() >= self.config.max_depth;
+        if deep && now.since(since) > self.config.depth_grace {
             // Losses only ever push processes down. Looking again from the top
             // bounds the depth; until somebody serves it, the parent of now is
             // among those it is sent to.
@@ -268,7 +268,7 @@
             return false;
         }
         let (revision, since) = *self.behind.get_or_insert((heard, now));
-        delta.newest < revision && now.since(since) > self.config.behind
+        delta.newest < revision && now.since(since) > self.config.max_lag
     }
 
     /// Begins again: first these, then the sources.
@@ -282,9 +282,12 @@
     }
 
     fn pause(&mut self) -> Duration {
-        let doubled = self.config.pause.saturating_mul(1 << self.rounds.min(10));
+        let doubled = self
+            .config
+            .initial_pause
+            .saturating_mul(1 << self.rounds.min(10));
         self.rounds = self.rounds.saturating_add(1);
-        let span = doubled.min(self.config.pause_limit);
+        let span = doubled.min(self.config.max_pause);
         span.mul_f64(self.rng.random_range(0.5..1.0))
     }
 }
--- a/almondlock-spread/src/recency.rs
+++ b/almondlock-spread/src/recency.rs
@@ -25,7 +25,7 @@
     }
 
     /// At the moment `at`, a source had nothing newer than `newest`.
-    pub fn tell(&mut self, newest: Revision, at: Mono) {
+    pub fn record_source(&mut self, newest: Revision, at: Mono) {
         self.oldest.get_or_insert((newest, at));
         if self.newest.is_none_or(|(_, last)| at >= last) {
             self.newest = Some((newest, at));
@@ -34,7 +34,7 @@
 
     /// The process has this revision in force. Gives the last moment at which
     /// that was the newest, if there was one.
-    pub fn reach(&mut self, have: Revision) -> Option<Mono> {
+    pub fn record_own(&mut self, have: Revision) -> Option<Mono> {
         for known in [&mut self.oldest, &mut self.newest] {
             if let Some((_, at)) = known.take_if(|(revision, _)| *revision <= have) {
                 self.current = self.current.max(Some(at));
--- a/almondlock-spread/src/ring.rs
+++ b/almondlock-spread/src/ring.rs
@@ -9,9 +9,9 @@
 use almondlock_base::unit::Revision;
 
 /// Changes kept.
-pub const COUNT: usize = 16_384;
+pub const MAX_CHANGES: usize = 16_384;
 /// Bytes kept.
-pub const BYTES: usize = 4 * 1024 * 1024;
+pub const MAX_BYTES: usize = 4 * 1024 * 1024;
 
 /// The last changes before a revision.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
 
 impl Default for Ring {
     fn default() -> Ring {
-        Ring::new(COUNT, BYTES)
+        Ring::new(MAX_CHANGES, MAX_BYTES)
     }
 }
 
@@ -69,7 +69,7 @@
     }
 
     /// Bytes held.
-    pub fn held(&self) -> usize {
+    pub fn held_bytes(&self) -> usize {
         self.held
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Whether everything after a revision is here.
-    pub fn reaches(&self, have: Revision) -> bool {
+    pub fn has_all_after(&self, have: Revision) -> bool {
         let missed = self.newest.0.checked_sub(have.0);
         missed.is_some_and(|missed| missed <= self.changes.len() as u64)
     }
@@ -90,7 +90,7 @@
     /// The changes after a revision, oldest first, as many as fit `bytes` and
     /// `count` but at least one. `None` when some of them are gone.
     pub fn after(&self, have: Revision, count: usize, bytes: usize) -> Option<Vec<Arc<[u8]>>> {
-        if !self.reaches(have) {
+        if !self.has_all_after(have) {
             return None;
         }
         let missed = usize::try_from(self.newest.0 - have.0).ok()?;
--- a/almondlock-spread/src/snapshot.rs
+++ b/almondlock-spread/src/snapshot.rs
@@ -25,11 +25,11 @@
 use crate::view::View;
 
 /// The largest piece.
-pub const PIECE: usize = 64 * 1024;
+pub const MAX_PIECE_BYTES: usize = 64 * 1024;
 
 /// The largest whole that is accepted. At the target's 1,500 organisations and
 /// 880 upstreams a configuration takes about a megabyte.
-pub const LIMIT: u64 = 32 * 1024 * 1024;
+pub const MAX_SNAPSHOT_BYTES: u64 = 32 * 1024 * 1024;
 
 /// The first version of the inner protocol whose processes read packed snapshots.
 const PACKED_SINCE: u16 = 2;
@@ -42,28 +42,28 @@
 
 /// How a snapshot is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Form {
+pub enum Encoding {
     /// As JSON, which all versions read.
     Plain,
     /// The same, compressed (zlib).
-    Packed,
+    Compressed,
 }
 
-impl Form {
+impl Encoding {
     /// What a process of this version of the inner protocol reads.
-    pub const fn of(version: u16) -> Form {
+    pub const fn for_version(version: u16) -> Encoding {
         if version < PACKED_SINCE {
-            Form::Plain
+            Encoding::Plain
         } else {
-            Form::Packed
+            Encoding::Compressed
         }
     }
 
     fn write(self, config: &Config) -> Result<Arc<[u8]>, serde_json::Error> {
         let text = serde_json::to_vec(config)?;
         Ok(match self {
-            Form::Plain => text.into(),
-            Form::Packed => compress_to_vec_zlib(&text, LEVEL).into(),
+            Encoding::Plain => text.into(),
+            Encoding::Compressed => compress_to_vec_zlib(&text, LEVEL).into(),
         })
     }
 }
@@ -84,7 +84,7 @@
 #[derive(Debug, Default)]
 pub struct Store {
     // Invariant: newest first, at most `KEPT` of each form.
-    kept: HashMap<Form, Vec<Text>>,
+    kept: HashMap<Encoding, Vec<Text>>,
 }
 
 impl Store {
@@ -98,19 +98,19 @@
     pub fn piece(
         &mut self,
         view: &View,
-        form: Form,
+        form: Encoding,
         revision: Revision,
         offset: u64,
     ) -> Result<Piece, serde_json::Error> {
         let begun = usize::try_from(offset).unwrap_or(usize::MAX);
-        self.trim(view);
+        self.evict_unusable(view);
         let kept = self.kept.get(&form).into_iter().flatten();
         let mut kept = kept.filter(|text| text.revision == revision && begun > 0);
         let (text, start) = match kept.find(|text| begun < text.bytes.len()) {
             Some(text) => (text.clone(), begun),
             None => (self.current(view, form, revision)?, 0),
         };
-        let end = text.bytes.len().min(start + PIECE);
+        let end = text.bytes.len().min(start + MAX_PIECE_BYTES);
         Ok(Piece {
             revision: text.revision,
             offset: start as u64,
@@ -120,10 +120,10 @@
     }
 
     /// Keeps a text that came whole from another process, to hand it on.
-    pub fn keep(&mut self, revision: Revision, bytes: Vec<u8>) {
+    pub fn insert_received(&mut self, revision: Revision, bytes: Vec<u8>) {
         let form = match bytes.first() {
-            Some(&PLAIN_START) => Form::Plain,
-            _ => Form::Packed,
+            Some(&PLAIN_START) => Encoding::Plain,
+            _ => Encoding::Compressed,
         };
         let bytes = bytes.into();
         self.put(form, Text { revision, bytes });
@@ -135,27 +135,27 @@
     pub fn is_shorter(
         &mut self,
         view: &View,
-        form: Form,
+        form: Encoding,
         have: Revision,
     ) -> Result<bool, serde_json::Error> {
         let missed = view.with_ring(|ring| ring.bytes_after(have));
         // What fits one answer is the shorter way without looking.
-        Ok(missed > PIECE && self.current(view, form, have)?.bytes.len() < missed)
+        Ok(missed > MAX_PIECE_BYTES && self.current(view, form, have)?.bytes.len() < missed)
     }
 
     /// Bytes held.
-    pub fn held(&self) -> usize {
+    pub fn held_bytes(&self) -> usize {
         let texts = self.kept.values().flatten();
         texts.map(|text| text.bytes.len()).sum()
     }
 
     /// Lets go of snapshots that nobody can use any more.
-    pub fn trim(&mut self, view: &View) {
-        let reaches = |text: &Text| view.with_ring(|ring| ring.reaches(text.revision));
+    pub fn evict_unusable(&mut self, view: &View) {
+        let reaches = |text: &Text| view.with_ring(|ring| ring.has_all_after(text.revision));
         self.kept.values_mut().for_each(|kept| kept.retain(reaches));
     }
 
-    fn put(&mut self, form: Form, text: Text) {
+    fn put(&mut self, form: Encoding, text: Text) {
         let kept = self.kept.entry(form).or_default();
         kept.retain(|other| other.revision < text.revision);
         kept.insert(0, text);
@@ -168,10 +168,10 @@
     fn current(
         &mut self,
         view: &View,
-        form: Form,
+        form: Encoding,
         least: Revision,
     ) -> Result<Text, serde_json::Error> {
-        self.trim(view);
+        self.evict_unusable(view);
         let newest = self.kept.get(&form).and_then(|kept| kept.first());
         let is_near = |text: &&Text| {
             let missed = view.with_ring(|ring| ring.bytes_after(text.revision));
@@ -235,7 +235,7 @@
 
     /// Adds a piece; gives the configuration once it is whole.
     pub fn add(&mut self, piece: &Piece) -> Result<Option<Config>, Error> {
-        if piece.total > LIMIT {
+        if piece.total > MAX_SNAPSHOT_BYTES {
             return Err(Error::TooLarge(piece.total));
         }
         if piece.revision != self.revision || piece.offset == 0 {
@@ -264,7 +264,7 @@
     if text.first() == Some(&PLAIN_START) {
         return Ok(Cow::Borrowed(text));
     }
-    let limit = usize::try_from(LIMIT).unwrap_or(usize::MAX);
+    let limit = usize::try_from(MAX_SNAPSHOT_BYTES).unwrap_or(usize::MAX);
     let text = decompress_to_vec_zlib_with_limit(text, limit);
     text.map(Cow::Owned).map_err(|_| Error::Packed)
 }
--- a/almondlock-spread/tests/forward_only.rs
+++ b/almondlock-spread/tests/forward_only.rs
@@ -58,7 +58,7 @@
             assert!(config.revision >= before);
             assert_eq!(view.revision(), config.revision);
             assert_eq!(*config, at(config.revision.0));
-            assert!(view.with_ring(|ring| ring.reaches(config.revision)));
+            assert!(view.with_ring(|ring| ring.has_all_after(config.revision)));
             before = config.revision;
         }
     }
--- a/almondlock-spread/tests/known_recent.rs
+++ b/almondlock-spread/tests/known_recent.rs
@@ -10,10 +10,10 @@
 #[test]
 fn not_before_it_is_reached() {
     let mut recency = Recency::new();
-    assert_eq!(recency.reach(Revision(9)), None);
-    recency.tell(Revision(5), at(10));
-    assert_eq!(recency.reach(Revision(4)), None);
-    assert_eq!(recency.reach(Revision(5)), Some(at(10)));
+    assert_eq!(recency.record_own(Revision(9)), None);
+    recency.record_source(Revision(5), at(10));
+    assert_eq!(recency.record_own(Revision(4)), None);
+    assert_eq!(recency.record_own(Revision(5)), Some(at(10)));
 }
 
 /// Changes come faster than this process takes them in, so that it always lacks
@@ -23,8 +23,8 @@
 fn always_one_behind() {
     let mut recency = Recency::new();
     for n in 1..100 {
-        recency.tell(Revision(n), at(n * 10));
-        let reached = recency.reach(Revision(n - 1));
+        recency.record_source(Revision(n), at(n * 10));
+        let reached = recency.record_own(Revision(n - 1));
         if n > 2 {
             assert!(reached >= Some(at((n - 2) * 10)), "{n}: {reached:?}");
         }
@@ -35,8 +35,8 @@
 #[test]
 fn never_older() {
     let mut recency = Recency::new();
-    recency.tell(Revision(5), at(50));
-    assert_eq!(recency.reach(Revision(5)), Some(at(50)));
-    recency.tell(Revision(3), at(10));
-    assert_eq!(recency.reach(Revision(5)), Some(at(50)));
+    recency.record_source(Revision(5), at(50));
+    assert_eq!(recency.record_own(Revision(5)), Some(at(50)));
+    recency.record_source(Revision(3), at(10));
+    assert_eq!(recency.record_own(Revision(5)), Some(at(50)));
 }
--- a/almondlock-spread/tests/paced_newcomers.rs
+++ b/almondlock-spread/tests/paced_newcomers.rs
@@ -14,12 +14,12 @@
 fn one_after_another() {
     let mut pacer = Pacer::default();
     let waits: Vec<Duration> = (0..1_000)
-        .map_while(|_| pacer.pass(START, WHOLE, PATIENCE))
+        .map_while(|_| pacer.reserve(START, WHOLE, PATIENCE))
         .collect();
     assert!(waits.is_sorted() && waits[0].is_zero());
     assert!((10..1_000).contains(&waits.len()), "{} passed", waits.len());
     // Those that were sent away take no time: the next may pass once the others are out.
-    assert_eq!(pacer.pass(START, WHOLE, PATIENCE), None);
+    assert_eq!(pacer.reserve(START, WHOLE, PATIENCE), None);
     let later = START + PATIENCE * 2;
-    assert_eq!(pacer.pass(later, WHOLE, PATIENCE), Some(Duration::ZERO));
+    assert_eq!(pacer.reserve(later, WHOLE, PATIENCE), Some(Duration::ZERO));
 }
--- a/almondlock-spread/tests/parent_choice.rs
+++ b/almondlock-spread/tests/parent_choice.rs
@@ -73,7 +73,7 @@
     fn answers(&mut self, from: u16, delta: &Delta, heard: u64) -> Verdict {
         let (have, heard) = (Revision(7), Revision(heard));
         self.search
-            .answer(self.now, address(from), delta, have, heard)
+            .handle_answer(self.now, address(from), delta, have, heard)
     }
 
     /// A parent, 20, below 10, below a source.
@@ -101,7 +101,7 @@
     walk.answers(20, &delta(7, 2, full(&[])), 0);
     assert_eq!(walk.asks(), 11);
     walk.answers(11, &delta(7, 2, served(5, &[source])), 0);
-    assert_eq!(walk.search.way(), [address(11), address(source)]);
+    assert_eq!(walk.search.path_to_source(), [address(11), address(source)]);
 }
 
 /// The parent's host dies. The process goes one step up, and doesn't ask the
@@ -109,7 +109,7 @@
 #[test]
 fn a_dead_parent_is_stepped_over() {
     let mut walk = Walk::settled();
-    walk.search.fail(address(20));
+    walk.search.record_failure(address(20));
     assert_eq!(walk.search.parent(), None);
     assert_eq!(walk.asks(), 10);
     walk.answers(10, &delta(7, 2, full(&[20, 21])), 0);
@@ -160,7 +160,7 @@
         let (have, heard) = (Revision(7 + n), Revision(9 + n));
         let verdict = walk
             .search
-            .answer(walk.now, address(20), &answer, have, heard);
+            .handle_answer(walk.now, address(20), &answer, have, heard);
         assert_eq!(verdict, Verdict::Keep, "{n}");
         walk.now = walk.now + Duration::from_millis(500);
     }
@@ -196,7 +196,7 @@
         match search.step(now) {
             Step::Ask(address) => {
                 asked += 1;
-                search.fail(address);
+                search.record_failure(address);
             }
             Step::Wait(pause) => {
                 now = now + pause;
--- a/almondlock-spread/tests/recent_changes.rs
+++ b/almondlock-spread/tests/recent_changes.rs
@@ -17,8 +17,8 @@
 )]
 fn bounded(ring: Ring, oldest: u64) {
     assert_eq!(ring.newest(), Revision(10));
-    assert!(ring.reaches(Revision(oldest)));
-    assert!(oldest == 0 || !ring.reaches(Revision(oldest - 1)));
+    assert!(ring.has_all_after(Revision(oldest)));
+    assert!(oldest == 0 || !ring.has_all_after(Revision(oldest - 1)));
     let after = ring.after(Revision(oldest), 100, 1000).unwrap();
     assert_eq!(after.len() as u64, 10 - oldest);
     assert_eq!(&*after[0], format!("{oldest:04}").as_bytes());
@@ -38,7 +38,7 @@
 /// nothing, and the parent must not take it for somebody far behind.
 #[test]
 fn the_future_is_not_here() {
-    assert!(!ring(100, 1000, 10).reaches(Revision(11)));
+    assert!(!ring(100, 1000, 10).has_all_after(Revision(11)));
     assert_eq!(
         ring(100, 1000, 10).after(Revision(10), 9, 9).unwrap().len(),
         0
@@ -49,6 +49,6 @@
 fn a_reset_forgets() {
     let mut ring = ring(100, 1000, 10);
     ring.reset(Revision(50));
-    assert!(ring.reaches(Revision(50)) && !ring.reaches(Revision(49)));
-    assert_eq!(ring.held(), 0);
+    assert!(ring.has_all_after(Revision(50)) && !ring.has_all_after(Revision(49)));
+    assert_eq!(ring.held_bytes(), 0);
 }
--- a/almondlock-spread/tests/snapshot_pieces.rs
+++ b/almondlock-spread/tests/snapshot_pieces.rs
@@ -7,7 +7,7 @@
     unit::Revision,
 };
 use almondlock_spread::{
-    snapshot::{Assembly, Form, LIMIT, PIECE, Store},
+    snapshot::{Assembly, Encoding, MAX_PIECE_BYTES, MAX_SNAPSHOT_BYTES, Store},
     view::View,
 };
 use almondlock_state::{
@@ -24,8 +24,10 @@
 
 fn fetch(store: &mut Store, view: &View, assembly: &mut Assembly) -> Option<Config> {
     let (revision, offset) = assembly.next();
-    let piece = store.piece(view, Form::Plain, revision, offset).unwrap();
-    assert!(piece.data.len() <= PIECE);
+    let piece = store
+        .piece(view, Encoding::Plain, revision, offset)
+        .unwrap();
+    assert!(piece.data.len() <= MAX_PIECE_BYTES);
     assembly.add(&piece).unwrap()
 }
 
@@ -84,7 +86,9 @@
     let (mut store, mut assembly) = (Store::new(), Assembly::new());
     let config = loop {
         let (revision, offset) = assembly.next();
-        let piece = store.piece(&view, Form::Packed, revision, offset).unwrap();
+        let piece = store
+            .piece(&view, Encoding::Compressed, revision, offset)
+            .unwrap();
         if let Some(config) = assembly.add(&piece).unwrap() {
             break config;
         }
@@ -92,9 +96,11 @@
     let (below, mut next) = (View::new(), Store::new());
     let text = assembly.into_text();
     below.replace(config);
-    next.keep(below.revision(), text.clone());
-    assert_eq!(next.held(), text.len());
-    let piece = next.piece(&below, Form::Packed, Revision::ZERO, 0).unwrap();
+    next.insert_received(below.revision(), text.clone());
+    assert_eq!(next.held_bytes(), text.len());
+    let piece = next
+        .piece(&below, Encoding::Compressed, Revision::ZERO, 0)
+        .unwrap();
     assert_eq!(piece.data[..], text[..piece.data.len()]);
 }
 
@@ -126,19 +132,19 @@
     let mut store = Store::new();
     assert!(
         !store
-            .is_shorter(&view, Form::Plain, Revision(2999))
+            .is_shorter(&view, Encoding::Plain, Revision(2999))
             .unwrap()
     );
     let again = |n| Change::Setting("same".into(), Some(format!("{n:0>200}")));
     view.extend(view.revision().next(), (0..5000).map(again));
     assert!(
         !store
-            .is_shorter(&view, Form::Plain, Revision(7999))
+            .is_shorter(&view, Encoding::Plain, Revision(7999))
             .unwrap()
     );
     assert!(
         store
-            .is_shorter(&view, Form::Plain, Revision(3000))
+            .is_shorter(&view, Encoding::Plain, Revision(3000))
             .unwrap()
     );
 }
@@ -161,8 +167,12 @@
     let change = |n| Change::Instance(name(n), Some(instance(n)));
     assert!(view.extend(Revision(1), (0..3_000).map(change)));
     let mut store = Store::new();
-    let plain = store.piece(&view, Form::Plain, Revision::ZERO, 0).unwrap();
-    let packed = store.piece(&view, Form::Packed, Revision::ZERO, 0).unwrap();
+    let plain = store
+        .piece(&view, Encoding::Plain, Revision::ZERO, 0)
+        .unwrap();
+    let packed = store
+        .piece(&view, Encoding::Compressed, Revision::ZERO, 0)
+        .unwrap();
     assert!(
         packed.total * 5 < plain.total,
         "{} {}",
@@ -172,7 +182,9 @@
     let mut assembly = Assembly::new();
     let config = loop {
         let (revision, offset) = assembly.next();
-        let piece = store.piece(&view, Form::Packed, revision, offset).unwrap();
+        let piece = store
+            .piece(&view, Encoding::Compressed, revision, offset)
+            .unwrap();
         if let Some(config) = assembly.add(&piece).unwrap() {
             break config;
         }
@@ -183,11 +195,11 @@
 /// An older process can't unpack, and is given what it reads.
 #[test]
 fn older_reader() {
-    assert_eq!(Form::of(1), Form::Plain);
-    assert_eq!(Form::of(VERSION), Form::Packed);
+    assert_eq!(Encoding::for_version(1), Encoding::Plain);
+    assert_eq!(Encoding::for_version(VERSION), Encoding::Compressed);
     let view = View::new();
     extend(&view, 1);
-    let piece = Store::new().piece(&view, Form::of(1), Revision::ZERO, 0);
+    let piece = Store::new().piece(&view, Encoding::for_version(1), Revision::ZERO, 0);
     assert_eq!(piece.unwrap().data[0], b'{');
 }
 
@@ -205,7 +217,7 @@
     other.revision = Revision(2);
     assert!(begun.add(&other).is_err());
     let refused = |piece| Assembly::new().add(&piece).is_err();
-    assert!(refused(piece(0, LIMIT + 1, b"x")));
+    assert!(refused(piece(0, MAX_SNAPSHOT_BYTES + 1, b"x")));
     assert!(refused(piece(5, 10, b"x")));
     assert!(refused(piece(0, 10, b"")));
     assert!(refused(piece(0, 1, b"xy")));
--- a/almondlock-spread/tests/subtree_report.rs
+++ b/almondlock-spread/tests/subtree_report.rs
@@ -223,7 +223,7 @@
     let mut second = report(2, 5);
     second.joined.extend((200..260).map(|n| member(n, "d")));
     admit(&mut children, NOW, second);
-    children.announce();
+    children.queue_all_members();
     let told = children.report(peer(9000, 5));
     assert_eq!(told, children.report(peer(9000, 5)));
     assert!(told.joined.contains(&member(9000, "d")) && children.has_backlog());
@@ -234,7 +234,7 @@
         if told.joined.is_empty() {
             break;
         }
-        children.delivered(&told);
+        children.mark_delivered(&told);
     }
     assert_eq!(all, 1 + 2 + 120);
     let later = NOW + Duration::from_secs(13);
