--- a/almondlock-state/src/plan/risk.rs
+++ b/almondlock-state/src/plan/risk.rs
@@ -16,6 +16,9 @@
 const CATCH_UP_SECONDS: u64 = 60;
 
 /// Assesses the consequences of steps. Those of upgrades are added by [`add_upgrades`].
+///
+/// The texts of a risk are computed when a proposal is applied, and are kept in its plan. They
+/// are part of the replicated state and must be the same on all replicas, of any build.
 pub(super) fn assess(tables: &Tables, steps: &[Step]) -> Risk {
     let mut risk = Risk {
         seconds: CONFIG_SPREAD_SECONDS,
@@ -49,7 +52,7 @@
                 .map_or(0, |known| known.keys.len());
             if new.keys.is_empty() && keys > 0 {
                 risk.warnings
-                    .push("its last key is removed: it can't send requests".to_owned());
+                    .push("its last key goes: it can't send anything".to_owned());
             }
         }
         Change::Model(name, None) => {
@@ -95,7 +98,7 @@
     risk.capacity_left = Some(percent(left, total));
     if left == 0 {
         risk.warnings
-            .push("no other upstream serves the same model or service".to_owned());
+            .push("nothing is left that serves the same".to_owned());
     }
 }
 
@@ -140,18 +143,19 @@
         }
     }
     risk.affected
-        .push(format!("control: {} replicas afterwards", after.len()));
+        .push(format!("control: {} replicas after it", after.len()));
     for domain in critical_domains(&after) {
         risk.warnings
             .push(format!("the loss of {domain} would then leave no majority"));
     }
     if after.len().is_multiple_of(2) {
         risk.warnings
-            .push("an even number of replicas tolerates no more losses than one less".to_owned());
+            .push("an even number of replicas bears no more losses than one less".to_owned());
     }
 }
 
-/// Adds the consequences of upgrading `upstreams`, `width` of them at a time.
+/// Adds the consequences of upgrading `upstreams`, `width` of them at a time. The text of the
+/// warning is part of the replicated state too; see [`assess`].
 pub(super) fn add_upgrades(
     config: &Config,
     model: &Model,
