--- a/almondlock-spread/src/children.rs
+++ b/almondlock-spread/src/children.rs
@@ -1,20 +1,21 @@
-//! Whom a process serves, and what it reports of all below it.
+//! The children that a process serves, and the report about its subtree.
 //!
-//! A process serves a bounded number of others. Whoever comes when it is full
-//! is sent on to one of those it serves: one in the same failure domain if
-//! there is one, else in the same region, and among equals the one with the
-//! fewest processes below it. A child that holds no configuration yet is named to nobody:
-//! after a start of all processes the tree grows from the top. A source keeps no failure domain from having
-//! children of its own directly: each may take only a part of its places.
+//! A process serves a bounded number of children. A newcomer that finds it full is
+//! redirected to one of its children: one in the same failure domain if there is one,
+//! else one in the same region, and among equals the one with the fewest processes
+//! below it. Newcomers are never redirected to a child that has no configuration yet, so
+//! after a start of all processes the tree grows from the top. On a source the children
+//! of one failure domain may take only part of the places, so that every failure domain
+//! can have direct children of a source.
 //!
-//! A report sums up a subtree: the lowest revision in it, how many processes it
-//! has, who is furthest behind, who appeared and who is gone. What a child last
-//! reported counts until the child has been silent for [`Config::silence`],
-//! also when its session is known to have ended: it may live and act on what it
-//! has. After that span it no longer holds itself for recent (see
-//! [`recency`](crate::recency)), so leaving it out hides nobody who acts as if
-//! he were current. A child that moves to another parent counts twice for that
-//! span, never not at all.
+//! A report sums up a subtree: the lowest revision in it, the number of its processes,
+//! the processes furthest behind, and those that joined and left. A child's last report
+//! counts until the child has been silent for [`Config::report_lifetime`], even if its
+//! session is known to have ended: the process may still run and act on its
+//! configuration. After that time it no longer considers its configuration recent (see
+//! [`recency`](crate::recency)), so leaving it out of the report hides no process that
+//! acts as if it were current. A child that moves to another parent is counted twice
+//! during that time, but never left out.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -28,16 +29,17 @@
     spread::{ADDRESSES, Fetch, LAGGARDS, Member, NEWS, Process, Report, Want},
 };
 
-/// Bounds of what one process serves.
+/// Limits on the children and the known members of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Children at one time.
+    /// Maximum number of children with an open session, exceeded only while children
+    /// speak different versions.
     pub max_children: usize,
-    /// Children of a source from one failure domain.
+    /// Maximum number of children of a source from one failure domain.
     pub max_children_per_domain: usize,
-    /// How long a child's last report counts.
+    /// Time for which the last report of a silent child counts.
     pub report_lifetime: Duration,
-    /// Processes of the subtree that are known by name.
+    /// Maximum number of processes of the subtree that are kept by name.
     pub max_members: usize,
 }
 
@@ -52,49 +54,51 @@
     }
 }
 
-/// What becomes of a fetch.
+/// The decision on a fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is served.
+    /// The fetch is served.
     Served,
-    /// It is not; these may serve it.
+    /// The fetch is refused; the processes at these addresses may serve it.
     Full(Vec<SocketAddr>),
 }
 
-/// What a source knows of all processes.
+/// What a source knows about all processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Summary {
-    /// The lowest revision in force anywhere.
+    /// The lowest revision in force in any process.
     pub lowest: Revision,
-    /// How many processes there are.
+    /// Number of processes.
     pub processes: u32,
-    /// Some of those furthest behind.
+    /// Some of the processes that are furthest behind.
     pub laggards: Vec<Peer>,
-    /// How many sources take part, this one included.
+    /// Number of sources that take part, including this one.
     pub sources: usize,
 }
 
 struct Child {
     member: Member,
-    // What it last reported; `joined` and `left` are worked off on arrival.
-    told: Report,
-    heard: Mono,
+    // The last report, without `joined` and `left`, which are processed on arrival.
+    last_report: Report,
+    last_heard: Mono,
     open: bool,
-    // It has a configuration, which it had before or was given here.
-    holds: bool,
-    // Newcomers sent to it since it last reported: its own count lags.
-    handed: u32,
+    // Whether the child has a configuration, of its own or received from here.
+    has_config: bool,
+    // Newcomers redirected to the child since its last report, which can't count them.
+    redirected: u32,
 }
 
-struct Known {
+/// A process below this one.
+struct Descendant {
     member: Member,
-    /// The child through which it was reported.
+    /// The child that reported the process.
     via: Process,
 }
 
-/// What the parent has not been told yet.
+/// Changes that have not been reported to the parent yet.
 #[derive(Default)]
 struct Outbox {
+    // Whether this process itself is still to be reported as joined.
     own: bool,
     joined: BTreeMap<Process, Member>,
     left: BTreeSet<Process>,
@@ -106,14 +110,14 @@
     own: Member,
     is_source: bool,
     children: BTreeMap<Process, Child>,
-    // The other sources, as they last reported, on a source.
+    // On a source: the last report of each other source, and when it arrived.
     siblings: BTreeMap<Process, (Report, Mono)>,
-    members: HashMap<Process, Known>,
+    members: HashMap<Process, Descendant>,
     outbox: Outbox,
 }
 
 impl Children {
-    /// No children yet.
+    /// Creates the state of a process without children.
     pub fn new(config: Config, own: Member, is_source: bool) -> Children {
         Children {
             config,
@@ -126,59 +130,61 @@
         }
     }
 
-    /// Takes a fetch's report, and decides whether its sender is served.
+    /// Records the report in a fetch, and decides whether its sender is served.
     pub fn admit(&mut self, now: Mono, fetch: &Fetch) -> Admission {
         self.expire(now);
         let report = &fetch.report;
         let process = Process::of(&report.from);
         if fetch.want == Want::Nothing {
-            return self.exchange(now, process, report);
+            return self.record_sibling(now, process, report);
         }
         if report.processes == 0 {
-            self.end(&process);
+            self.end_child(&process);
             return Admission::Full(Vec::new());
         }
         let is_known = self.children.contains_key(&process);
-        if !is_known && let Err(others) = self.newcomer(now, &process, report) {
+        if !is_known && let Err(others) = self.add_child(now, &process, report) {
             return Admission::Full(others);
         }
-        // Who asks for what comes after its revision has all up to there; at first that
-        // may be nothing.
-        let holds = matches!(fetch.want, Want::After(have) if is_known || have > Revision::ZERO);
-        self.update(now, &process, report);
+        // A process that asks for the changes after a revision has everything up to that
+        // revision. In its first fetch the revision may be zero: it has nothing yet.
+        let has_config =
+            matches!(fetch.want, Want::After(have) if is_known || have > Revision::ZERO);
+        self.record_report(now, &process, report);
         if let Some(child) = self.children.get_mut(&process) {
-            child.holds |= holds;
+            child.has_config |= has_config;
         }
         Admission::Served
     }
 
-    /// A child's session has ended.
+    /// Records that a child's session has ended.
     pub fn close(&mut self, process: &Process) {
         if let Some(child) = self.children.get_mut(process) {
             child.open = false;
         }
     }
 
-    /// Leaves out whoever has been silent for too long.
+    /// Removes children and other sources that have been silent for longer than
+    /// [`Config::report_lifetime`].
     pub fn expire(&mut self, now: Mono) {
         let silence = self.config.report_lifetime;
         self.siblings
-            .retain(|_, (_, heard)| now.since(*heard) <= silence);
-        let silent = |child: &Child| now.since(child.heard) > silence;
+            .retain(|_, (_, last_heard)| now.since(*last_heard) <= silence);
+        let silent = |child: &Child| now.since(child.last_heard) > silence;
         let gone: Vec<Process> = self
             .children
             .iter()
             .filter(|(_, child)| silent(child))
             .map(|(process, _)| process.clone())
             .collect();
-        gone.iter().for_each(|process| self.forget(process));
+        gone.iter().for_each(|process| self.remove_child(process));
     }
 
-    /// What the parent is told now; `from` is this process.
+    /// Returns the report to the parent; `from` is this process.
     pub fn report(&self, from: Peer) -> Report {
         let mut report = Report::alone(from);
         for child in self.children.values() {
-            merge(&mut report, &child.told);
+            add_subtree(&mut report, &child.last_report);
         }
         let own = self.outbox.own.then(|| self.own.clone());
         let joined = self.outbox.joined.values().cloned();
@@ -187,7 +193,7 @@
         report
     }
 
-    /// The parent has taken a report.
+    /// Records that the parent has received a report.
     pub fn mark_delivered(&mut self, report: &Report) {
         for member in &report.joined {
             self.outbox.own &= member.process != self.own.process;
@@ -198,7 +204,8 @@
         }
     }
 
-    /// A new parent knows nobody: it is told of all.
+    /// Queues all known members for the next reports, since a new parent knows none of
+    /// them.
     pub fn queue_all_members(&mut self) {
         let members = self.members.values().map(|known| known.member.clone());
         self.outbox = Outbox {
@@ -208,17 +215,17 @@
         };
     }
 
-    /// Whether more is to be told than fits one report.
+    /// Returns true if there are more changes to report than fit one report.
     pub fn has_backlog(&self) -> bool {
         self.outbox.joined.len() >= NEWS || self.outbox.left.len() > NEWS
     }
 
-    /// What is known of all processes, on a source; `from` is this process.
+    /// Returns what a source knows about all processes; `from` is this process.
     pub fn summary(&mut self, now: Mono, from: Peer) -> Summary {
         self.expire(now);
         let mut report = self.report(from);
-        for (told, _) in self.siblings.values() {
-            merge(&mut report, told);
+        for (last_report, _) in self.siblings.values() {
+            add_subtree(&mut report, last_report);
         }
         Summary {
             lowest: report.lowest,
@@ -228,39 +235,40 @@
         }
     }
 
-    /// The processes below that are known by name.
+    /// Returns the processes of the subtree that are known by name, without this one.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|known| &known.member)
     }
 
-    /// The lowest revision in force here and below.
+    /// Returns the lowest revision in force in the subtree; `own` is this process's.
     pub fn lowest(&self, own: Revision) -> Revision {
-        let below = self.children.values().map(|child| &child.told);
+        let below = self.children.values().map(|child| &child.last_report);
         below
-            .map(|told| told.lowest.min(told.from.revision))
+            .map(|last_report| last_report.lowest.min(last_report.from.revision))
             .fold(own, Revision::min)
     }
 
-    /// The lowest revision in force in any process that is known, on a source, which
-    /// has `own` itself.
+    /// Returns the lowest revision in force in any known process, on a source; `own` is
+    /// this process's.
     pub fn lowest_of_all(&self, own: Revision) -> Revision {
         let siblings = self.siblings.values();
         siblings
-            .map(|(told, _)| told.lowest.min(told.from.revision))
+            .map(|(last_report, _)| last_report.lowest.min(last_report.from.revision))
             .fold(self.lowest(own), Revision::min)
     }
 
-    /// How many children there are.
+    /// Returns the number of children, including those whose session has ended.
     pub fn len(&self) -> usize {
         self.children.len()
     }
 
-    /// Whether there are none.
+    /// Returns true if there are no children.
     pub fn is_empty(&self) -> bool {
         self.children.is_empty()
     }
 
-    fn exchange(&mut self, now: Mono, process: Process, report: &Report) -> Admission {
+    /// Records the report of another source.
+    fn record_sibling(&mut self, now: Mono, process: Process, report: &Report) -> Admission {
         if !self.is_source {
             return Admission::Full(Vec::new());
         }
@@ -268,47 +276,47 @@
         Admission::Served
     }
 
-    /// Makes room for a process that is no child yet, or says who else may.
-    fn newcomer(
+    /// Adds a process as a child, or returns the addresses of others that may serve it.
+    fn add_child(
         &mut self,
         now: Mono,
         process: &Process,
         report: &Report,
     ) -> Result<(), Vec<SocketAddr>> {
-        // Who doesn't say where it is was forgotten here and doesn't know it:
-        // sent away, it starts anew and says all of it.
+        // A process that doesn't send its address was removed here and doesn't know it.
+        // Once refused, it starts again and sends its whole subtree.
         let own = report.joined.iter().find(|m| m.process == *process);
         let member = own.cloned().ok_or_else(Vec::new)?;
-        // Another life at the same address: the address is bound by the new
-        // one, so the old one is over.
+        // An earlier incarnation at the same address has ended, since the new one has
+        // bound the address.
         let there = |child: &Child| child.member.address == member.address;
         let old = self.children.iter().filter(|(_, child)| there(child));
         let old: Vec<Process> = old.map(|(process, _)| process.clone()).collect();
-        old.iter().for_each(|process| self.end(process));
+        old.iter().for_each(|process| self.end_child(process));
         if !self.has_room(&member.domain) {
             let version = report.from.version;
-            let others = self.others(&member, version);
-            // While versions differ everyone below may speak an older one and
-            // be no parent for a newer one; then there is room for a few more.
-            let fits = |child: &Child| child.open && child.told.from.version >= version;
+            let others = self.redirect_targets(&member, version);
+            // During an upgrade all children may speak an older version, and so can't be
+            // the parent of a newer process. Then a few more children are taken.
+            let fits = |child: &Child| child.open && child.last_report.from.version >= version;
             let has_fit = self.children.values().any(fits);
-            if has_fit || self.open() >= 4 * self.config.max_children {
+            if has_fit || self.open_count() >= 4 * self.config.max_children {
                 return Err(others);
             }
         }
         let child = Child {
             member,
-            told: report.clone(),
-            heard: now,
+            last_report: report.clone(),
+            last_heard: now,
             open: true,
-            holds: false,
-            handed: 0,
+            has_config: false,
+            redirected: 0,
         };
         self.children.insert(process.clone(), child);
         Ok(())
     }
 
-    fn open(&self) -> usize {
+    fn open_count(&self) -> usize {
         self.children.values().filter(|child| child.open).count()
     }
 
@@ -316,59 +324,63 @@
         let open = self.children.values().filter(|child| child.open);
         let same = open.filter(|child| child.member.domain == *domain).count();
         let part = !self.is_source || same < self.config.max_children_per_domain;
-        part && self.open() < self.config.max_children
+        part && self.open_count() < self.config.max_children
     }
 
-    /// Children that a newcomer may try, best first.
-    fn others(&mut self, newcomer: &Member, version: u16) -> Vec<SocketAddr> {
+    /// Returns the addresses of children that a newcomer may try, best first.
+    fn redirect_targets(&mut self, newcomer: &Member, version: u16) -> Vec<SocketAddr> {
         let mut others: Vec<&mut Child> = self
             .children
             .values_mut()
-            .filter(|child| child.open && child.told.from.version >= version)
-            .filter(|child| child.holds)
+            .filter(|child| child.open && child.last_report.from.version >= version)
+            .filter(|child| child.has_config)
             .collect();
         others.sort_by_key(|child| {
             let domain = child.member.domain != newcomer.domain;
             let region = child.member.region != newcomer.region;
-            (region, domain, child.told.processes + child.handed)
+            (
+                region,
+                domain,
+                child.last_report.processes + child.redirected,
+            )
         });
         if let Some(best) = others.first_mut() {
-            best.handed += 1;
+            best.redirected += 1;
         }
         let addresses = others.iter().map(|child| child.member.address);
         addresses.take(ADDRESSES / 2).collect()
     }
 
-    fn update(&mut self, now: Mono, process: &Process, report: &Report) {
+    fn record_report(&mut self, now: Mono, process: &Process, report: &Report) {
         if let Some(child) = self.children.get_mut(process) {
-            child.told = Report {
+            child.last_report = Report {
                 joined: Vec::new(),
                 left: Vec::new(),
                 ..report.clone()
             };
-            child.heard = now;
+            child.last_heard = now;
             child.open = true;
-            child.handed = 0;
+            child.redirected = 0;
         }
         for member in &report.joined {
-            self.learn(member, process);
+            self.add_member(member, process);
         }
         for gone in &report.left {
-            // Who moved from this child to another is known through that one
-            // by now, and is not gone.
+            // A process that moved to another child is known through that child by now,
+            // and has not left.
             if self.members.get(gone).is_some_and(|m| m.via == *process) {
-                self.lose(gone);
+                self.remove_member(gone);
             }
         }
     }
 
-    fn learn(&mut self, member: &Member, via: &Process) {
+    fn add_member(&mut self, member: &Member, via: &Process) {
         let process = &member.process;
         let fits = self.members.len() < self.config.max_members;
         if *process == self.own.process || !(fits || self.members.contains_key(process)) {
             return;
         }
-        let known = Known {
+        let known = Descendant {
             member: member.clone(),
             via: via.clone(),
         };
@@ -379,7 +391,7 @@
         }
     }
 
-    fn lose(&mut self, process: &Process) {
+    fn remove_member(&mut self, process: &Process) {
         self.members.remove(process);
         if !self.is_source {
             self.outbox.joined.remove(process);
@@ -387,30 +399,33 @@
         }
     }
 
-    /// A child is over, by its own word or its successor's. What was below it
-    /// may live on and not be anybody's child yet: it counts until it would
-    /// have lapsed.
-    fn end(&mut self, process: &Process) {
+    /// Ends a child that said that it leaves or was succeeded by a new incarnation. The
+    /// processes below it may still run and have no new parent yet: they count until
+    /// the child's last report expires.
+    fn end_child(&mut self, process: &Process) {
         match self.children.get_mut(process) {
-            Some(child) if child.told.processes > 1 => child.open = false,
-            _ => self.forget(process),
+            Some(child) if child.last_report.processes > 1 => child.open = false,
+            _ => self.remove_child(process),
         }
     }
 
-    fn forget(&mut self, child: &Process) {
+    fn remove_child(&mut self, child: &Process) {
         self.children.remove(child);
         let below = self.members.iter().filter(|(_, m)| m.via == *child);
         let below: Vec<Process> = below.map(|(process, _)| process.clone()).collect();
-        below.iter().for_each(|process| self.lose(process));
+        below.iter().for_each(|process| self.remove_member(process));
     }
 }
 
-/// Adds a subtree to a report.
-fn merge(report: &mut Report, told: &Report) {
-    report.lowest = report.lowest.min(told.lowest).min(told.from.revision);
-    report.processes = report.processes.saturating_add(told.processes);
-    report.laggards.extend(told.laggards.iter().cloned());
-    report.laggards.push(told.from.clone());
+/// Adds the report of a subtree to a report.
+fn add_subtree(report: &mut Report, last_report: &Report) {
+    report.lowest = report
+        .lowest
+        .min(last_report.lowest)
+        .min(last_report.from.revision);
+    report.processes = report.processes.saturating_add(last_report.processes);
+    report.laggards.extend(last_report.laggards.iter().cloned());
+    report.laggards.push(last_report.from.clone());
     let newest = report.from.revision;
     report.laggards.retain(|peer| peer.revision < newest);
     report.laggards.sort_by_key(|peer| peer.revision);
--- a/almondlock-spread/src/parent.rs
+++ b/almondlock-spread/src/parent.rs
@@ -1,17 +1,16 @@
-//! Whom a process asks for what is new.
+//! Selects the parent that a process asks for new changes.
 //!
-//! It starts at a source, in random order so that newcomers spread over all of
-//! them, and goes down the tree from one that is full to one that it is sent
-//! to, until somebody serves it. It stays there until its parent falls silent,
-//! refuses, is cut off from the sources, is behind, or turns out to stand below
-//! it. Then it tries the parent's own way up, nearest first, and the sources
-//! after that.
+//! A process starts with the sources, in random order so that newcomers spread over all
+//! of them. A full process redirects it to others further down the tree, until one serves
+//! it. It stays with that parent until the parent doesn't answer, refuses, is cut off from
+//! the sources, lags behind, or turns out to be below it in the tree. Then it tries the
+//! processes on the parent's path to a source, nearest first, and then the sources.
 //!
-//! **No lasting cycles.** Each answer carries the sender's way up to a source.
-//! Whoever finds its own address there leaves at once. Should the way be wrong,
-//! as in the moment when two processes take each other for a parent, the answer's
-//! age still grows: only a source starts it at nothing, so in a cycle nobody
-//! hears of a young answer and all of them leave.
+//! **No lasting cycles.** Each answer carries the sender's path to a source. A process that
+//! finds its own address there leaves the parent at once. If the path is wrong, as when two
+//! processes have just taken each other for a parent, the answer's age still grows: only a
+//! source starts it at zero, so no process in a cycle gets a young answer, and all of them
+//! leave.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -23,20 +22,20 @@
 use almondlock_wire::spread::{ADDRESSES, Delta, Standing};
 use rand::{Rng, seq::SliceRandom};
 
-/// Bounds of the search.
+/// Limits of the search for a parent.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// The oldest answer that a parent may give.
+    /// Maximum age of a parent's answer, since a source started it.
     pub max_answer_age: Duration,
-    /// How long a parent may lack what is known to exist.
+    /// Time for which a parent may lack a revision that is known to exist.
     pub max_lag: Duration,
-    /// The first pause after all addresses were tried in vain.
+    /// Pause after the first round in which no address served this process.
     pub initial_pause: Duration,
-    /// The longest.
+    /// Longest pause; each round without success doubles the pause up to it.
     pub max_pause: Duration,
-    /// Longer ways up than this are looked over after a while.
+    /// Length of the parent's path to a source from which the search is repeated.
     pub max_depth: usize,
-    /// How long that while is.
+    /// Time with a parent of that depth after which the search is repeated.
     pub depth_grace: Duration,
 }
 
@@ -53,16 +52,16 @@
     }
 }
 
-/// What to do next.
+/// The next step of the search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Ask the process at this address.
     Ask(SocketAddr),
-    /// Wait.
+    /// Wait for this time.
     Wait(Duration),
 }
 
-/// What an answer came to.
+/// Whether an answer is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The sender is the parent, and its answer counts.
@@ -77,22 +76,22 @@
     way: Vec<SocketAddr>,
 }
 
-/// The search for a parent.
+/// The search for a parent, and the parent once it is found.
 pub struct Search<R> {
     config: Config,
     own: SocketAddr,
     version: u16,
     sources: Vec<SocketAddr>,
     parent: Option<Parent>,
-    // Invariant: none of these was tried in this round.
+    // Addresses to try in this round.
     next: VecDeque<SocketAddr>,
     tried: BTreeSet<SocketAddr>,
-    // Rounds in vain, and when the next one may start.
+    // Number of rounds without success, and when the next may start.
     rounds: u32,
     resume: Mono,
-    // A revision known to exist and not in force here, and since when. Not the
-    // newest such: where changes never end there is always a newer one, and a
-    // parent that hands on each of them would be held for lagging.
+    // A revision that is known to exist and not in force here, and since when. This is
+    // not the newest such revision: under constant changes there is always a newer one,
+    // and a parent that passes on each of them would be taken for lagging.
     behind: Option<(Revision, Mono)>,
     rng: R,
 }
@@ -101,7 +100,7 @@
 where
     R: Rng,
 {
-    /// Starts at the sources. `own` is this process's address, `version` the
+    /// Starts a search at the sources. `own` is this process's address, `version` the
     /// version of the inner protocol that it speaks.
     pub fn new(
         config: Config,
@@ -128,7 +127,7 @@
         search
     }
 
-    /// Whom to ask now.
+    /// Returns which process to ask now, or how long to wait.
     pub fn step(&mut self, now: Mono) -> Step {
         if let Some(parent) = &self.parent {
             return Step::Ask(parent.address);
@@ -142,31 +141,31 @@
                 return Step::Ask(address);
             }
         }
-        let pause = self.pause();
+        let pause = self.next_pause();
         self.start_round(&[]);
         self.resume = now + pause;
         Step::Wait(pause)
     }
 
-    /// Sources are known besides those of the settings, which may be gone.
+    /// Adds sources to those of the settings, which may be gone.
     pub fn add_sources(&mut self, sources: &[SocketAddr]) {
         for source in sources {
             if *source != self.own && !self.sources.contains(source) {
                 self.sources.push(*source);
             }
         }
-        // Those that were learned and are gone cost an attempt a round; there
-        // are as many as replicas were ever replaced in this process's life.
+        // An added source that is gone costs an attempt a round. There are as many of
+        // them as replicas were replaced since this process started.
         let surplus = self.sources.len().saturating_sub(ADDRESSES);
         self.sources.drain(..surplus);
     }
 
-    /// The parent, once there is one.
+    /// Returns the address of the parent, if there is one.
     pub fn parent(&self) -> Option<SocketAddr> {
         self.parent.as_ref().map(|parent| parent.address)
     }
 
-    /// The way from here up to a source, nearest first.
+    /// Returns the addresses on the path from here to a source, nearest first.
     pub fn path_to_source(&self) -> Vec<SocketAddr> {
         let Some(parent) = &self.parent else {
             return Vec::new();
@@ -175,18 +174,19 @@
         steps.take(ADDRESSES).collect()
     }
 
-    /// The process at an address didn't answer.
+    /// Records that the process at an address didn't answer.
     pub fn record_failure(&mut self, address: SocketAddr) {
         let way = self.parent.take().map(|parent| parent.way);
         if let Some(way) = way {
-            // The address may well answer again later, but not in this round.
+            // The address may answer again later, but is not asked again in this round.
             self.start_round(&way);
             self.tried.insert(address);
         }
     }
 
-    /// The process at an address answered. `heard` is the newest revision known
-    /// to exist, `have` the one in force here, the answer's content included.
+    /// Decides whether the process at an address, which answered, is the parent. `heard`
+    /// is the newest revision known to exist, `have` the one in force here after the
+    /// answer's content was applied.
     pub fn handle_answer(
         &mut self,
         now: Mono,
@@ -197,26 +197,26 @@
     ) -> Verdict {
         match &delta.standing {
             Standing::Full(others) | Standing::Informed(_, others) => {
-                self.refused(others);
+                self.handle_refusal(others);
                 Verdict::Leave
             }
             Standing::Served(age, way) => {
-                let lacks = self.lacks(now, delta, have, heard);
-                // A process that speaks an older version drops what it doesn't
-                // know from the configuration, and may not hand it on.
+                let lacks = self.is_lagging(now, delta, have, heard);
+                // A process that speaks an older version drops the parts of the
+                // configuration that it doesn't know, so it can't be the parent.
                 let is_source = self.sources.contains(&address);
                 let older = delta.from.version < self.version && !is_source;
                 if *age > self.config.max_answer_age || way.contains(&self.own) || older || lacks {
-                    self.leave(address, way);
+                    self.reject(address, way);
                     return Verdict::Leave;
                 }
-                self.keep(now, address, way);
+                self.keep_parent(now, address, way);
                 Verdict::Keep
             }
         }
     }
 
-    fn keep(&mut self, now: Mono, address: SocketAddr, way: &[SocketAddr]) {
+    fn keep_parent(&mut self, now: Mono, address: SocketAddr, way: &[SocketAddr]) {
         let since = match &self.parent {
             Some(parent) if parent.address == address => parent.since,
             _ => now,
@@ -226,9 +226,9 @@
         self.tried.clear();
         let deep = way.len() >= self.config.max_depth;
         if deep && now.since(since) > self.config.depth_grace {
-            // Losses only ever push processes down. Looking again from the top
-            // bounds the depth; until somebody serves it, the parent of now is
-            // among those it is sent to.
+            // Lost parents only ever move processes down the tree. Searching again from
+            // the sources bounds the depth; the present parent is among the processes
+            // that this one may be redirected to.
             self.parent = None;
             self.start_round(&[]);
             return;
@@ -240,20 +240,20 @@
         });
     }
 
-    /// Passes over a process that answers but is of no use. Within a round it is
-    /// not asked again: two that lead to each other would be asked in turn.
-    fn leave(&mut self, address: SocketAddr, way: &[SocketAddr]) {
+    /// Rejects a process that answers but can't be the parent. It is not asked again in
+    /// this round: two processes that redirect to each other would be asked in turn.
+    fn reject(&mut self, address: SocketAddr, way: &[SocketAddr]) {
         if self.parent.take().is_some() {
             self.start_round(way);
         }
         self.tried.insert(address);
     }
 
-    fn refused(&mut self, others: &[SocketAddr]) {
+    fn handle_refusal(&mut self, others: &[SocketAddr]) {
         if let Some(parent) = self.parent.take() {
             self.start_round(&parent.way);
         }
-        // The first of them is tried next.
+        // The first of the others is tried next.
         let (own, tried) = (self.own, &self.tried);
         let new = |other: &&SocketAddr| **other != own && !tried.contains(*other);
         for other in others.iter().filter(new).rev() {
@@ -261,8 +261,8 @@
         }
     }
 
-    /// Whether a parent has lacked something that exists for too long.
-    fn lacks(&mut self, now: Mono, delta: &Delta, have: Revision, heard: Revision) -> bool {
+    /// Returns true if the parent has lacked a revision that exists for too long.
+    fn is_lagging(&mut self, now: Mono, delta: &Delta, have: Revision, heard: Revision) -> bool {
         self.behind.take_if(|(revision, _)| *revision <= have);
         if heard <= have {
             return false;
@@ -271,7 +271,7 @@
         delta.newest < revision && now.since(since) > self.config.max_lag
     }
 
-    /// Begins again: first these, then the sources.
+    /// Starts a round that tries the addresses in `first`, then the sources.
     fn start_round(&mut self, first: &[SocketAddr]) {
         let mut sources = self.sources.clone();
         sources.shuffle(&mut self.rng);
@@ -281,7 +281,7 @@
         self.resume = Mono::ZERO;
     }
 
-    fn pause(&mut self) -> Duration {
+    fn next_pause(&mut self) -> Duration {
         let doubled = self
             .config
             .initial_pause
--- a/almondlock-spread/src/snapshot.rs
+++ b/almondlock-spread/src/snapshot.rs
@@ -1,19 +1,19 @@
-//! The whole configuration, in bounded pieces.
+//! Transfers a whole configuration as a snapshot, in pieces of bounded size.
 //!
-//! The sending side writes the configuration out once, or keeps the text that it was
-//! given itself, and serves pieces of it until its ring of changes no longer reaches back
-//! to it: whoever is still reading then could not be brought from there to the present
-//! anyway. A reader that begins is given a newer text once the changes since then make up
-//! a part of it; those that have begun go on with theirs.
+//! The sender encodes the configuration once, or keeps the encoded text that it received
+//! itself, and serves pieces of it until its ring of changes no longer reaches back to that
+//! revision: a reader still in progress could not be brought from there to the newest
+//! revision anyway. A new reader is given a newer text once the bytes of the changes since
+//! the kept one exceed a fraction of its size; readers in progress continue with theirs.
 //!
-//! **Packed.** Three thousand servers make a configuration of 0.6 MB. After a loss of
-//! all processes each of three hundred asks for it at once, and a process with a link of
-//! 20 Mbit/s hands it to a dozen others: a piece to each of them takes 0.3 s, worked
-//! out, and an answer that takes 0.4 s is given up and begun again elsewhere. Such texts
-//! repeat themselves: 3,000 instances fill less than a fifth once compressed.
+//! **Compression.** A configuration of 3,000 servers takes 0.6 MB. After a loss of all
+//! processes each of 300 asks for it at once, and a process with a link of 20 Mbit/s
+//! sends it to a dozen others. A piece to each of them takes 0.3 s by calculation, and an
+//! answer that takes 0.4 s is abandoned and requested elsewhere. The text is repetitive:
+//! 3,000 instances compress to less than a fifth.
 //!
-//! The receiving side puts pieces together and starts again when the revision
-//! changes under it, so a whole is always of one revision.
+//! The receiver joins the pieces, and starts again if the revision changes during the
+//! transfer, so a snapshot is always of one revision.
 
 use std::{borrow::Cow, collections::HashMap, sync::Arc};
 
@@ -24,91 +24,92 @@
 
 use crate::view::View;
 
-/// The largest piece.
+/// Maximum size of a piece.
 pub const MAX_PIECE_BYTES: usize = 64 * 1024;
 
-/// The largest whole that is accepted. At the target's 1,500 organisations and
-/// 880 upstreams a configuration takes about a megabyte.
+/// Maximum size of a snapshot that is accepted, compressed or not. A configuration of the
+/// target's 1,500 organisations and 880 upstreams takes about a megabyte.
 pub const MAX_SNAPSHOT_BYTES: u64 = 32 * 1024 * 1024;
 
-/// The first version of the inner protocol whose processes read packed snapshots.
-const PACKED_SINCE: u16 = 2;
+/// The first version of the inner protocol whose processes read compressed snapshots.
+const COMPRESSED_SINCE: u16 = 2;
 
-/// The quickest level that still finds repeated names.
-const LEVEL: u8 = 1;
+/// Compression level: the fastest that still finds repeated names.
+const COMPRESSION_LEVEL: u8 = 1;
 
-/// What a text begins with that isn't packed.
+/// First byte of a text that isn't compressed.
 const PLAIN_START: u8 = b'{';
 
-/// How a snapshot is written.
+/// The encoding of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Encoding {
-    /// As JSON, which all versions read.
+    /// JSON, which all versions read.
     Plain,
-    /// The same, compressed (zlib).
+    /// JSON compressed with zlib.
     Compressed,
 }
 
 impl Encoding {
-    /// What a process of this version of the inner protocol reads.
+    /// Returns the encoding to use for a process of this version of the inner protocol.
     pub const fn for_version(version: u16) -> Encoding {
-        if version < PACKED_SINCE {
+        if version < COMPRESSED_SINCE {
             Encoding::Plain
         } else {
             Encoding::Compressed
         }
     }
 
-    fn write(self, config: &Config) -> Result<Arc<[u8]>, serde_json::Error> {
+    fn encode(self, config: &Config) -> Result<Arc<[u8]>, serde_json::Error> {
         let text = serde_json::to_vec(config)?;
         Ok(match self {
             Encoding::Plain => text.into(),
-            Encoding::Compressed => compress_to_vec_zlib(&text, LEVEL).into(),
+            Encoding::Compressed => compress_to_vec_zlib(&text, COMPRESSION_LEVEL).into(),
         })
     }
 }
 
-/// Texts of one form that are kept: one for readers that begin, and the one before it.
-const KEPT: usize = 2;
-/// A text is written anew once the changes after it have so many of its parts.
-const REWRITE_PART: usize = 4;
+/// Number of texts kept per encoding: one for new readers, and the one before it.
+const MAX_TEXTS: usize = 2;
+/// A text is replaced once the changes after it take one part in this many of its bytes.
+const REWRITE_DIVISOR: usize = 4;
 
-/// A configuration written out.
+/// An encoded configuration.
 #[derive(Clone, Debug)]
 struct Text {
     revision: Revision,
     bytes: Arc<[u8]>,
 }
 
-/// The sending side.
+/// The sender's encoded snapshots.
 #[derive(Debug, Default)]
 pub struct Store {
-    // Invariant: newest first, at most `KEPT` of each form.
+    // Invariant: newest first, at most `MAX_TEXTS` of each encoding.
     kept: HashMap<Encoding, Vec<Text>>,
 }
 
 impl Store {
-    /// Nothing written out yet.
+    /// Creates an empty store.
     pub fn new() -> Store {
         Store::default()
     }
 
-    /// A piece from `offset` on of the snapshot of `revision`, or the first
-    /// piece of another one when that is gone, which is not older.
+    /// Returns the piece at `offset` of the snapshot of `revision`. If that snapshot is
+    /// gone, returns the first piece of another one, which is not older unless the view
+    /// itself is.
     pub fn piece(
         &mut self,
         view: &View,
-        form: Encoding,
+        encoding: Encoding,
         revision: Revision,
         offset: u64,
     ) -> Result<Piece, serde_json::Error> {
         let begun = usize::try_from(offset).unwrap_or(usize::MAX);
         self.evict_unusable(view);
-        let kept = self.kept.get(&form).into_iter().flatten();
+        let kept = self.kept.get(&encoding).into_iter().flatten();
         let mut kept = kept.filter(|text| text.revision == revision && begun > 0);
         let (text, start) = match kept.find(|text| begun < text.bytes.len()) {
             Some(text) => (text.clone(), begun),
-            None => (self.current(view, form, revision)?, 0),
+            None => (self.current_text(view, encoding, revision)?, 0),
         };
         let end = text.bytes.len().min(start + MAX_PIECE_BYTES);
         Ok(Piece {
@@ -119,64 +120,65 @@
         })
     }
 
-    /// Keeps a text that came whole from another process, to hand it on.
+    /// Keeps a complete text received from another process, to serve it to others.
     pub fn insert_received(&mut self, revision: Revision, bytes: Vec<u8>) {
-        let form = match bytes.first() {
+        let encoding = match bytes.first() {
             Some(&PLAIN_START) => Encoding::Plain,
             _ => Encoding::Compressed,
         };
         let bytes = bytes.into();
-        self.put(form, Text { revision, bytes });
+        self.insert(encoding, Text { revision, bytes });
     }
 
-    /// Whether the whole is the shorter way for a process that has this
-    /// revision. Changes often touch the same things again, so many of them
-    /// take more bytes than what they come to.
+    /// Returns true if a snapshot takes fewer bytes than the changes after revision
+    /// `have`. Changes often modify the same items again, so many of them can take more
+    /// bytes than their result.
     pub fn is_shorter(
         &mut self,
         view: &View,
-        form: Encoding,
+        encoding: Encoding,
         have: Revision,
     ) -> Result<bool, serde_json::Error> {
         let missed = view.with_ring(|ring| ring.bytes_after(have));
-        // What fits one answer is the shorter way without looking.
-        Ok(missed > MAX_PIECE_BYTES && self.current(view, form, have)?.bytes.len() < missed)
+        // Changes that fit one answer are sent without encoding a snapshot to compare.
+        Ok(missed > MAX_PIECE_BYTES
+            && self.current_text(view, encoding, have)?.bytes.len() < missed)
     }
 
-    /// Bytes held.
+    /// Returns the number of bytes of all texts held.
     pub fn held_bytes(&self) -> usize {
         let texts = self.kept.values().flatten();
         texts.map(|text| text.bytes.len()).sum()
     }
 
-    /// Lets go of snapshots that nobody can use any more.
+    /// Removes snapshots from which the ring can no longer bring a reader up to date.
     pub fn evict_unusable(&mut self, view: &View) {
         let reaches = |text: &Text| view.with_ring(|ring| ring.has_all_after(text.revision));
         self.kept.values_mut().for_each(|kept| kept.retain(reaches));
     }
 
-    fn put(&mut self, form: Encoding, text: Text) {
-        let kept = self.kept.entry(form).or_default();
+    fn insert(&mut self, encoding: Encoding, text: Text) {
+        let kept = self.kept.entry(encoding).or_default();
         kept.retain(|other| other.revision < text.revision);
         kept.insert(0, text);
-        kept.truncate(KEPT);
+        kept.truncate(MAX_TEXTS);
     }
 
-    /// The text for readers that begin: of revision `least` at least, unless the view
-    /// itself is older. Whoever can't apply the change that makes `least` would be given
-    /// that same change again after an older text, for as long as the text is kept.
-    fn current(
+    /// Returns the text for new readers: of at least revision `least`, unless the view
+    /// itself is older. A process that can't apply the change that makes `least` would be
+    /// sent that change again after an older text, for as long as that text is kept.
+    fn current_text(
         &mut self,
         view: &View,
-        form: Encoding,
+        encoding: Encoding,
         least: Revision,
     ) -> Result<Text, serde_json::Error> {
         self.evict_unusable(view);
-        let newest = self.kept.get(&form).and_then(|kept| kept.first());
+        let newest = self.kept.get(&encoding).and_then(|kept| kept.first());
         let is_near = |text: &&Text| {
             let missed = view.with_ring(|ring| ring.bytes_after(text.revision));
             let recent = text.revision >= least.min(view.revision());
-            recent && missed < text.bytes.len() / REWRITE_PART
+            recent && missed < text.bytes.len() / REWRITE_DIVISOR
         };
         if let Some(text) = newest.filter(is_near) {
             return Ok(text.clone());
@@ -184,56 +186,56 @@
         let config = view.get();
         let text = Text {
             revision: config.revision,
-            bytes: form.write(&config)?,
+            bytes: encoding.encode(&config)?,
         };
-        self.put(form, text.clone());
+        self.insert(encoding, text.clone());
         Ok(text)
     }
 }
 
-/// Why pieces don't make a whole.
+/// The reason why received pieces don't encoding a configuration.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum Error {
-    /// It would be larger than accepted.
+    /// The snapshot is larger than [`MAX_SNAPSHOT_BYTES`].
     #[error("a snapshot of {0} bytes is larger than accepted")]
     TooLarge(u64),
-    /// A piece is not the one asked for.
+    /// The piece doesn't follow the last one, or its text is of another revision.
     #[error("a piece of a snapshot doesn't follow the last one")]
     OutOfOrder,
-    /// It can't be unpacked, or would be larger than accepted.
+    /// The text can't be decompressed, or would be larger than [`MAX_SNAPSHOT_BYTES`].
     #[error("a snapshot can't be unpacked")]
-    Packed,
-    /// The text is no configuration.
+    Decompress,
+    /// The text is not a valid configuration.
     #[error("a snapshot can't be read: {0}")]
     Unreadable(#[from] serde_json::Error),
 }
 
-/// The receiving side.
+/// The pieces of a snapshot that were received so far.
 #[derive(Debug, Default)]
 pub struct Assembly {
     revision: Revision,
-    // Invariant: the first bytes of the snapshot of `revision`, without gap.
+    // Invariant: the first bytes of the snapshot of `revision`, without gaps.
     text: Vec<u8>,
 }
 
 impl Assembly {
-    /// Nothing received yet.
+    /// Creates an assembly without any piece.
     pub fn new() -> Assembly {
         Assembly::default()
     }
 
-    /// What to ask for next: a revision and an offset.
+    /// Returns the revision and the offset of the next piece to request.
     pub fn next(&self) -> (Revision, u64) {
         (self.revision, self.text.len() as u64)
     }
 
-    /// The text, as far as it was received.
+    /// Returns the text received so far.
     pub fn into_text(self) -> Vec<u8> {
         self.text
     }
 
-    /// Adds a piece; gives the configuration once it is whole.
+    /// Adds a piece. Returns the configuration once the text is complete.
     pub fn add(&mut self, piece: &Piece) -> Result<Option<Config>, Error> {
         if piece.total > MAX_SNAPSHOT_BYTES {
             return Err(Error::TooLarge(piece.total));
@@ -251,7 +253,7 @@
         if end < piece.total {
             return Ok(None);
         }
-        let config: Config = serde_json::from_slice(&unpacked(&self.text)?)?;
+        let config: Config = serde_json::from_slice(&decompressed(&self.text)?)?;
         if config.revision != self.revision {
             return Err(Error::OutOfOrder);
         }
@@ -259,12 +261,12 @@
     }
 }
 
-/// The text as it was before it was packed, if it was.
-fn unpacked(text: &[u8]) -> Result<Cow<'_, [u8]>, Error> {
+/// Returns the JSON text, decompressed if necessary.
+fn decompressed(text: &[u8]) -> Result<Cow<'_, [u8]>, Error> {
     if text.first() == Some(&PLAIN_START) {
         return Ok(Cow::Borrowed(text));
     }
     let limit = usize::try_from(MAX_SNAPSHOT_BYTES).unwrap_or(usize::MAX);
     let text = decompress_to_vec_zlib_with_limit(text, limit);
-    text.map(Cow::Owned).map_err(|_| Error::Packed)
+    text.map(Cow::Owned).map_err(|_| Error::Decompress)
 }
--- a/almondlock-spread/src/view.rs
+++ b/almondlock-spread/src/view.rs
@@ -1,13 +1,13 @@
-//! The configuration in force in this process, shared by its threads.
+//! The configuration in force in this process, shared between its threads.
 //!
-//! Readers take an `Arc` and keep it for as long as one decision lasts, so a
-//! decision never sees two revisions. The view only moves forward: a change
+//! Readers keep the same `Arc` during one decision, so a decision never sees two
+//! revisions. The view only moves forward: a change
 //! that doesn't make the next revision, or a whole configuration that is not
 //! newer, is refused, because a process that acted on revision 7 must never
-//! act on 6 again in the same life.
+//! act on revision 6 again before it restarts.
 //!
-//! It also keeps the last changes for those below in the tree, and wakes
-//! whoever waits for a newer revision.
+//! It also keeps the last changes for the processes below in the tree, and wakes
+//! tasks that wait for a newer revision.
 
 use std::sync::{Arc, PoisonError, RwLock};
 
@@ -17,7 +17,7 @@
 
 use crate::ring::Ring;
 
-/// A shared handle; clones show the same configuration.
+/// A shared handle to the configuration; all clones refer to the same one.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     // Invariant: the revision inside never goes down.
@@ -34,31 +34,31 @@
 }
 
 impl View {
-    /// An empty configuration at revision zero.
+    /// Creates a view of an empty configuration at revision zero.
     pub fn new() -> View {
         View::default()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn get(&self) -> Arc<Config> {
         let guard = self.inner.read().unwrap_or_else(PoisonError::into_inner);
         Arc::clone(&guard.config)
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> Revision {
         *self.revision.borrow()
     }
 
-    /// Tells of each newer revision.
+    /// Returns a receiver that is notified of newer revisions.
     pub fn watch(&self) -> watch::Receiver<Revision> {
         self.revision.subscribe()
     }
 
-    /// Applies changes of which the first makes revision `first`. Those already
-    /// applied are passed over. Returns false, having done nothing, when there
-    /// is a gap before the first one, and, having applied those before it, when one is a
-    /// delta of another text than the one held here: the whole configuration is needed.
+    /// Applies changes, the first of which makes revision `first`, and skips those that
+    /// are already applied. Returns false if the whole configuration is needed: either
+    /// there is a gap before the first change, and nothing is applied, or a change is a
+    /// delta to another text than the one held here, and only those before it are applied.
     pub fn extend<I>(&self, first: Revision, changes: I) -> bool
     where
         I: IntoIterator<Item = Change>,
@@ -82,8 +82,8 @@
                 }
                 match written {
                     Ok(text) => ring.push(&text),
-                    // Can't be written, so it can't travel: who needs it is
-                    // given the whole configuration.
+                    // A change that can't be serialized can't be sent: a process that
+                    // needs it is sent the whole configuration.
                     Err(_) => ring.reset(config.revision),
                 }
             }
@@ -95,8 +95,8 @@
         true
     }
 
-    /// Puts a whole configuration in force, if it is newer. What its published text has
-    /// in common with the one before stays shared.
+    /// Puts a whole configuration in force if it is newer, and returns whether it was.
+    /// Pieces that its published text has in common with the one before stay shared.
     pub fn replace(&self, mut config: Config) -> bool {
         let mut guard = self.inner.write().unwrap_or_else(PoisonError::into_inner);
         let newer = config.revision > guard.config.revision;
@@ -111,7 +111,7 @@
         newer
     }
 
-    /// Looks at the last changes.
+    /// Calls `look` with the last changes, under the read lock, and returns its result.
     pub fn with_ring<F, T>(&self, look: F) -> T
     where
         F: FnOnce(&Ring) -> T,
--- a/almondlock-spread/tests/forward_only.rs
+++ b/almondlock-spread/tests/forward_only.rs
@@ -1,4 +1,4 @@
-//! A view never goes back, whatever it is given.
+//! Guards against a view that returns to an older revision, whatever it is given.
 
 use almondlock_base::unit::Revision;
 use almondlock_spread::view::View;
@@ -38,9 +38,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Deltas and snapshots arrive doubled, late, out of order and with gaps,
-    /// from parents that hold different revisions. What is in force is always
-    /// some revision whole, and never a lower one than before.
+    /// Changes and whole configurations arrive duplicated, late, out of order and with
+    /// gaps, from parents that hold different revisions. The configuration in force must
+    /// always be one complete revision, and never a lower one than before.
     #[test]
     fn any_order(steps in prop::collection::vec(step(), 1..40)) {
         let view = View::new();
--- a/almondlock-spread/tests/known_recent.rs
+++ b/almondlock-spread/tests/known_recent.rs
@@ -1,4 +1,4 @@
-//! When a configuration counts as recent.
+//! Tests when a configuration is known to be recent.
 
 use almondlock_base::{time::Mono, unit::Revision};
 use almondlock_spread::recency::Recency;
@@ -16,9 +16,9 @@
     assert_eq!(recency.record_own(Revision(5)), Some(at(10)));
 }
 
-/// Changes come faster than this process takes them in, so that it always lacks
-/// the last one. It is recent all the same: what it has was the newest a moment
-/// ago. Compared with the newest only, it would never be ready for traffic.
+/// Guards against a process that is never ready for traffic because changes come faster
+/// than it applies them. It always lacks the last change, but its revision was the newest
+/// a moment ago, so it is recent.
 #[test]
 fn always_one_behind() {
     let mut recency = Recency::new();
@@ -31,7 +31,8 @@
     }
 }
 
-/// An old answer arrives after a newer one, as over two parents.
+/// Guards against a process that counts as less recent because an old answer arrives
+/// after a newer one, as from two parents.
 #[test]
 fn never_older() {
     let mut recency = Recency::new();
--- a/almondlock-spread/tests/parent_choice.rs
+++ b/almondlock-spread/tests/parent_choice.rs
@@ -1,4 +1,4 @@
-//! Whom a process asks, and when it leaves its parent.
+//! Tests which process is asked for changes, and when a process leaves its parent.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,7 +18,7 @@
     ([127, 0, 0, 1], n).into()
 }
 
-/// The search of process 50, with the sources 1, 2 and 3.
+/// Returns the search of process 50, with the sources 1, 2 and 3.
 fn search() -> Search<SmallRng> {
     let sources = [address(1), address(2), address(3)];
     let rng = SmallRng::seed_from_u64(5);
@@ -76,7 +76,7 @@
             .handle_answer(self.now, address(from), delta, have, heard)
     }
 
-    /// A parent, 20, below 10, below a source.
+    /// Returns a search whose parent is 20, which is below 10, which is below a source.
     fn settled() -> Walk {
         let mut walk = Walk::new();
         let source = walk.asks();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn goes_down_to_whom_has_room() {
+fn redirects_are_followed() {
     let mut walk = Walk::new();
     let source = walk.asks();
     assert!(source <= 3);
@@ -104,10 +104,10 @@
     assert_eq!(walk.search.path_to_source(), [address(11), address(source)]);
 }
 
-/// The parent's host dies. The process goes one step up, and doesn't ask the
-/// dead one again in this round, though the sources may still send it there.
+/// Guards against a process that asks its failed parent again in the same round, to
+/// which others may still redirect it. It must ask the parent's own parent.
 #[test]
-fn a_dead_parent_is_stepped_over() {
+fn a_failed_parent_is_skipped() {
     let mut walk = Walk::settled();
     walk.search.record_failure(address(20));
     assert_eq!(walk.search.parent(), None);
@@ -116,9 +116,8 @@
     assert_eq!(walk.asks(), 21);
 }
 
-/// Two processes take each other for a parent, as when both lost theirs at the
-/// same time and were sent to each other. The way up that an answer carries
-/// shows it.
+/// Guards against two processes that remain each other's parent, as when both lost theirs
+/// at the same time and were redirected to each other. The path in an answer shows it.
 #[test]
 fn a_cycle_is_left() {
     let mut walk = Walk::settled();
@@ -127,8 +126,8 @@
     assert_ne!(walk.asks(), 20);
 }
 
-/// The parent is cut off from the sources and doesn't know it; or a cycle is so
-/// long that its way up doesn't show it. Either way its answers grow old.
+/// Guards against a process that keeps a parent cut off from the sources, or one in a
+/// cycle too long for the path in an answer to show. In both cases answers grow old.
 #[test]
 fn an_old_answer_is_left() {
     let mut walk = Walk::settled();
@@ -139,8 +138,8 @@
     assert_eq!(walk.asks(), 10);
 }
 
-/// A request's answer told of revision 9 (F23). The parent has a moment to get
-/// it too; when it still has none, somebody else is asked.
+/// Guards against a process that keeps a parent without revision 9, which is known to
+/// exist from the answer to a request (F23). The parent has a moment to receive it.
 #[test]
 fn a_parent_that_stays_behind_is_left() {
     let mut walk = Walk::settled();
@@ -150,8 +149,8 @@
     assert_eq!(walk.answers(20, &answer, 9), Verdict::Leave);
 }
 
-/// Changes never end, and each answer of the parent brings some, but by then
-/// newer ones are known of. The parent hands on what it gets and is kept.
+/// Guards against a process that leaves a good parent because changes never end: each
+/// answer brings some, but by then newer ones are known.
 #[test]
 fn a_parent_that_keeps_up_is_kept() {
     let mut walk = Walk::settled();
@@ -164,16 +163,16 @@
         assert_eq!(verdict, Verdict::Keep, "{n}");
         walk.now = walk.now + Duration::from_millis(500);
     }
-    // Once it no longer does, it is left like any other.
+    // A parent that stops passing on changes is left.
     let answer = delta(7, 2, served(5, &[10, 1]));
     assert_eq!(walk.answers(20, &answer, 99), Verdict::Keep);
     walk.now = walk.now + Duration::from_secs(2);
     assert_eq!(walk.answers(20, &answer, 99), Verdict::Leave);
 }
 
-/// During an upgrade a process of version 2 meets one of version 1, which drops
-/// from the configuration what it doesn't know. Only a source, which drops
-/// nothing that exists yet, may be of a lower version.
+/// Guards against a parent of an older version, which drops the parts of the
+/// configuration that it doesn't know. Only a source, which drops nothing that exists
+/// yet, may be of an older version.
 #[test]
 fn an_older_version_is_no_parent() {
     let mut walk = Walk::settled();
@@ -184,10 +183,10 @@
     assert_eq!(walk.answers(source, &older, 0), Verdict::Keep);
 }
 
-/// Nobody answers: all are asked once, then there is a pause, and the pauses
-/// grow to their limit.
+/// Guards against requests without pause when no process answers: each source is asked
+/// once a round, and the pauses between rounds grow to their limit.
 #[test]
-fn rounds_in_vain_slow_down() {
+fn failed_rounds_slow_down() {
     let mut search = search();
     let mut now = Mono::from_millis(1);
     let mut pauses = Vec::new();
@@ -209,10 +208,10 @@
     assert!(pauses[11] >= Duration::from_secs(1) && pauses[11] <= Duration::from_secs(2));
 }
 
-/// Losses push a process ever deeper. After a while it looks again from the
-/// top, and not more often than that.
+/// Guards against a process that lost parents move ever deeper in the tree: after a while
+/// at such a depth it searches from the sources again.
 #[test]
-fn deep_places_are_looked_over() {
+fn deep_positions_search_again() {
     let mut walk = Walk::settled();
     let deep = delta(7, 2, served(5, &[10, 11, 12, 1]));
     walk.answers(20, &deep, 0);
--- a/almondlock-spread/tests/recent_changes.rs
+++ b/almondlock-spread/tests/recent_changes.rs
@@ -1,4 +1,4 @@
-//! What the ring still holds, and what it says when it no longer does.
+//! Tests which changes the ring holds, and that it reports missing ones.
 
 use almondlock_base::unit::Revision;
 use almondlock_spread::ring::Ring;
@@ -34,10 +34,10 @@
     assert_eq!(batch.unwrap().len(), given);
 }
 
-/// A child that is ahead of its parent asks it for what comes after: there is
-/// nothing, and the parent must not take it for somebody far behind.
+/// Guards against a parent that takes a child ahead of it for one that is far behind. The
+/// child asks for the changes after its revision, of which the parent has none.
 #[test]
-fn the_future_is_not_here() {
+fn newer_revisions_are_missing() {
     assert!(!ring(100, 1000, 10).has_all_after(Revision(11)));
     assert_eq!(
         ring(100, 1000, 10).after(Revision(10), 9, 9).unwrap().len(),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_reset_forgets() {
+fn reset_removes_changes() {
     let mut ring = ring(100, 1000, 10);
     ring.reset(Revision(50));
     assert!(ring.has_all_after(Revision(50)) && !ring.has_all_after(Revision(49)));
--- a/almondlock-spread/tests/shared_pieces.rs
+++ b/almondlock-spread/tests/shared_pieces.rs
@@ -1,5 +1,5 @@
-//! Each process holds its text once. Guards against a copy of the whole text for each version
-//! that passes, and against a view that acts on a text nobody published.
+//! Guards against a process that holds a copy of the whole text for each version, and against
+//! a view that puts a text in force that was never published.
 
 use almondlock_base::unit::Revision;
 use almondlock_spread::view::View;
@@ -42,7 +42,8 @@
     assert_eq!(shared(&before, &held(&view)), 19);
 }
 
-/// The whole configuration came, because changes were missed.
+/// A process that missed changes receives the whole configuration. Unchanged pieces of its
+/// text must stay shared.
 #[test]
 fn by_whole() {
     let view = started();
@@ -57,7 +58,8 @@
     assert_eq!(shared(&before, &held(&view)), 19);
 }
 
-/// What comes before a delta of another text counts, and nothing from it on.
+/// A delta to a text that is not held must be refused with all changes after it; the changes
+/// before it are applied.
 #[test]
 fn other_base() {
     let view = started();
--- a/almondlock-spread/tests/snapshot_pieces.rs
+++ b/almondlock-spread/tests/snapshot_pieces.rs
@@ -1,4 +1,4 @@
-//! A whole configuration arrives in pieces, of one revision, or not at all.
+//! Tests that the pieces of a snapshot form a configuration of one revision, or none.
 
 use std::net::SocketAddr;
 
@@ -47,9 +47,8 @@
     assert_eq!(config, *view.get());
 }
 
-/// Changes go on while somebody reads a snapshot. As long as the ring reaches
-/// back to it the reader gets the rest of the same one; were it given the next
-/// one each time, it would begin again for ever.
+/// Guards against a reader that starts again for ever because changes continue during the
+/// transfer. While the ring reaches back to its snapshot, it gets the rest of that one.
 #[test]
 fn changes_meanwhile_dont_restart() {
     let view = View::new();
@@ -62,8 +61,8 @@
     assert_eq!(whole.unwrap().revision, Revision(3001));
 }
 
-/// Guards against newcomers that take an old configuration first and all later ones after
-/// it: a reader that begins is given what is in force, and one that has begun goes on.
+/// Guards against newcomers that receive an old configuration first and all later changes
+/// after it. A new reader gets the one in force, and a reader in progress continues.
 #[test]
 fn newest_for_newcomers() {
     let view = View::new();
@@ -78,9 +77,9 @@
     assert_eq!(whole.unwrap().revision, Revision(3000));
 }
 
-/// A process hands on the text that it was given, without writing one itself.
+/// Guards against a process that encodes a snapshot although it received the text.
 #[test]
-fn handed_on() {
+fn received_text_is_served() {
     let view = View::new();
     extend(&view, 3000);
     let (mut store, mut assembly) = (Store::new(), Assembly::new());
@@ -104,10 +103,10 @@
     assert_eq!(piece.data[..], text[..piece.data.len()]);
 }
 
-/// The snapshot is gone half-way: the sender was away itself and took a newer
-/// whole. The pieces of the two must not be mixed.
+/// Guards against a mixture of two snapshots. The first is gone half-way, as the sender
+/// missed changes itself and received a newer configuration.
 #[test]
-fn a_newer_whole_restarts() {
+fn a_newer_snapshot_restarts() {
     let view = View::new();
     extend(&view, 3000);
     let (mut store, mut assembly) = (Store::new(), Assembly::new());
@@ -123,10 +122,10 @@
     assert_eq!(config, *newer.get());
 }
 
-/// Thousands of changes touched the same few things. Sending them all would
-/// take many times what they come to; a few, though, are cheaper than the whole.
+/// Guards against sending thousands of changes to the same item, which take many times the
+/// bytes of a snapshot, and against a snapshot where a few changes take fewer bytes.
 #[test]
-fn the_shorter_way_is_known() {
+fn the_shorter_is_chosen() {
     let view = View::new();
     extend(&view, 3000);
     let mut store = Store::new();
@@ -149,10 +148,10 @@
     );
 }
 
-/// Three thousand instances fill a tenth of the bytes once packed, so that a process
-/// whose link is narrow can hand them to a dozen others in time.
+/// Guards against snapshots too large for a process with a slow link to send to a dozen
+/// others in time: 3,000 instances must compress to less than a fifth.
 #[test]
-fn packed() {
+fn compresses_to_a_fifth() {
     let view = View::new();
     let instance = |n: u64| Instance {
         service: Service::new("models").unwrap(),
@@ -170,13 +169,13 @@
     let plain = store
         .piece(&view, Encoding::Plain, Revision::ZERO, 0)
         .unwrap();
-    let packed = store
+    let compressed = store
         .piece(&view, Encoding::Compressed, Revision::ZERO, 0)
         .unwrap();
     assert!(
-        packed.total * 5 < plain.total,
+        compressed.total * 5 < plain.total,
         "{} {}",
-        packed.total,
+        compressed.total,
         plain.total
     );
     let mut assembly = Assembly::new();
@@ -192,7 +191,7 @@
     assert_eq!(config, *view.get());
 }
 
-/// An older process can't unpack, and is given what it reads.
+/// Guards against a compressed snapshot for an older process, which can't read it.
 #[test]
 fn older_reader() {
     assert_eq!(Encoding::for_version(1), Encoding::Plain);
@@ -222,7 +221,7 @@
     assert!(refused(piece(0, 10, b"")));
     assert!(refused(piece(0, 1, b"xy")));
     assert!(refused(piece(0, 1, b"x")));
-    // Neither plain nor packed.
+    // Neither JSON nor compressed.
     assert!(refused(piece(0, 4, b"\x78\x9cxx")));
     let other = br#"{"revision":7}"#;
     assert!(refused(piece(0, other.len() as u64, other)));
--- a/almondlock-spread/tests/subtree_report.rs
+++ b/almondlock-spread/tests/subtree_report.rs
@@ -1,4 +1,4 @@
-//! Whom a process serves, and what it says of those below.
+//! Tests which processes a process serves, and what it reports about its subtree.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_full_process_sends_on() {
+fn a_full_process_redirects() {
     let mut children = node(false);
     for n in 1..=12 {
         let mut report = report(n, 5);
@@ -66,13 +66,13 @@
     }
     let mut late = report(100, 0);
     late.joined[0] = member(100, "even");
-    // The same failure domain first, the smallest subtree first in it.
+    // Children in the newcomer's failure domain come first, smallest subtree first.
     let Admission::Full(others) = admit(&mut children, NOW, late.clone()) else {
         panic!("served");
     };
     assert_eq!(others[..3], [address(12), address(10), address(8)]);
     assert_eq!(others[6], address(11));
-    // Each newcomer counts at once, though reports come later: they spread.
+    // A redirected newcomer counts at once, before any report, so newcomers spread.
     let mut first = |n| match admit(&mut children, NOW, Report { ..late.clone() }) {
         Admission::Full(others) => others[0].port(),
         Admission::Served => n,
@@ -84,24 +84,24 @@
     assert_eq!(admit(&mut children, NOW, late), Admission::Served);
 }
 
-/// One failure domain starts before the others. It must not fill a source, or
-/// the others would hang below it and be lost together with it.
-/// Guards against newcomers that are sent to processes which have just started too and know
-/// nothing yet.
+/// Guards against newcomers that are redirected to processes which have also just started
+/// and have no configuration yet.
 #[test]
-fn newcomers_name_nobody() {
+fn newcomers_get_no_children() {
     let mut children = node(false);
     for n in 1..=12 {
         assert_eq!(admit(&mut children, NOW, report(n, 0)), Admission::Served);
     }
     let full = |others| Admission::Full(others);
     assert_eq!(admit(&mut children, NOW, report(100, 0)), full(vec![]));
-    // One of them has taken its first answer and asks for more.
+    // Child 7 has received its first answer and asks for later changes.
     assert_eq!(admit(&mut children, NOW, report(7, 5)), Admission::Served);
     let others = admit(&mut children, NOW, report(100, 0));
     assert_eq!(others, full(vec![address(7)]));
 }
 
+/// Guards against one failure domain that starts first and fills a source: the others would
+/// be below it in the tree and lose their parents together with it.
 #[test]
 fn a_source_keeps_room_for_each_domain() {
     let mut children = node(true);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn the_lowest_counts() {
+fn the_lowest_is_reported() {
     let mut children = node(true);
     for n in 1..=3 {
         let mut report = report(n, 10);
@@ -133,12 +133,11 @@
     assert_eq!(summary.laggards[0].revision, Revision(6));
 }
 
-/// A process that holds an old revision falls silent. It may live and act on
-/// it, so a change is not in force everywhere; until so much time has passed
-/// that it no longer holds itself for recent. Leaving it out at once, when its
-/// session ends, would call a change in force that it doesn't have.
+/// Guards against a change that is reported in force everywhere while a silent process may
+/// still act on an older revision. It counts, also after its session has ended, until it no
+/// longer considers its own configuration recent.
 #[test]
-fn the_silent_count_until_they_lapse() {
+fn silent_children_expire() {
     let mut children = node(true);
     admit(&mut children, NOW, report(1, 4));
     children.close(&Process::of(&peer(1, 4)));
@@ -149,10 +148,10 @@
     assert_eq!(children.summary(after, own).lowest, Revision(5));
 }
 
-/// A relay stops, or starts again at its address, while processes below it have
-/// no new parent yet. It goes, but they count until they would have lapsed.
+/// Guards against losing the processes below a relay that stops or restarts: they have no
+/// new parent yet, and count until the relay's last report expires.
 #[test]
-fn those_below_outlive_their_parent() {
+fn subtrees_outlive_their_parent() {
     for again in [false, true] {
         let mut children = node(true);
         let relay = Report {
@@ -177,7 +176,7 @@
 }
 
 #[test]
-fn one_that_stops_alone_is_gone_at_once() {
+fn a_stopped_leaf_is_removed() {
     let mut children = node(true);
     admit(&mut children, NOW, report(1, 4));
     let mut last = report(1, 4);
@@ -186,10 +185,10 @@
     assert_eq!(children.summary(NOW, peer(9000, 5)).processes, 1);
 }
 
-/// A process moves from one child of this one to another. The second child
-/// tells that it joined before the first tells that it left: it is still here.
+/// Guards against a process that counts as gone because it moved between two children: the
+/// new one reports that it joined before the old one reports that it left.
 #[test]
-fn a_move_is_no_loss() {
+fn moved_members_stay_known() {
     let mut children = node(true);
     let mut first = report(1, 5);
     first.joined.push(member(30, "d"));
@@ -212,10 +211,10 @@
     assert_eq!(known(&children), [1, 2]);
 }
 
-/// News is told again until an answer shows that it arrived, and all of it is
-/// told to a new parent, in reports of bounded size.
+/// Guards against lost changes of membership. They are reported until an answer shows that
+/// they arrived, and all members to a new parent, in reports of bounded size.
 #[test]
-fn news_is_told_until_delivered() {
+fn membership_is_resent() {
     let mut children = node(false);
     let mut first = report(1, 5);
     first.joined.extend((100..160).map(|n| member(n, "d")));
@@ -224,17 +223,17 @@
     second.joined.extend((200..260).map(|n| member(n, "d")));
     admit(&mut children, NOW, second);
     children.queue_all_members();
-    let told = children.report(peer(9000, 5));
-    assert_eq!(told, children.report(peer(9000, 5)));
-    assert!(told.joined.contains(&member(9000, "d")) && children.has_backlog());
+    let report_sent = children.report(peer(9000, 5));
+    assert_eq!(report_sent, children.report(peer(9000, 5)));
+    assert!(report_sent.joined.contains(&member(9000, "d")) && children.has_backlog());
     let mut all = 0;
     loop {
-        let told = children.report(peer(9000, 5));
-        all += told.joined.len();
-        if told.joined.is_empty() {
+        let report_sent = children.report(peer(9000, 5));
+        all += report_sent.joined.len();
+        if report_sent.joined.is_empty() {
             break;
         }
-        children.mark_delivered(&told);
+        children.mark_delivered(&report_sent);
     }
     assert_eq!(all, 1 + 2 + 120);
     let later = NOW + Duration::from_secs(13);
@@ -243,11 +242,11 @@
     assert_eq!(children.report(peer(9000, 5)).left.len(), 64);
 }
 
-/// A child was forgotten while it was silent, and speaks again on its old
-/// session without saying where it is. It is sent away, so that it starts anew
-/// and tells of all that is below it.
+/// Guards against a child without a known address: it was removed while it was silent, and
+/// sends a report without its address on its old session. It must be refused, so that it
+/// starts again and reports its whole subtree.
 #[test]
-fn the_forgotten_start_anew() {
+fn removed_children_start_again() {
     let mut children = node(false);
     let again = Report::alone(peer(1, 5));
     assert_eq!(
@@ -257,22 +256,25 @@
 }
 
 #[test]
-fn sources_add_up() {
+fn sources_are_summed() {
     let mut children = node(true);
     admit(&mut children, NOW, report(1, 10));
-    let mut told = fetch(Report {
+    let mut report_sent = fetch(Report {
         lowest: Revision(8),
         processes: 7,
         ..Report::alone(peer(9001, 10))
     });
-    told.want = Want::Nothing;
-    assert_eq!(children.admit(NOW, &told), Admission::Served);
+    report_sent.want = Want::Nothing;
+    assert_eq!(children.admit(NOW, &report_sent), Admission::Served);
     let summary = children.summary(NOW, peer(9000, 10));
     assert_eq!(
         (summary.lowest, summary.processes, summary.sources),
         (Revision(8), 9, 2)
     );
-    // What this one tells the others is its own subtree only.
+    // The report to other sources covers only this one's subtree.
     assert_eq!(children.report(peer(9000, 10)).processes, 2);
-    assert_eq!(node(false).admit(NOW, &told), Admission::Full(Vec::new()));
+    assert_eq!(
+        node(false).admit(NOW, &report_sent),
+        Admission::Full(Vec::new())
+    );
 }
