--- a/almondlock-spread/src/parent.rs
+++ b/almondlock-spread/src/parent.rs
@@ -25,7 +25,7 @@
 /// Limits of the search for a parent.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Maximum age of a parent's answer, since a source started it.
+    /// Maximum age of a parent's answer, counted from the source where it started.
     pub max_answer_age: Duration,
     /// Time for which a parent may lack a revision that is known to exist.
     pub max_lag: Duration,
@@ -70,10 +70,13 @@
     Leave,
 }
 
+/// The present parent.
 struct Parent {
     address: SocketAddr,
+    // When the process at `address` became the parent.
     since: Mono,
-    way: Vec<SocketAddr>,
+    // The parent's own path to a source, nearest first.
+    path: Vec<SocketAddr>,
 }
 
 /// The search for a parent, and the parent once it is found.
@@ -170,16 +173,16 @@
         let Some(parent) = &self.parent else {
             return Vec::new();
         };
-        let steps = std::iter::once(parent.address).chain(parent.way.iter().copied());
+        let steps = std::iter::once(parent.address).chain(parent.path.iter().copied());
         steps.take(ADDRESSES).collect()
     }
 
     /// Records that the process at an address didn't answer.
     pub fn record_failure(&mut self, address: SocketAddr) {
-        let way = self.parent.take().map(|parent| parent.way);
-        if let Some(way) = way {
+        let path = self.parent.take().map(|parent| parent.path);
+        if let Some(path) = path {
             // The address may answer again later, but is not asked again in this round.
-            self.start_round(&way);
+            self.start_round(&path);
             self.tried.insert(address);
         }
     }
@@ -200,23 +203,23 @@
                 self.handle_refusal(others);
                 Verdict::Leave
             }
-            Standing::Served(age, way) => {
+            Standing::Served(age, path) => {
                 let lacks = self.is_lagging(now, delta, have, heard);
                 // A process that speaks an older version drops the parts of the
                 // configuration that it doesn't know, so it can't be the parent.
                 let is_source = self.sources.contains(&address);
                 let older = delta.from.version < self.version && !is_source;
-                if *age > self.config.max_answer_age || way.contains(&self.own) || older || lacks {
-                    self.reject(address, way);
+                if *age > self.config.max_answer_age || path.contains(&self.own) || older || lacks {
+                    self.reject(address, path);
                     return Verdict::Leave;
                 }
-                self.keep_parent(now, address, way);
+                self.keep_parent(now, address, path);
                 Verdict::Keep
             }
         }
     }
 
-    fn keep_parent(&mut self, now: Mono, address: SocketAddr, way: &[SocketAddr]) {
+    fn keep_parent(&mut self, now: Mono, address: SocketAddr, path: &[SocketAddr]) {
         let since = match &self.parent {
             Some(parent) if parent.address == address => parent.since,
             _ => now,
@@ -224,7 +227,7 @@
         self.rounds = 0;
         self.next.clear();
         self.tried.clear();
-        let deep = way.len() >= self.config.max_depth;
+        let deep = path.len() >= self.config.max_depth;
         if deep && now.since(since) > self.config.depth_grace {
             // Lost parents only ever move processes down the tree. Searching again from
             // the sources bounds the depth; the present parent is among the processes
@@ -236,22 +239,22 @@
         self.parent = Some(Parent {
             address,
             since,
-            way: way.to_vec(),
+            path: path.to_vec(),
         });
     }
 
     /// Rejects a process that answers but can't be the parent. It is not asked again in
     /// this round: two processes that redirect to each other would be asked in turn.
-    fn reject(&mut self, address: SocketAddr, way: &[SocketAddr]) {
+    fn reject(&mut self, address: SocketAddr, path: &[SocketAddr]) {
         if self.parent.take().is_some() {
-            self.start_round(way);
+            self.start_round(path);
         }
         self.tried.insert(address);
     }
 
     fn handle_refusal(&mut self, others: &[SocketAddr]) {
         if let Some(parent) = self.parent.take() {
-            self.start_round(&parent.way);
+            self.start_round(&parent.path);
         }
         // The first of the others is tried next.
         let (own, tried) = (self.own, &self.tried);
--- a/almondlock-spread/src/snapshot.rs
+++ b/almondlock-spread/src/snapshot.rs
@@ -193,7 +193,7 @@
     }
 }
 
-/// The reason why received pieces don't encoding a configuration.
+/// The reason why received pieces don't make up a configuration.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub enum Error {
--- a/almondlock-spread/tests/known_recent.rs
+++ b/almondlock-spread/tests/known_recent.rs
@@ -7,6 +7,7 @@
     Mono::from_millis(millis)
 }
 
+/// Guards against a process that counts as recent before it has a source's revision.
 #[test]
 fn not_before_it_is_reached() {
     let mut recency = Recency::new();
--- a/almondlock-spread/tests/parent_choice.rs
+++ b/almondlock-spread/tests/parent_choice.rs
@@ -39,15 +39,16 @@
     }
 }
 
-fn served(age: u64, way: &[u16]) -> Standing {
-    let way = way.iter().map(|n| address(*n)).collect();
-    Standing::Served(Duration::from_millis(age), way)
+fn served(age: u64, path: &[u16]) -> Standing {
+    let path = path.iter().map(|n| address(*n)).collect();
+    Standing::Served(Duration::from_millis(age), path)
 }
 
 fn full(others: &[u16]) -> Standing {
     Standing::Full(others.iter().map(|n| address(*n)).collect())
 }
 
+/// A search and the time at which it is asked.
 struct Walk {
     search: Search<SmallRng>,
     now: Mono,
@@ -89,6 +90,8 @@
     }
 }
 
+/// Guards against a process that doesn't find a place below full processes, or that asks
+/// itself or the same process twice in a round.
 #[test]
 fn redirects_are_followed() {
     let mut walk = Walk::new();
@@ -208,8 +211,8 @@
     assert!(pauses[11] >= Duration::from_secs(1) && pauses[11] <= Duration::from_secs(2));
 }
 
-/// Guards against a process that lost parents move ever deeper in the tree: after a while
-/// at such a depth it searches from the sources again.
+/// Guards against a process that moves ever deeper in the tree as it loses parents: after
+/// a while at such a depth it searches from the sources again.
 #[test]
 fn deep_positions_search_again() {
     let mut walk = Walk::settled();
--- a/almondlock-spread/tests/recent_changes.rs
+++ b/almondlock-spread/tests/recent_changes.rs
@@ -45,6 +45,7 @@
     );
 }
 
+/// Guards against changes from before a whole configuration that are sent after it.
 #[test]
 fn reset_removes_changes() {
     let mut ring = ring(100, 1000, 10);
--- a/almondlock-spread/tests/snapshot_pieces.rs
+++ b/almondlock-spread/tests/snapshot_pieces.rs
@@ -31,6 +31,7 @@
     assembly.add(&piece).unwrap()
 }
 
+/// A configuration larger than a piece must arrive unchanged.
 #[test]
 fn pieces_make_the_whole() {
     let view = View::new();
@@ -202,6 +203,8 @@
     assert_eq!(piece.unwrap().data[0], b'{');
 }
 
+/// Guards against a configuration made of pieces that are too large, out of order, empty or
+/// not of the revision that they name.
 #[test]
 fn bad_pieces_are_refused() {
     let piece = |offset, total, data: &[u8]| Piece {
--- a/almondlock-spread/tests/subtree_report.rs
+++ b/almondlock-spread/tests/subtree_report.rs
@@ -55,6 +55,7 @@
     children.admit(now, &fetch(report))
 }
 
+/// Guards against newcomers that are redirected far away, or all to the same child.
 #[test]
 fn a_full_process_redirects() {
     let mut children = node(false);
@@ -115,6 +116,7 @@
     assert!(served(&mut children, 20, "second"));
 }
 
+/// Guards against a summary that misses a revision, processes or laggards deep in a subtree.
 #[test]
 fn the_lowest_is_reported() {
     let mut children = node(true);
@@ -175,6 +177,7 @@
     }
 }
 
+/// Guards against a stopped process without children that still counts.
 #[test]
 fn a_stopped_leaf_is_removed() {
     let mut children = node(true);
@@ -255,6 +258,7 @@
     );
 }
 
+/// Guards against a summary that leaves out the subtrees of other sources.
 #[test]
 fn sources_are_summed() {
     let mut children = node(true);
