--- a/almondlock-gateway/src/reading/pace.rs
+++ b/almondlock-gateway/src/reading/pace.rs
@@ -1,24 +1,25 @@
-//! Decides how long a version is read between requests.
+//! Time slices in which a new configuration version is read, between requests.
 
 use std::time::Duration;
 
 use almondlock_base::time::Mono;
 
-/// The shortest slice. A pause costs a few microseconds.
+/// The shortest slice. A pause between slices costs a few microseconds.
 const MIN_SLICE: Duration = Duration::from_millis(1);
-/// The longest slice: a tenth of the shortest gap that callers allow between two events.
+/// The longest slice: a tenth of the shortest gap that callers allow between two events of
+/// an answer.
 const MAX_SLICE: Duration = Duration::from_millis(20);
 /// The longest slice of a late version: half of that gap.
 const MAX_LATE_SLICE: Duration = Duration::from_millis(100);
-/// Time after which a version is late. It has to be in force after 2.5 s, of which its way
-/// to the host takes some tenths of a second.
+/// Time since the first slice after which a version is late. It has to be in force after
+/// 2.5 s, of which its way to the host takes some tenths of a second.
 const LATE_AFTER: Duration = Duration::from_secs(1);
 
 /// Divides the reading of one version into slices of time.
 ///
 /// A slice is half as long as the time that other tasks took since the last slice. So
-/// reading has a third of the time until slices reach their bound of 20 ms; once the
-/// version is late it has half. Reading 1,300 changed routes takes 0.3 s on a host with
+/// reading gets a third of the time until slices reach their bound of 20 ms; once the
+/// version is late, it gets half. Reading 1,300 changed routes takes 0.3 s on a host with
 /// 0.09 of a core if nothing else runs. With fixed slices of 1 ms this would take 15 s
 /// where requests leave 50 ms between two slices.
 #[derive(Clone, Copy, Debug, Default)]
--- a/almondlock-gateway/src/resources.rs
+++ b/almondlock-gateway/src/resources.rs
@@ -1,5 +1,5 @@
 //! What one attempt holds while it runs: its entries in this host's load table, a slot, its
-//! organisation's claim, and memory reserved on engines.
+//! part of the organisation's usage, and memory reserved on engines.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,12 +20,12 @@
     worker::{Target, Worker},
 };
 
-/// How long an attempt that holds memory on helpers may be silent beyond the time expected
-/// for its first event.
+/// How long an attempt that holds memory on helpers, the engines that process parts of its
+/// prompt for the answering one, may be silent after its first event was expected.
 ///
-/// **Failure.** The engine that answers a large prompt goes dark, or its answer is lost
-/// without a reset. If such an attempt were waited for as long as others, it would keep
-/// renewing memory on helpers that nobody uses any more, and keep other prompts out. With
+/// **Failure.** The engine that answers a large prompt stops responding, or its
+/// answer is lost without a reset. If such an attempt were waited for as long as others, it
+/// would keep renewing unused memory on helpers, and keep other prompts out. With
 /// this limit the memory is released within the 4 s for which it may outlive its use, as
 /// long as first events are expected within 2.2 s. If the command that releases it is lost
 /// too, the memory stays reserved until the lease expires.
@@ -41,7 +41,7 @@
     tickets: Vec<(Upstream, Ticket)>,
     /// Memory reserved on engines.
     leases: RefCell<Option<Leases<D>>>,
-    /// Share of the organisation's requests in flight.
+    /// The attempt's part of its organisation's usage.
     claim: Option<Claim>,
     /// Slot on the answering upstream. Invariant: that upstream's ticket comes first.
     slot: Option<Slot>,
@@ -53,7 +53,7 @@
     first_event_expected: Mono,
     /// Whether the first event has arrived.
     is_prompt_read: Cell<bool>,
-    /// Objective of the request, if it probes an ejected upstream.
+    /// The request's objective for the first event, if it probes an ejected upstream.
     probe_objective: Option<Duration>,
 }
 
--- a/almondlock-gateway/src/startup.rs
+++ b/almondlock-gateway/src/startup.rs
@@ -1,5 +1,5 @@
-//! Delays long prompts shortly after the host's start, while the loads of other hosts are
-//! unknown.
+//! Delays long prompts shortly after the host's start, while it doesn't know the load that
+//! other hosts put on the engines.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 /// the shortest objectives leave.
 const POLL: Duration = Duration::from_millis(5);
 
-/// Waits until a prompt may be placed.
+/// Waits until a prompt may be placed on an engine.
 pub(crate) async fn wait_after_start<D>(worker: &Worker<D>, request: &Request)
 where
     D: Dialect,
--- a/almondlock-policy/src/share/mod.rs
+++ b/almondlock-policy/src/share/mod.rs
@@ -5,16 +5,17 @@
 //! first come, first served, it gets capacity in proportion to what it sends, and the
 //! requests of all others are late.
 //!
-//! **Max-min fairness.** Under contention, no organisation has more than a common level as
-//! long as another one that has less waits. The level is found by water filling
+//! **Max-min fairness.** Under contention, no organisation gets more than a common level
+//! while another one that has less is waiting. The level is found by water filling
 //! ([`level`]): an organisation that demands less than the level gets all it demands, and
 //! the remainder raises the level for the others.
 //!
-//! **Two resources.** Slots and reading time are assessed separately ([`Assessment`]): an
-//! organisation is over its share if it is over in either of them.
+//! **Two resources.** Slots (requests in flight) and reading time (prefill of prompts) are
+//! assessed separately ([`Assessment`]): an organisation is over its share if it is over in
+//! either of them.
 //!
 //! **Contention.** Slots are contended once the requests that have a slot or wait for one
-//! outnumber all slots but one of each engine, and an organisation below the level waits.
+//! outnumber the slots, less one per engine, and an organisation below the level waits.
 //! Long prompts keep engines reading for seconds each at normal times too, so reading time
 //! is contended only once a prompt of an organisation below the level waits at a host or was
 //! refused while engines are busy.
@@ -57,10 +58,10 @@
     /// together.
     #[serde(rename = "reading")]
     pub reading_ms: u32,
-    /// Number of requests that wait for a slot, at a host or at a caller that was told to return.
+    /// Number of requests that wait for a slot, at a host or at a caller told to retry later.
     pub queued: u32,
-    /// Reading time, in milliseconds, of the prompts that wait for engines' time at a host or at a
-    /// caller that was told to return.
+    /// Reading time, in milliseconds, of the prompts that wait to be read, at a host or at a
+    /// caller told to retry later.
     #[serde(rename = "queued_reading")]
     pub queued_reading_ms: u32,
 }
@@ -98,7 +99,7 @@
     }
 }
 
-/// The organisations that are not listed one by one.
+/// The organisations that are not listed individually, summed up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Unlisted {
--- a/almondlock-state/src/document.rs
+++ b/almondlock-state/src/document.rs
@@ -3,7 +3,7 @@
 //! Some deployments are configured by a complete text for each version and not by single
 //! changes. The replicas store the text byte for byte and don't interpret it. The highest
 //! version is in force. An older version that arrives late or is sent again is accepted
-//! and changes nothing. The same holds for another text with the version in force, because
+//! and ignored. So is a different text with the same version as the one in force, because
 //! processes have acted on the first one.
 //!
 //! A text is stored in [`Piece`]s, so that two versions share the pieces that they have in
--- a/almondlock-state/src/document/publication.rs
+++ b/almondlock-state/src/document/publication.rs
@@ -1,4 +1,4 @@
-//! Publication of a configuration, whole or as a delta to the version in force.
+//! Publication of a configuration, whole or as a delta from the version in force.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +16,7 @@
     /// The text and its version.
     #[serde(rename = "document")]
     Whole(Document),
-    /// The difference to the version that the proposer had applied.
+    /// The difference from the version that the proposer of the log entry had applied.
     #[serde(rename = "delta")]
     Delta(Delta),
 }
--- a/almondlock-state/src/replica.rs
+++ b/almondlock-state/src/replica.rs
@@ -1,4 +1,4 @@
-//! The table of control replicas.
+//! The table of control replicas, the members of the replicated log.
 //!
 //! The membership entries of the log decide which replicas vote. The leader copies them to
 //! this table ([`Command::Replicas`]) whenever they differ. The table holds the addresses
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Replica {
-    /// The address of its inner listener.
+    /// The address at which it listens for other processes of the deployment.
     pub address: SocketAddr,
-    /// The address of its listener for operators.
+    /// The address at which it listens for operators.
     pub admin: SocketAddr,
     /// Its failure domain.
     pub domain: Domain,
@@ -35,8 +35,8 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Member {
-    /// Adds the replica that waits at this address. It votes once it has caught up and
-    /// synced, and its identity is known only then.
+    /// Adds the replica that waits at this address to join. It votes once it has caught up
+    /// and synced, and its identity is known only then.
     Add(Replica),
     /// Removes a replica: it no longer votes.
     Remove(Id),
@@ -46,7 +46,7 @@
 ///
 /// The log doesn't have the replicas' addresses for operators. They are taken from the
 /// table, or from the plan that added the replica, by its inner address. `None` is returned
-/// also before the state has been seeded.
+/// also before the state has been initialised.
 pub fn changed_replicas<I>(machine: &Machine, members: I) -> Option<BTreeMap<Id, Replica>>
 where
     I: IntoIterator<Item = (Id, SocketAddr, Domain)>,
