--- a/almondlock-gateway/src/resources.rs
+++ b/almondlock-gateway/src/resources.rs
@@ -21,14 +21,14 @@
 };
 
 /// How long an attempt that holds memory on helpers, the engines that process parts of its
-/// prompt for the answering one, may be silent after its first event was expected.
+/// prompt for the answering one, may be silent beyond the time expected for its first event.
 ///
-/// **Failure.** The engine that answers a large prompt stops responding, or its
-/// answer is lost without a reset. If such an attempt were waited for as long as others, it
-/// would keep renewing unused memory on helpers, and keep other prompts out. With
-/// this limit the memory is released within the 4 s for which it may outlive its use, as
-/// long as first events are expected within 2.2 s. If the command that releases it is lost
-/// too, the memory stays reserved until the lease expires.
+/// **Failure.** The engine that answers a large prompt stops responding, or its answer is
+/// lost without a reset. If such an attempt were waited for as long as others, it would keep
+/// renewing unused memory on helpers, and keep other prompts out. With this limit the memory
+/// is released within the 4 s for which it may outlive its use, as long as first events are
+/// expected within 2.2 s. If the command that releases it is lost too, the memory stays
+/// reserved until the lease expires.
 const MAX_SILENCE: Duration = Duration::from_millis(1_800);
 
 /// What one attempt holds. Released when dropped.
@@ -53,7 +53,7 @@
     first_event_expected: Mono,
     /// Whether the first event has arrived.
     is_prompt_read: Cell<bool>,
-    /// The request's objective for the first event, if it probes an ejected upstream.
+    /// Time within which the first event should come, if this probes an ejected upstream.
     probe_objective: Option<Duration>,
 }
 
--- a/almondlock-gateway/src/startup.rs
+++ b/almondlock-gateway/src/startup.rs
@@ -1,5 +1,5 @@
-//! Delays long prompts shortly after the host's start, while it doesn't know the load that
-//! other hosts put on the engines.
+//! Delays prompts shortly after the host's start, until the loads of other hosts are known.
+//! Long prompts wait longer, so that short ones go first.
 
 use std::time::Duration;
 
--- a/almondlock-quorum/src/machine/ballot.rs
+++ b/almondlock-quorum/src/machine/ballot.rs
@@ -52,7 +52,7 @@
 /// Why a vote was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// This replica hears a leader, or leads.
+    /// This replica hears from a current leader, or leads.
     LeaderHeard,
     /// The candidate lacks entries that are held here.
     LogBehind,
--- a/almondlock-quorum/src/machine/snapshot.rs
+++ b/almondlock-quorum/src/machine/snapshot.rs
@@ -13,7 +13,7 @@
     message::{AppendReply, Body, Piece, PieceReply},
 };
 
-/// A snapshot that is being received. `head` is its first piece.
+/// A snapshot that is being received: its first piece, and the data received so far.
 #[derive(Debug)]
 pub(super) struct Incoming {
     head: Piece,
--- a/almondlock-quorum/src/storage/snapshot.rs
+++ b/almondlock-quorum/src/storage/snapshot.rs
@@ -1,4 +1,5 @@
-//! Snapshot files. A new one is written under a temporary name and then renamed.
+//! Snapshot files: a header, the metadata and the state in chunks. A new file is written
+//! under a temporary name and then renamed.
 
 use std::sync::Arc;
 
@@ -15,7 +16,7 @@
 
 const PREFIX: &str = "snapshot-";
 
-/// The maximum number of bytes of the state in one record.
+/// The maximum number of bytes of the state in one data record.
 const CHUNK_BYTES: usize = 1 << 20;
 
 pub(super) fn name(index: Index) -> String {
--- a/almondlock-sidecar/src/openai.rs
+++ b/almondlock-sidecar/src/openai.rs
@@ -2,9 +2,10 @@
 //!
 //! Every answer is requested as a stream, whatever the caller wanted, so that a
 //! broken answer is noticed at the token where it broke and can be resumed
-//! there. The engine extensions used here are headers (the run's id, its
-//! priority, the offset to resume at, the locations of segments) and a few
-//! paths under `/engine`.
+//! there. The engine extensions used here are headers (the id of the run, which
+//! is one attempt at a request, its priority, the offset to resume at, the
+//! locations of segments, which are parts of a long prompt on other engines)
+//! and a few paths under `/engine`.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -28,7 +29,8 @@
 
 use crate::protocol::{Allocation, Failure, Feed, Output, Piece, Protocol, Run};
 
-/// Time-out for control requests: health, lists, cancellations and orders.
+/// Time-out for control requests: health checks, lists of allocations,
+/// cancellations and orders to load a model.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Maximum number of connections to one upstream. It exceeds any number of runs
@@ -126,8 +128,8 @@
 /// HTTP clients for runs.
 ///
 /// A request that may not be repeated always gets a new connection: the
-/// upstream may just have closed a pooled one, and whether a request sent into
-/// it ran is unknown.
+/// upstream may just have closed a pooled one, and whether a request sent on it
+/// ran is unknown.
 pub(crate) struct Clients {
     pooled: Client,
     single: Client,
@@ -244,7 +246,7 @@
     }
 }
 
-/// Passes an answer on part by part, and returns its usage if it is complete.
+/// Streams an answer to the output, and returns its usage if it is complete.
 async fn relay_answer<O>(response: ClientResponse, output: &mut O) -> Result<Usage, Failure>
 where
     O: Output,
@@ -261,7 +263,7 @@
     let mut accumulator = Accumulator::default();
     while let Some(event) = events.next().await {
         let data = event.map_err(|_| Failure::Broken)?.data;
-        // An answer without this record is incomplete.
+        // The closing record. An answer without it is incomplete.
         if data == "[DONE]" {
             return accumulator.into_usage().ok_or(Failure::Truncated);
         }
--- a/almondlock-sidecar/src/orders.rs
+++ b/almondlock-sidecar/src/orders.rs
@@ -1,4 +1,4 @@
-//! Decides which order to load a model is forwarded to the upstream.
+//! Decides whether an order to load a model is forwarded to the upstream.
 //!
 //! Orders arrive with the configuration. An order names one incarnation of the
 //! sidecar and a time; only that incarnation forwards it, and only until that
--- a/almondlock-sidecar/src/output.rs
+++ b/almondlock-sidecar/src/output.rs
@@ -23,7 +23,7 @@
 /// Maximum number of frames that wait to be pushed to the entry host.
 const MAX_BUFFERED_FRAMES: usize = 64;
 
-/// Is notified of the first part of an answer that the engine generated.
+/// Is notified when an engine generates the first content of an answer.
 pub trait Observer {
     /// Called once the engine has processed the prompt.
     fn on_prefill_end(&self);
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Returns the number of units of the answer passed on, including those
-    /// delivered by earlier attempts.
+    /// Returns the number of units (tokens or bytes) of the answer passed on,
+    /// including those delivered by earlier attempts.
     pub fn offset(&self) -> u64 {
         self.offset
     }
--- a/almondlock-spread/src/children.rs
+++ b/almondlock-spread/src/children.rs
@@ -1,12 +1,12 @@
-//! The children that a process serves, and the report about its subtree.
+//! The children of a process in the distribution tree, and the report about its subtree.
 //!
 //! A process serves a bounded number of children. A newcomer that finds it full is
 //! redirected to one of its children: one in the same failure domain if there is one,
 //! else one in the same region, and among equals the one with the fewest processes
 //! below it. Newcomers are never redirected to a child that has no configuration yet, so
-//! after a start of all processes the tree grows from the top. On a source the children
-//! of one failure domain may take only part of the places, so that every failure domain
-//! can have direct children of a source.
+//! after a start of all processes the tree grows from the top. On a source, a root of the
+//! tree, the number of children per failure domain is limited too, so that every failure
+//! domain can have direct children of a source.
 //!
 //! A report sums up a subtree: the lowest revision in it, the number of its processes,
 //! the processes furthest behind, and those that joined and left. A child's last report
@@ -39,7 +39,7 @@
     pub max_children_per_domain: usize,
     /// Time for which the last report of a silent child counts.
     pub report_lifetime: Duration,
-    /// Maximum number of processes of the subtree that are kept by name.
+    /// Maximum number of processes of the subtree that are listed individually.
     pub max_members: usize,
 }
 
@@ -72,7 +72,7 @@
     pub processes: u32,
     /// Some of the processes that are furthest behind.
     pub laggards: Vec<Peer>,
-    /// Number of sources that take part, including this one.
+    /// Number of sources whose reports are included, with this one.
     pub sources: usize,
 }
 
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Returns the processes of the subtree that are known by name, without this one.
+    /// Returns the processes of the subtree that are listed individually, without this one.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|known| &known.member)
     }
@@ -399,7 +399,7 @@
         }
     }
 
-    /// Ends a child that said that it leaves or was succeeded by a new incarnation. The
+    /// Ends a child that has announced its end or was replaced by a new incarnation. The
     /// processes below it may still run and have no new parent yet: they count until
     /// the child's last report expires.
     fn end_child(&mut self, process: &Process) {
--- a/almondlock-spread/src/snapshot.rs
+++ b/almondlock-spread/src/snapshot.rs
@@ -2,14 +2,14 @@
 //!
 //! The sender encodes the configuration once, or keeps the encoded text that it received
 //! itself, and serves pieces of it until its ring of changes no longer reaches back to that
-//! revision: a reader still in progress could not be brought from there to the newest
-//! revision anyway. A new reader is given a newer text once the bytes of the changes since
-//! the kept one exceed a fraction of its size; readers in progress continue with theirs.
+//! revision: a receiver still in progress could not be brought from there to the newest
+//! revision anyway. A new receiver is given a newer text once the bytes of the changes since
+//! the kept one exceed a fraction of its size; receivers in progress continue with theirs.
 //!
 //! **Compression.** A configuration of 3,000 servers takes 0.6 MB. After a loss of all
 //! processes each of 300 asks for it at once, and a process with a link of 20 Mbit/s
-//! sends it to a dozen others. A piece to each of them takes 0.3 s by calculation, and an
-//! answer that takes 0.4 s is abandoned and requested elsewhere. The text is repetitive:
+//! sends it to a dozen others. Sending each of them a piece takes 0.3 s by calculation, and
+//! an answer that takes 0.4 s is abandoned and requested elsewhere. The text is repetitive:
 //! 3,000 instances compress to less than a fifth.
 //!
 //! The receiver joins the pieces, and starts again if the revision changes during the
@@ -27,8 +27,8 @@
 /// Maximum size of a piece.
 pub const MAX_PIECE_BYTES: usize = 64 * 1024;
 
-/// Maximum size of a snapshot that is accepted, compressed or not. A configuration of the
-/// target's 1,500 organisations and 880 upstreams takes about a megabyte.
+/// Maximum size of a snapshot that is accepted, compressed or not. A configuration of
+/// the target size, 1,500 organisations and 880 upstreams, takes about a megabyte.
 pub const MAX_SNAPSHOT_BYTES: u64 = 32 * 1024 * 1024;
 
 /// The first version of the inner protocol whose processes read compressed snapshots.
@@ -68,9 +68,9 @@
     }
 }
 
-/// Number of texts kept per encoding: one for new readers, and the one before it.
+/// Number of texts kept per encoding: one for new receivers, and the one before it.
 const MAX_TEXTS: usize = 2;
-/// A text is replaced once the changes after it take one part in this many of its bytes.
+/// A text is replaced once the changes after it reach its size divided by this.
 const REWRITE_DIVISOR: usize = 4;
 
 /// An encoded configuration.
@@ -151,7 +151,7 @@
         texts.map(|text| text.bytes.len()).sum()
     }
 
-    /// Removes snapshots from which the ring can no longer bring a reader up to date.
+    /// Removes snapshots from which the ring can no longer bring a receiver up to date.
     pub fn evict_unusable(&mut self, view: &View) {
         let reaches = |text: &Text| view.with_ring(|ring| ring.has_all_after(text.revision));
         self.kept.values_mut().for_each(|kept| kept.retain(reaches));
@@ -164,7 +164,7 @@
         kept.truncate(MAX_TEXTS);
     }
 
-    /// Returns the text for new readers: of at least revision `least`, unless the view
+    /// Returns the text for new receivers: of at least revision `least`, unless the view
     /// itself is older. A process that can't apply the change that makes `least` would be
     /// sent that change again after an older text, for as long as that text is kept.
     fn current_text(
--- a/almondlock-spread/src/view.rs
+++ b/almondlock-spread/src/view.rs
@@ -1,13 +1,13 @@
 //! The configuration in force in this process, shared between its threads.
 //!
 //! Readers keep the same `Arc` during one decision, so a decision never sees two
-//! revisions. The view only moves forward: a change
-//! that doesn't make the next revision, or a whole configuration that is not
-//! newer, is refused, because a process that acted on revision 7 must never
-//! act on revision 6 again before it restarts.
+//! revisions. The revision never decreases: a change that doesn't make the next
+//! revision, or a whole configuration that is not newer, is refused, because a
+//! process that acted on revision 7 must never act on revision 6 again before it
+//! restarts.
 //!
-//! It also keeps the last changes for the processes below in the tree, and wakes
-//! tasks that wait for a newer revision.
+//! The view also keeps the last changes for the processes that fetch from this
+//! one, and wakes tasks that wait for a newer revision.
 
 use std::sync::{Arc, PoisonError, RwLock};
 
--- a/almondlock-state/src/replica.rs
+++ b/almondlock-state/src/replica.rs
@@ -45,8 +45,8 @@
 /// Returns the table of replicas for the log's members, or `None` if it is up to date.
 ///
 /// The log doesn't have the replicas' addresses for operators. They are taken from the
-/// table, or from the plan that added the replica, by its inner address. `None` is returned
-/// also before the state has been initialised.
+/// table, or from the plan that added the replica, by its [`address`](Replica::address).
+/// `None` is returned also before the state has been initialised.
 pub fn changed_replicas<I>(machine: &Machine, members: I) -> Option<BTreeMap<Id, Replica>>
 where
     I: IntoIterator<Item = (Id, SocketAddr, Domain)>,
