--- a/almondlock-gateway/src/startup.rs
+++ b/almondlock-gateway/src/startup.rs
@@ -1,5 +1,5 @@
-//! Delays long prompts shortly after the host's start, while the loads of other hosts are
-//! unknown.
+//! Delays prompts shortly after the host's start, until the loads of other hosts are known.
+//! Long prompts wait longer, so that short ones go first.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 /// the shortest objectives leave.
 const POLL: Duration = Duration::from_millis(5);
 
-/// Waits until a prompt may be placed.
+/// Waits until a prompt may be placed on an engine.
 pub(crate) async fn wait_after_start<D>(worker: &Worker<D>, request: &Request)
 where
     D: Dialect,
